--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -49,9 +49,9 @@
 	// each request of a service, RetrySlack how many beyond that in a window.
 	RetryRatio float64
 	RetrySlack float64
-	// Version is the age of wanted weights from which no request begins on
+	// MaxStaleness is the age of wanted weights from which no request begins on
 	// older ones.
-	Version time.Duration
+	MaxStaleness time.Duration
 }
 
 // Deps are what a forwarder needs.
@@ -65,8 +65,8 @@
 	Reach    *reach.Book
 	// Quarantine holds what is known of requests that were under way when targets ended,
 	// Endings tells such ends from others.
-	Quarantine *quarantine.Book
-	Endings    *quarantine.Endings
+	Quarantine    *quarantine.Book
+	CrashDetector *quarantine.Endings
 	// Sidecars answer for engines in large fleets; nil where probes are off.
 	Sidecars Sidecars
 	// Limits keep workspaces within their rate limits; nil where there are none.
@@ -74,13 +74,13 @@
 	Bounds Bounds
 	Zone   string
 	Logger logr.Logger
-	// Ordinary writes lines of what goes well. Under load they are dropped before
+	// RoutineLogger writes lines of what goes well. Under load they are dropped before
 	// the others.
-	Ordinary logr.Logger
-	Metrics  Metrics
-	// TellWork tells the other entries at once of the work at a target.
-	TellWork func(target fleet.ID)
-	Now      func() time.Time
+	RoutineLogger logr.Logger
+	Metrics       Metrics
+	// AnnounceWork tells the other entries at once of the work at a target.
+	AnnounceWork func(target fleet.ID)
+	Now          func() time.Time
 	// Seed makes this entry's random choices its own.
 	Seed uint64
 }
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -127,7 +127,7 @@
 		return
 	}
 	d := fl.doubt(to)
-	evidence := fl.Endings.Ended(ctx, v, d)
+	evidence := fl.CrashDetector.Ended(ctx, v, d)
 	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.print, "target", to.target.Life, "evidence", string(evidence),
 		"list_age", fl.since(v.ListedAt), "step", d.Step, "ran", tenth(time.Since(fl.sentAt)))
 	if evidence != quarantine.NoEvidence {
@@ -135,15 +135,15 @@
 	}
 }
 
-// Settle looks again at requests whose targets may have ended, by the newest view, and at
+// RecheckCrashes looks again at requests whose targets may have ended, by the newest view, and at
 // those that are held.
-func (f *Forwarder) Settle() {
+func (f *Forwarder) RecheckCrashes() {
 	defer func() { f.Quarantine.Settle(f.Now()) }()
 	v, ok := f.View()
 	if !ok {
 		return
 	}
-	doubts, evidence := f.Endings.Settle(v, f.Now())
+	doubts, evidence := f.CrashDetector.Settle(v, f.Now())
 	for i, d := range doubts {
 		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Print, "target", d.Target.Life, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
 		f.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
