--- a/internal/gateway/forward/returns.go
+++ b/internal/gateway/forward/callerretry.go
@@ -7,7 +7,7 @@
 
 // returnShare is the share of a route's usual time below which a caller has probably
 // spent some on an earlier try. Callers of one route mostly wait for the same time.
-const returnShare = 0.97
+const retryTimeoutShare = 0.97
 
 // usualTimes knows for how long callers of each route wait at their first try. It is
 // safe for concurrent use.
@@ -15,24 +15,24 @@
 // The load pattern that it answers: an overload lasts longer than callers' pauses, and
 // those who were refused come back into it. Treated like all others they are refused
 // again, and have waited for nothing; who has waited goes before who has not.
-type usualTimes struct {
-	mu      sync.Mutex
-	byRoute map[string]time.Duration
+type timeoutTracker struct {
+	mu             sync.Mutex
+	longestByRoute map[string]time.Duration
 }
 
 // returns takes in the time that a caller is left with, and reports whether it has
 // probably tried before. Callers that state no time are new.
-func (u *usualTimes) returns(route string, left time.Duration) bool {
-	if left <= 0 {
+func (u *timeoutTracker) isRetry(route string, timeout time.Duration) bool {
+	if timeout <= 0 {
 		return false
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.byRoute == nil {
-		u.byRoute = map[string]time.Duration{}
+	if u.longestByRoute == nil {
+		u.longestByRoute = map[string]time.Duration{}
 	}
-	if left > u.byRoute[route] {
-		u.byRoute[route] = left
+	if timeout > u.longestByRoute[route] {
+		u.longestByRoute[route] = timeout
 	}
-	return float64(left) < returnShare*float64(u.byRoute[route])
+	return float64(timeout) < retryTimeoutShare*float64(u.longestByRoute[route])
 }
--- a/internal/gateway/forward/early_test.go
+++ b/internal/gateway/forward/earlyresponse_test.go
@@ -15,18 +15,18 @@
 
 // earlyTarget answers a request when it has its head, keeps the connection and
 // reads the body later. mixed counts bodies in which another request began.
-type earlyTarget struct {
+type earlyResponder struct {
 	address netip.AddrPort
-	mixed   atomic.Int32
+	misread atomic.Int32
 }
 
-func startEarlyTarget(t *testing.T) *earlyTarget {
+func startEarlyResponder(t *testing.T) *earlyResponder {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &earlyTarget{address: netip.MustParseAddrPort(listener.Addr().String())}
+	e := &earlyResponder{address: netip.MustParseAddrPort(listener.Addr().String())}
 	var tasks sync.WaitGroup
 	tasks.Add(1)
 	go func() {
@@ -47,7 +47,7 @@
 	return e
 }
 
-func (e *earlyTarget) serve(c net.Conn) {
+func (e *earlyResponder) serve(c net.Conn) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -61,7 +61,7 @@
 			n, err := r.Body.Read(buffer)
 			for _, b := range buffer[:n] {
 				if b != 'x' && b != 'n' && b != 'e' && b != 't' {
-					e.mixed.Add(1)
+					e.misread.Add(1)
 					return
 				}
 			}
--- a/internal/gateway/forward/explain.go
+++ b/internal/gateway/forward/explain.go
@@ -29,14 +29,14 @@
 }
 
 // rate fills in what the decision makes of each engine that it considers.
-func (x *Explanation) rate(ctx context.Context, fl *flow) {
-	q := fl.question()
-	if p := fl.probeEngines(ctx, q); p != nil {
+func (x *Explanation) addRatings(ctx context.Context, fl *flow) {
+	in := fl.placementInput()
+	if p := fl.probeEngines(ctx, in); p != nil {
 		x.Targets, x.Candidates = p.targets, p.candidates
 	} else {
 		x.Candidates = fl.candidates()
 	}
-	x.Ratings = placement.Rate(q, x.Candidates)
+	x.Ratings = placement.Rate(in, x.Candidates)
 }
 
 // Explain decides on a request of a workspace as if it came now. Nothing is sent
@@ -45,25 +45,25 @@
 	fl := &flow{Forwarder: f, arrived: time.Now(), request: request, excluded: map[fleet.Life]bool{}}
 	var ok bool
 	if fl.view, ok = f.View(); !ok || fl.view.Estate == nil {
-		return nil, errkind.After(errkind.ConfigurationMissing, noEstateRetry, "")
+		return nil, errkind.After(errkind.ConfigurationMissing, noEstateRetryAfter, "")
 	}
-	if refusal := fl.assign(host, path); refusal != nil {
+	if refusal := fl.resolveRoute(host, path); refusal != nil {
 		return nil, refusal
 	}
 	if fl.workspace = fl.view.Estate.Workspace(workspace); fl.workspace == nil && workspace != "" {
 		return nil, errkind.New(errkind.UnknownWorkspace, "%q", workspace)
 	}
 	x := &Explanation{
-		Route: fl.routeName(), Service: fl.serviceName(), Estate: fl.estateVersion(), ListAge: fl.since(fl.view.ListedAt),
+		Route: fl.routeName(), Service: fl.serviceName(), Estate: fl.estateVersion(), ListAge: fl.age(fl.view.ListedAt),
 		Targets: fl.view.Targets[fl.service.Name],
 	}
-	to, refusal := fl.choose(ctx)
+	dst, refusal := fl.choose(ctx)
 	x.Refusal = refusal
-	if to != nil {
-		x.Chosen = to.target.Instance
+	if dst != nil {
+		x.Chosen = dst.target.Instance
 	}
 	if fl.service.Engine != nil && fl.route.Prompted {
-		x.rate(ctx, fl)
+		x.addRatings(ctx, fl)
 	}
 	return x, nil
 }
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -126,18 +126,18 @@
 // Forwarder serves callers. Make it with New.
 type Forwarder struct {
 	Deps
-	inFlight atomic.Int64
-	random   atomic.Uint64
-	budgets  sync.Map // service to *retry.Budget
-	readTime *readtime.Meter
-	paces    *readtime.Paces
-	turnover parts.Turnover
-	usual    usualTimes
+	inFlight       atomic.Int64
+	random         atomic.Uint64
+	retryBudgets   sync.Map // service to *retry.Budget
+	prefillTime    *readtime.Meter
+	paces          *readtime.Paces
+	turnover       parts.Turnover
+	callerTimeouts timeoutTracker
 }
 
 // New returns a forwarder.
 func New(d Deps) *Forwarder {
-	f := &Forwarder{Deps: d, readTime: readtime.New(), paces: readtime.NewPaces()}
+	f := &Forwarder{Deps: d, prefillTime: readtime.New(), paces: readtime.NewPaces()}
 	f.random.Store(d.Seed)
 	return f
 }
@@ -161,13 +161,13 @@
 const slackShare = 0.6
 
 // budget returns the retry budget of a service.
-func (f *Forwarder) budget(service string, entries int) *retry.Budget {
-	most := f.Bounds.RetrySlack * slackShare / float64(max(entries, 1))
-	b, ok := f.budgets.Load(service)
+func (f *Forwarder) retryBudget(service string, entries int) *retry.Budget {
+	slack := f.Bounds.RetrySlack * slackShare / float64(max(entries, 1))
+	b, ok := f.retryBudgets.Load(service)
 	if !ok {
-		b, _ = f.budgets.LoadOrStore(service, retry.NewBudgetOf(most))
+		b, _ = f.retryBudgets.LoadOrStore(service, retry.NewBudgetOf(slack))
 	}
-	b.(*retry.Budget).SetMost(most)
+	b.(*retry.Budget).SetMost(slack)
 	return b.(*retry.Budget)
 }
 
@@ -183,42 +183,42 @@
 	request   wire.Request
 	body      []byte
 	// print names the request across its caller's tries.
-	print quarantine.Print
+	fingerprint quarantine.Print
 	// standing is what was held against it at the last look.
-	standing quarantine.Standing
-	arrived  time.Time
-	deadline time.Time
-	retries  *retry.Budget
+	quarantineStatus quarantine.Standing
+	arrived          time.Time
+	deadline         time.Time
+	retries          *retry.Budget
 	// returns is set when the caller has probably been refused before.
-	returns bool
+	isRetry bool
 	// sends counts sends, arrivals those of them that may have reached a target,
 	// and runs those that may have run.
-	sends, arrivals, runs int
+	sends, delivered, runs int
 	// totals is the work at all targets, as the last choice saw it.
-	totals map[fleet.ID]ledger.Work
+	totalWork map[fleet.ID]ledger.Work
 	// excluded targets are not tried again.
 	excluded map[fleet.Life]bool
 	// lastEvent is the event that the caller has; begun is set once it has any
 	// byte of the answer.
-	lastEvent string
-	begun     bool
-	firstAt   time.Duration
+	lastEvent       string
+	responseStarted bool
+	timeToFirstByte time.Duration
 	// events counts the events passed on, lastAt is when the last one was, and
 	// longestGap the longest pause between two.
-	events     int
-	lastAt     time.Time
-	longestGap time.Duration
+	eventCount  int
+	lastEventAt time.Time
+	longestGap  time.Duration
 	// sentAt is when the last send was made.
-	sentAt time.Time
-	last   sendRecord
+	sentAt   time.Time
+	lastSend sendRecord
 	// outcome is what the last send said of its target.
 	outcome health.Outcome
 	// cause is why the next send is made; empty for the first.
-	cause string
+	retryCause string
 	// use is what the request takes of its workspace's rate limit, and admission what was
 	// decided on it.
-	use       ratelimit.Request
-	admission ratelimit.Decision
+	limitRequest ratelimit.Request
+	admission    ratelimit.Decision
 }
 
 // ServeHTTP implements http.Handler.
@@ -226,7 +226,7 @@
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
 	fl := &flow{Forwarder: f, w: w, r: r, arrived: time.Now()}
-	defer fl.giveBack()
+	defer fl.refund()
 	if refusal := fl.admit(); refusal != nil {
 		fl.refuse(refusal)
 		return
@@ -238,9 +238,9 @@
 	refusal := fl.run(ctx)
 	switch {
 	case refusal == nil:
-		fl.done()
-	case fl.begun:
-		fl.breakOff(refusal)
+		fl.recordSuccess()
+	case fl.responseStarted:
+		fl.abort(refusal)
 	default:
 		fl.refuse(refusal)
 	}
@@ -268,43 +268,43 @@
 	var ok bool
 	fl.view, ok = fl.View()
 	if !ok || fl.view.Estate == nil {
-		return errkind.After(errkind.ConfigurationMissing, noEstateRetry, "")
+		return errkind.After(errkind.ConfigurationMissing, noEstateRetryAfter, "")
 	}
 	var err error
 	if fl.request, err = fl.Protocol.ReadRequest(fl.r.Header); err != nil {
 		return errkind.New(errkind.BadRequest, "%v", err)
 	}
 	path, _, _ := strings.Cut(fl.r.RequestURI, "?")
-	if refusal := fl.assign(fl.r.Host, path); refusal != nil {
+	if refusal := fl.resolveRoute(fl.r.Host, path); refusal != nil {
 		return refusal
 	}
 	fl.workspace = fl.view.Estate.WorkspaceByKey(fl.request.Key)
 	if fl.workspace == nil && fl.view.Estate.NeedsKey(fl.route) {
 		return errkind.New(errkind.UnknownKey, "")
 	}
-	if refusal := fl.mayOutlast(); refusal != nil {
+	if refusal := fl.checkOutlivesEntry(); refusal != nil {
 		return refusal
 	}
-	if refusal := fl.withinLimit(); refusal != nil {
+	if refusal := fl.checkRateLimit(); refusal != nil {
 		return refusal
 	}
 	if refusal := fl.readBody(fl.view.Estate.Limits.BodyBytes); refusal != nil {
 		return refusal
 	}
-	fl.print = quarantine.PrintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
-	return fl.mayRun()
+	fl.fingerprint = quarantine.PrintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
+	return fl.checkQuarantine()
 }
 
 // assign finds the request's route, service, retry budget and deadline.
-func (fl *flow) assign(host, path string) *errkind.Error {
+func (fl *flow) resolveRoute(host, path string) *errkind.Error {
 	e := fl.view.Estate
 	if fl.route = e.Match(host, path); fl.route == nil {
 		return errkind.New(errkind.UnknownRoute, "host %q, path %q", host, path)
 	}
 	fl.service = e.Service(fl.route.Backend(float64(xxhash.Sum64String(fl.request.ID)>>11) / (1 << 53)))
-	fl.retries = fl.budget(fl.service.Name, fl.view.Entries)
-	fl.deadline = fl.arrived.Add(noDeadline)
-	fl.returns = fl.usual.returns(fl.route.Name, fl.request.TimeLeft)
+	fl.retries = fl.retryBudget(fl.service.Name, fl.view.Entries)
+	fl.deadline = fl.arrived.Add(defaultTimeout)
+	fl.isRetry = fl.callerTimeouts.isRetry(fl.route.Name, fl.request.TimeLeft)
 	if fl.request.TimeLeft > 0 {
 		fl.deadline = fl.arrived.Add(fl.request.TimeLeft)
 	}
@@ -318,38 +318,38 @@
 	// readingTime and tokenTime are how long an engine under load takes to read a
 	// prompt and to make one token of the answer, well above the mean: a step takes
 	// 4 ms and more, and a prompt that is read delays the others.
-	readingTime = time.Second
-	tokenTime   = 25 * time.Millisecond
+	slowPrefillTime = time.Second
+	slowTokenTime   = 25 * time.Millisecond
 )
 
 // mayOutlast refuses a request that may go on for longer than this process. The
 // failure guarded against is an answer that is cut off when a stopping process
 // ends: another entry can give it whole.
-func (fl *flow) mayOutlast() *errkind.Error {
+func (fl *flow) checkOutlivesEntry() *errkind.Error {
 	v := fl.view
-	longest := min(fl.timeLeft(), readingTime+time.Duration(fl.request.MaxTokens)*tokenTime)
+	longest := min(fl.timeLeft(), slowPrefillTime+time.Duration(fl.request.MaxTokens)*slowTokenTime)
 	if !v.Stopping || fl.arrived.Before(v.PicksFrom) || time.Now().Add(longest).Before(v.EndsAt) {
 		return nil
 	}
-	return errkind.After(errkind.Stopping, fl.comeBack(elsewherePause), "the entry ends in %s", time.Until(v.EndsAt).Round(time.Millisecond))
+	return errkind.After(errkind.Stopping, fl.jitter(otherEntryRetryAfter), "the entry ends in %s", time.Until(v.EndsAt).Round(time.Millisecond))
 }
 
 const (
 	// noDeadline bounds requests of callers and routes that name no time.
-	noDeadline = 2 * time.Minute
+	defaultTimeout = 2 * time.Minute
 	// noEstateRetry is when callers of a process without an estate come back:
 	// one is had within some hundred milliseconds of the store's or a peer's
 	// first answer.
-	noEstateRetry = 500 * time.Millisecond
+	noEstateRetryAfter = 500 * time.Millisecond
 	// defaultBody bounds a body where operators state no bound.
-	defaultBody = 4 << 20
+	defaultMaxBody = 4 << 20
 )
 
 // readBody reads the whole body. It is kept, so that the request can be sent
 // again, and so that a body that was cut short is sent to nobody.
 func (fl *flow) readBody(limit int64) *errkind.Error {
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 	if fl.r.ContentLength == 0 {
 		return nil
@@ -385,30 +385,30 @@
 func (fl *flow) run(ctx context.Context) *errkind.Error {
 	fl.excluded = map[fleet.Life]bool{}
 	fl.lastEvent = fl.request.LastEvent
-	var last *errkind.Error
+	var lastRefusal *errkind.Error
 	for {
-		if refusal := fl.mayStart(ctx, last); refusal != nil {
+		if refusal := fl.checkNextSend(ctx, lastRefusal); refusal != nil {
 			return refusal
 		}
-		to, refusal := fl.place(ctx)
+		dst, refusal := fl.place(ctx)
 		if refusal != nil {
-			return fl.worse(last, refusal)
+			return fl.finalRefusal(lastRefusal, refusal)
 		}
-		if fl.arrivals > 0 && !fl.retries.Spend() {
-			fl.endTrial(to)
-			return fl.worse(last, errkind.After(errkind.Overloaded, fl.comeBack(retryPause), "the retry budget is spent"))
+		if fl.delivered > 0 && !fl.retries.Spend() {
+			fl.endProbation(dst)
+			return fl.finalRefusal(lastRefusal, errkind.After(errkind.Overloaded, fl.jitter(busyRetryAfter), "the retry budget is spent"))
 		}
-		fl.chargeAgain()
-		v := fl.send(ctx, to)
-		if v.end {
-			return v.refusal
+		fl.chargeRerun()
+		result := fl.send(ctx, dst)
+		if result.final {
+			return result.refusal
 		}
-		last = v.refusal
-		if !fl.goesOn(v) {
-			return last
+		lastRefusal = result.refusal
+		if !fl.mayRetry(result) {
+			return lastRefusal
 		}
-		fl.Metrics.Retry(last.Kind.String())
-		fl.cause = last.Kind.String()
+		fl.Metrics.Retry(lastRefusal.Kind.String())
+		fl.retryCause = lastRefusal.Kind.String()
 	}
 }
 
@@ -417,59 +417,59 @@
 	maxSends = 4
 	// retryPause is when a caller comes back who was refused although targets
 	// may take it soon.
-	retryPause = 300 * time.Millisecond
+	busyRetryAfter = 300 * time.Millisecond
 	// elsewherePause is when a caller comes back who was refused because this entry
 	// is cut off or stops: another entry can take the request at once.
-	elsewherePause = 50 * time.Millisecond
+	otherEntryRetryAfter = 50 * time.Millisecond
 	// minTimeLeft is the time under which a further send is pointless.
 	minTimeLeft = 15 * time.Millisecond
 )
 
 // mayStart reports why no further send is made.
-func (fl *flow) mayStart(ctx context.Context, last *errkind.Error) *errkind.Error {
+func (fl *flow) checkNextSend(ctx context.Context, lastRefusal *errkind.Error) *errkind.Error {
 	if ctx.Err() != nil {
-		return fl.ended(ctx)
+		return fl.contextRefusal(ctx)
 	}
 	if fl.sends >= maxSends {
-		return last
+		return lastRefusal
 	}
 	if fl.sends > 0 && fl.timeLeft() < minTimeLeft {
-		return last
+		return lastRefusal
 	}
 	return nil
 }
 
 // ended says why a request's context ended.
-func (fl *flow) ended(ctx context.Context) *errkind.Error {
+func (fl *flow) contextRefusal(ctx context.Context) *errkind.Error {
 	if fl.r.Context().Err() != nil {
 		return errkind.New(errkind.Cancelled, "the caller has gone")
 	}
 	if fl.runs == 0 {
-		return errkind.After(errkind.DeadlineUnmeetable, retryPause, "%v", context.Cause(ctx))
+		return errkind.After(errkind.DeadlineUnmeetable, busyRetryAfter, "%v", context.Cause(ctx))
 	}
 	return errkind.New(errkind.TimedOut, "%v", context.Cause(ctx))
 }
 
 // worse returns what the caller is told when a further send is not possible. A
 // request that may have run is not called "not run" by the later refusal.
-func (fl *flow) worse(last, refusal *errkind.Error) *errkind.Error {
-	if last != nil && fl.runs > 0 {
-		return last
+func (fl *flow) finalRefusal(lastRefusal, refusal *errkind.Error) *errkind.Error {
+	if lastRefusal != nil && fl.runs > 0 {
+		return lastRefusal
 	}
 	return refusal
 }
 
 // goesOn reports whether a request that failed at one target is sent to
 // another.
-func (fl *flow) goesOn(v verdict) bool {
-	if fl.begun && !(fl.route.Resumable && fl.lastEvent != "") {
+func (fl *flow) mayRetry(result sendResult) bool {
+	if fl.responseStarted && !(fl.route.Resumable && fl.lastEvent != "") {
 		return false // a new run would begin the stream again
 	}
-	return v.notRun || fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts
+	return result.notRun || fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts
 }
 
 // comeBack spreads a time to come back by half, so that callers who were
 // refused together do not return together.
-func (fl *flow) comeBack(d time.Duration) time.Duration {
+func (fl *flow) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + fl.uniform()/2))
 }
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -20,8 +20,8 @@
 func TestLostAnswerOfACallThatRunsOnceIsNotRepeated(t *testing.T) {
 	broken := func(w io.Writer, r *http.Request, body string) bool { return false }
 	a, b := startTarget(t, "a", broken), startTarget(t, "b", broken)
-	w := startWorld(t, a, b)
-	resp, _, err := w.ask(t, "/once/x", "file")
+	env := newTestEnv(t, a, b)
+	resp, _, err := env.post(t, "/once/x", "file")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,18 +36,18 @@
 // The first target is full and says that it did not run the call. Another one
 // takes it; the caller sees one answer.
 func TestRefusedCallGoesToAnotherTarget(t *testing.T) {
-	var a, b *target
-	refuseFirst := func(self **target) func(io.Writer, *http.Request, string) bool {
+	var a, b *fakeTarget
+	refuseFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			if a.runs.Load()+b.runs.Load() == 1 {
-				return (*self).refused(w, r, http.StatusServiceUnavailable)
+				return (*self).writeNotRun(w, r, http.StatusServiceUnavailable)
 			}
-			return (*self).whole(w, r, http.StatusOK, "filed")
+			return (*self).writeSealed(w, r, http.StatusOK, "filed")
 		}
 	}
 	a, b = startTarget(t, "a", refuseFirst(&a)), startTarget(t, "b", refuseFirst(&b))
-	w := startWorld(t, a, b)
-	resp, body, err := w.ask(t, "/once/x", "file")
+	env := newTestEnv(t, a, b)
+	resp, body, err := env.post(t, "/once/x", "file")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "filed" {
 		t.Fatalf("status %v, body %q, error %v", resp, body, err)
 	}
@@ -59,20 +59,20 @@
 // All targets are full. The caller reads that the call did not run, and when to
 // come back; nothing is held until the deadline.
 func TestFullTargetsAreToldAtOnce(t *testing.T) {
-	var a *target
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		return a.refused(w, r, http.StatusServiceUnavailable)
+		return a.writeNotRun(w, r, http.StatusServiceUnavailable)
 	})
-	w := startWorld(t, a)
-	began := time.Now()
-	resp, _, err := w.ask(t, "/once/x", "file", wiretest.TimeLeft, "30s")
+	env := newTestEnv(t, a)
+	start := time.Now()
+	resp, _, err := env.post(t, "/once/x", "file", wiretest.TimeLeft, "30s")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusTooManyRequests && resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	if took := time.Since(began); took > time.Second {
+	if took := time.Since(start); took > time.Second {
 		t.Errorf("held for %v", took)
 	}
 }
@@ -80,18 +80,18 @@
 // A target answers a question with an error of its own, which may be a passing
 // one. A question may be asked again; the caller gets the good answer.
 func TestFailedQuestionIsAskedElsewhere(t *testing.T) {
-	var a, b *target
-	failFirst := func(self **target) func(io.Writer, *http.Request, string) bool {
+	var a, b *fakeTarget
+	failFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			if a.runs.Load()+b.runs.Load() == 1 {
-				return (*self).whole(w, r, http.StatusInternalServerError, "failed")
+				return (*self).writeSealed(w, r, http.StatusInternalServerError, "failed")
 			}
-			return (*self).whole(w, r, http.StatusOK, "fine")
+			return (*self).writeSealed(w, r, http.StatusOK, "fine")
 		}
 	}
 	a, b = startTarget(t, "a", failFirst(&a)), startTarget(t, "b", failFirst(&b))
-	w := startWorld(t, a, b)
-	resp, body, err := w.ask(t, "/again/x", "")
+	env := newTestEnv(t, a, b)
+	resp, body, err := env.post(t, "/again/x", "")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "fine" {
 		t.Fatalf("status %v, body %q, error %v", resp, body, err)
 	}
@@ -100,12 +100,12 @@
 // The last target that may be tried fails. Its own answer is passed on as it
 // is, with its seal: an own failure with its seal would be a forgery.
 func TestLastFailureIsTheTargetsOwn(t *testing.T) {
-	var a *target
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		return a.whole(w, r, http.StatusInternalServerError, "broken")
+		return a.writeSealed(w, r, http.StatusInternalServerError, "broken")
 	})
-	w := startWorld(t, a)
-	resp, body, err := w.ask(t, "/once/x", "")
+	env := newTestEnv(t, a)
+	resp, body, err := env.post(t, "/once/x", "")
 	if err != nil || resp.StatusCode != http.StatusInternalServerError || body != "broken" || resp.Header.Get(wiretest.Seal) != "by-a" {
 		t.Fatalf("response %v, body %q, error %v", resp, body, err)
 	}
@@ -140,8 +140,8 @@
 	for name, answer := range spoiled {
 		t.Run(name, func(t *testing.T) {
 			a := startTarget(t, "a", answer)
-			w := startWorld(t, a)
-			resp, body, err := w.ask(t, "/once/x", "")
+			env := newTestEnv(t, a)
+			resp, body, err := env.post(t, "/once/x", "")
 			if err != nil || resp.StatusCode != http.StatusBadGateway {
 				t.Errorf("response %v, body %q, error %v", resp, body, err)
 			}
@@ -152,16 +152,16 @@
 // A target sends a second answer to a request, late: it lies on the kept
 // connection when the next request comes. Each caller gets its own answer.
 func TestLateSecondAnswerReachesNobody(t *testing.T) {
-	var a *target
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		if a.runs.Load() == 2 {
 			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: r1\r\n%s: by-a\r\nContent-Length: 5\r\n\r\nagain", wiretest.ID, wiretest.Seal)
 		}
-		return a.whole(w, r, http.StatusOK, "for "+r.Header.Get(wiretest.ID))
+		return a.writeSealed(w, r, http.StatusOK, "for "+r.Header.Get(wiretest.ID))
 	})
-	w := startWorld(t, a)
+	env := newTestEnv(t, a)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		resp, body, err := w.ask(t, "/once/x", "", wiretest.ID, id)
+		resp, body, err := env.post(t, "/once/x", "", wiretest.ID, id)
 		if err != nil || resp.StatusCode != http.StatusOK || body != "for "+id {
 			t.Errorf("%s: response %v, body %q, error %v", id, resp, body, err)
 		}
@@ -175,8 +175,8 @@
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\n\r\nunframed", wiretest.ID, r.Header.Get(wiretest.ID), wiretest.Seal)
 		return false
 	})
-	w := startWorld(t, a)
-	resp, body, err := w.ask(t, "/once/x", "")
+	env := newTestEnv(t, a)
+	resp, body, err := env.post(t, "/once/x", "")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "unframed" {
 		t.Errorf("response %v, body %q, error %v", resp, body, err)
 	}
@@ -186,26 +186,26 @@
 // goes on at another engine after the last whole event, and the reader sees
 // each event once and in order, under the first engine's head.
 func TestStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
-	var a, b *target
-	serve := func(self **target) func(io.Writer, *http.Request, string) bool {
+	var a, b *fakeTarget
+	serve := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
-			(*self).streamHead(w, r)
+			(*self).writeStreamHead(w, r)
 			if last := r.Header.Get(wiretest.LastEvent); last != "" {
 				if last != "2" {
 					t.Errorf("the rest was asked for after event %s", last)
 				}
-				chunk(w, event(3)+event(4))
+				writeChunk(w, event(3)+event(4))
 				io.WriteString(w, "0\r\n\r\n")
 				return true
 			}
-			chunk(w, event(1))
-			chunk(w, event(2)+"id: 3\ndata: pie")
+			writeChunk(w, event(1))
+			writeChunk(w, event(2)+"id: 3\ndata: pie")
 			return false
 		}
 	}
 	a, b = startTarget(t, "a", serve(&a)), startTarget(t, "b", serve(&b))
-	w := startWorld(t, a, b)
-	resp, body, err := w.ask(t, "/resume/x", "")
+	env := newTestEnv(t, a, b)
+	resp, body, err := env.post(t, "/resume/x", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,17 +223,17 @@
 // The same on a route that may not be resumed: the rest is not asked for, and
 // the answer does not look complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
-	var a, b *target
-	serve := func(self **target) func(io.Writer, *http.Request, string) bool {
+	var a, b *fakeTarget
+	serve := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
-			(*self).streamHead(w, r)
-			chunk(w, event(1))
+			(*self).writeStreamHead(w, r)
+			writeChunk(w, event(1))
 			return false
 		}
 	}
 	a, b = startTarget(t, "a", serve(&a)), startTarget(t, "b", serve(&b))
-	w := startWorld(t, a, b)
-	_, body, err := w.ask(t, "/stream/x", "")
+	env := newTestEnv(t, a, b)
+	_, body, err := env.post(t, "/stream/x", "")
 	if err == nil {
 		t.Errorf("the answer looks complete: %q", body)
 	}
@@ -245,17 +245,17 @@
 // Events reach the caller as they come, not at the stream's end.
 func TestEventsArePassedOnAsTheyCome(t *testing.T) {
 	proceed := make(chan struct{})
-	var a *target
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		a.streamHead(w, r)
-		chunk(w, event(1))
+		a.writeStreamHead(w, r)
+		writeChunk(w, event(1))
 		<-proceed
-		chunk(w, event(2))
+		writeChunk(w, event(2))
 		io.WriteString(w, "0\r\n\r\n")
 		return true
 	})
-	w := startWorld(t, a)
-	req, _ := http.NewRequest(http.MethodPost, w.server.URL+"/stream/x", nil)
+	env := newTestEnv(t, a)
+	req, _ := http.NewRequest(http.MethodPost, env.server.URL+"/stream/x", nil)
 	req.Host = host
 	req.Header.Set(wiretest.ID, "r1")
 	req.Header.Set(wiretest.Key, "town-key")
@@ -279,9 +279,9 @@
 // The caller goes away in the middle of a stream. The engine must not work on:
 // its connection is closed.
 func TestCallerThatLeavesEndsTheWork(t *testing.T) {
-	var a *target
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		a.streamHead(w, r)
+		a.writeStreamHead(w, r)
 		for n := 1; ; n++ {
 			if _, err := io.WriteString(w, fmt.Sprintf("%x\r\n%s\r\n", len(event(n)), event(n))); err != nil {
 				return false
@@ -293,9 +293,9 @@
 			}
 		}
 	})
-	w := startWorld(t, a)
+	env := newTestEnv(t, a)
 	ctx, leave := context.WithCancel(t.Context())
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, w.server.URL+"/stream/x", nil)
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, env.server.URL+"/stream/x", nil)
 	req.Host = host
 	req.Header.Set(wiretest.ID, "r1")
 	req.Header.Set(wiretest.Key, "town-key")
@@ -308,8 +308,8 @@
 	_, _ = io.ReadFull(resp.Body, first)
 	leave()
 	resp.Body.Close()
-	waitFor(t, "the forwarder has let go of the request", func() bool { return w.InFlight() == 0 })
-	if got := w.Ledger.Own(time.Now()); len(got) != 0 {
+	waitFor(t, "the forwarder has let go of the request", func() bool { return env.InFlight() == 0 })
+	if got := env.Ledger.Own(time.Now()); len(got) != 0 {
 		t.Errorf("work is still counted: %v", got)
 	}
 }
@@ -320,13 +320,13 @@
 	release := make(chan struct{})
 	a := startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool { <-release; return false })
 	defer close(release)
-	w := startWorld(t, a)
-	began := time.Now()
-	resp, _, err := w.ask(t, "/once/x", "file", wiretest.TimeLeft, "150ms")
+	env := newTestEnv(t, a)
+	start := time.Now()
+	resp, _, err := env.post(t, "/once/x", "file", wiretest.TimeLeft, "150ms")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); resp.StatusCode != http.StatusGatewayTimeout || took > 600*time.Millisecond {
+	if took := time.Since(start); resp.StatusCode != http.StatusGatewayTimeout || took > 600*time.Millisecond {
 		t.Errorf("status %d after %v", resp.StatusCode, took)
 	}
 }
@@ -335,20 +335,20 @@
 // is time.
 func TestQuestionThatHangsIsAskedElsewhere(t *testing.T) {
 	release := make(chan struct{})
-	var a, b *target
-	hangFirst := func(self **target) func(io.Writer, *http.Request, string) bool {
+	var a, b *fakeTarget
+	hangFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			if a.runs.Load()+b.runs.Load() == 1 {
 				<-release
 				return false
 			}
-			return (*self).whole(w, r, http.StatusOK, "fine")
+			return (*self).writeSealed(w, r, http.StatusOK, "fine")
 		}
 	}
 	a, b = startTarget(t, "a", hangFirst(&a)), startTarget(t, "b", hangFirst(&b))
 	defer close(release)
-	w := startWorld(t, a, b)
-	resp, body, err := w.ask(t, "/again/x", "", wiretest.TimeLeft, "600ms")
+	env := newTestEnv(t, a, b)
+	resp, body, err := env.post(t, "/again/x", "", wiretest.TimeLeft, "600ms")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "fine" {
 		t.Errorf("response %v, body %q, error %v", resp, body, err)
 	}
@@ -357,15 +357,15 @@
 // A long body is refused by an engine before it is in. The rest of the body
 // must not be read as the next request: the connection is not used again.
 func TestEarlyAnswerToALongBodyEndsItsConnection(t *testing.T) {
-	var a *target
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		return a.whole(w, r, http.StatusOK, fmt.Sprint(len(body)))
+		return a.writeSealed(w, r, http.StatusOK, fmt.Sprint(len(body)))
 	})
-	early := startEarlyTarget(t)
-	w := startWorld(t, a)
-	w.view.Targets["plain"][0].Address = early.address
+	early := startEarlyResponder(t)
+	env := newTestEnv(t, a)
+	env.view.Targets["plain"][0].Address = early.address
 	long := strings.Repeat("x", 1<<19)
-	resp, _, err := w.ask(t, "/once/x", long)
+	resp, _, err := env.post(t, "/once/x", long)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -373,9 +373,9 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	for range 3 {
-		_, _, _ = w.ask(t, "/once/x", "next")
+		_, _, _ = env.post(t, "/once/x", "next")
 	}
-	if n := early.mixed.Load(); n != 0 {
+	if n := early.misread.Load(); n != 0 {
 		t.Errorf("%d requests came where the rest of a body was due", n)
 	}
 }
@@ -383,9 +383,9 @@
 // Requests without a route, without a key, with a wrong key or too large a body
 // are refused with what is wrong, and reach no target.
 func TestRefusalsBeforeASend(t *testing.T) {
-	var a *target
-	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool { return a.whole(w, r, http.StatusOK, "") })
-	w := startWorld(t, a)
+	var a *fakeTarget
+	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool { return a.writeSealed(w, r, http.StatusOK, "") })
+	env := newTestEnv(t, a)
 	cases := []struct {
 		name, path, body, key string
 		status                int
@@ -397,7 +397,7 @@
 		{"too large", "/once/x", strings.Repeat("x", 1<<20+1), "town-key", http.StatusRequestEntityTooLarge},
 	}
 	for _, c := range cases {
-		resp, _, err := w.ask(t, c.path, c.body, wiretest.Key, c.key)
+		resp, _, err := env.post(t, c.path, c.body, wiretest.Key, c.key)
 		if err != nil || resp.StatusCode != c.status {
 			t.Errorf("%s: response %v, error %v, want status %d", c.name, resp, err, c.status)
 		}
@@ -405,7 +405,7 @@
 	if a.runs.Load() != 0 {
 		t.Errorf("%d requests reached the target", a.runs.Load())
 	}
-	if resp, _, err := w.ask(t, "/public/x", "", wiretest.Key, ""); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, _, err := env.post(t, "/public/x", "", wiretest.Key, ""); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("public route: response %v, error %v", resp, err)
 	}
 }
@@ -427,10 +427,10 @@
 // comes at once, and sends the caller to another entry.
 func TestEntryThatIsCutOffRefusesAtOnce(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
-	w := startWorld(t, tg)
-	w.Reach.Heard(time.Now().Add(-time.Second))
-	w.Reach.Failed(time.Now())
-	resp, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
+	env := newTestEnv(t, tg)
+	env.Reach.Heard(time.Now().Add(-time.Second))
+	env.Reach.Failed(time.Now())
+	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -449,15 +449,15 @@
 // stream was cut off in the middle. What will have ended in time is still served:
 // other entries may be stopping too.
 func TestStoppingEntryTakesOnlyWhatWillEnd(t *testing.T) {
-	var tg *target
-	tg = startTarget(t, "i1", func(w io.Writer, r *http.Request, _ string) bool { return tg.whole(w, r, 200, "answer") })
-	w := startWorld(t, tg)
-	w.view.Stopping, w.view.PicksFrom, w.view.EndsAt = true, time.Now(), time.Now().Add(time.Second)
-	resp, body, err := w.ask(t, "/again/x", "")
+	var tg *fakeTarget
+	tg = startTarget(t, "i1", func(w io.Writer, r *http.Request, _ string) bool { return tg.writeSealed(w, r, 200, "answer") })
+	env := newTestEnv(t, tg)
+	env.view.Stopping, env.view.PicksFrom, env.view.EndsAt = true, time.Now(), time.Now().Add(time.Second)
+	resp, body, err := env.post(t, "/again/x", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "stopping") {
 		t.Errorf("a request of two seconds: %v %s %v", resp, body, err)
 	}
-	resp, body, err = w.ask(t, "/again/x", "", wiretest.TimeLeft, "300ms")
+	resp, body, err = env.post(t, "/again/x", "", wiretest.TimeLeft, "300ms")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "answer" || !resp.Close {
 		t.Errorf("a request of 0.3 seconds: %v %s %v", resp, body, err)
 	}
@@ -468,11 +468,11 @@
 // away. It is refused at once, with the time to come back.
 func TestPromptWhoseCallerWouldLeaveIsRefused(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
-	w := startWorld(t, tg)
-	w.view.Estate.Match(host, "/prompt/").Patience = 300 * time.Millisecond
-	busy := w.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Reading: ledger.Lane(0, 2*time.Second)}, time.Hour, time.Now())
+	env := newTestEnv(t, tg)
+	env.view.Estate.Match(host, "/prompt/").Patience = 300 * time.Millisecond
+	busy := env.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Reading: ledger.Lane(0, 2*time.Second)}, time.Hour, time.Now())
 	defer busy.End()
-	resp, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
+	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "deadline_unmeetable") || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("%v %s %v", resp, body, err)
 	}
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -58,33 +58,33 @@
 func (noObserver) Probation(*quarantine.Record)      {}
 
 // target is a target whose answers a test writes byte by byte.
-type target struct {
+type fakeTarget struct {
 	listener net.Listener
 	instance string
 	// answer writes to the connection what comes for a request, and reports
 	// whether the connection stays open.
-	answer func(w io.Writer, r *http.Request, body string) bool
+	handle func(w io.Writer, r *http.Request, body string) bool
 	// runs counts the requests that reached answer.
 	runs atomic.Int32
 	// gone counts connections that the other end closed.
-	gone  atomic.Int32
-	tasks sync.WaitGroup
+	disconnects atomic.Int32
+	tasks       sync.WaitGroup
 }
 
-func startTarget(t *testing.T, instance string, answer func(w io.Writer, r *http.Request, body string) bool) *target {
+func startTarget(t *testing.T, instance string, handle func(w io.Writer, r *http.Request, body string) bool) *fakeTarget {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tg := &target{listener: listener, instance: instance, answer: answer}
+	tg := &fakeTarget{listener: listener, instance: instance, handle: handle}
 	tg.tasks.Add(1)
 	go tg.accept()
 	t.Cleanup(func() { listener.Close(); tg.tasks.Wait() })
 	return tg
 }
 
-func (tg *target) accept() {
+func (tg *fakeTarget) accept() {
 	defer tg.tasks.Done()
 	for {
 		c, err := tg.listener.Accept()
@@ -96,14 +96,14 @@
 	}
 }
 
-func (tg *target) serve(c net.Conn) {
+func (tg *fakeTarget) serve(c net.Conn) {
 	defer tg.tasks.Done()
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(reader)
 		if err != nil {
-			tg.gone.Add(1)
+			tg.disconnects.Add(1)
 			return
 		}
 		body, err := io.ReadAll(r.Body)
@@ -111,37 +111,37 @@
 			return
 		}
 		tg.runs.Add(1)
-		if !tg.answer(c, r, string(body)) {
+		if !tg.handle(c, r, string(body)) {
 			return
 		}
 	}
 }
 
 // whole writes a sealed answer.
-func (tg *target) whole(w io.Writer, r *http.Request, status int, body string) bool {
+func (tg *fakeTarget) writeSealed(w io.Writer, r *http.Request, status int, body string) bool {
 	fmt.Fprintf(w, "HTTP/1.1 %d X\r\n%s: %s\r\n%s: by-%s\r\nContent-Length: %d\r\n\r\n%s",
 		status, wiretest.ID, r.Header.Get(wiretest.ID), wiretest.Seal, tg.instance, len(body), body)
 	return true
 }
 
 // refused writes that the request was not run.
-func (tg *target) refused(w io.Writer, r *http.Request, status int) bool {
+func (tg *fakeTarget) writeNotRun(w io.Writer, r *http.Request, status int) bool {
 	fmt.Fprintf(w, "HTTP/1.1 %d X\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", status, wiretest.ID, r.Header.Get(wiretest.ID), wiretest.NotRun)
 	return true
 }
 
 // streamHead begins a sealed stream.
-func (tg *target) streamHead(w io.Writer, r *http.Request) {
+func (tg *fakeTarget) writeStreamHead(w io.Writer, r *http.Request) {
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: by-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		wiretest.ID, r.Header.Get(wiretest.ID), wiretest.Seal, tg.instance)
 }
 
-func chunk(w io.Writer, text string) { fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text) }
+func writeChunk(w io.Writer, text string) { fmt.Fprintf(w, "%x\r\n%s\r\n", len(text), text) }
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: piece-%d\n\n", n, n) }
 
 // world is a forwarder with its surroundings.
-type world struct {
+type testEnv struct {
 	*Forwarder
 	view   *view.View
 	server *httptest.Server
@@ -155,7 +155,7 @@
 
 // startWorld serves four routes over the given targets: /once/ runs at most
 // once, /again/ may be repeated, /stream/ may not be resumed, /resume/ may.
-func startWorld(t *testing.T, targets ...*target) *world {
+func newTestEnv(t *testing.T, targets ...*fakeTarget) *testEnv {
 	t.Helper()
 	routes := []estate.Route{
 		{Name: "once", Host: host, PathPrefix: "/once/", Kind: estate.NonIdempotent, Timeout: 2 * time.Second, MaxAttempts: 1},
@@ -181,33 +181,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{view: &view.View{Estate: e, Targets: map[string][]fleet.Target{}, Entries: 1}}
+	env := &testEnv{view: &view.View{Estate: e, Targets: map[string][]fleet.Target{}, Entries: 1}}
 	directory := fleet.NewDirectory()
 	for _, tg := range targets {
 		address := netip.MustParseAddrPort(tg.listener.Addr().String())
 		directory.List(fleet.Listing{Life: fleet.Life{Instance: tg.instance}, Service: "plain", Address: address, Zone: "a", Slots: 4}, 1, time.Now())
 		directory.List(fleet.Listing{Life: fleet.Life{Instance: tg.instance + "-engine"}, Service: "engines", Address: address, Zone: "a", Slots: 4, Weights: map[string]int64{model: 3}}, 1, time.Now())
 	}
-	w.view.Targets = directory.Targets(func(string) bool { return true }, time.Now(), fleet.Following{})
-	w.view.Wanted = map[string]weights.History{}
-	w.pool = upstream.NewPool(func() {})
-	w.Forwarder = New(Deps{
-		Protocol: wiretest.Protocol{}, View: func() (*view.View, bool) { return w.view, true }, Pool: w.pool,
+	env.view.Targets = directory.Targets(func(string) bool { return true }, time.Now(), fleet.Following{})
+	env.view.Wanted = map[string]weights.History{}
+	env.pool = upstream.NewPool(func() {})
+	env.Forwarder = New(Deps{
+		Protocol: wiretest.Protocol{}, View: func() (*view.View, bool) { return env.view, true }, Pool: env.pool,
 		Ledger: ledger.New(), Parts: parts.NewBook(), Health: health.NewBook(nil), Reach: &reach.Book{},
 		Quarantine:    quarantine.NewBook(quarantine.Limits{Ends: 3, SuspectFor: time.Hour, HoldFor: time.Hour, Records: 100}, noObserver{}),
-		CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return w.pool.Refuses(ctx, t.Address) }),
+		CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return env.pool.Refuses(ctx, t.Address) }),
 		Bounds:        Bounds{RetryRatio: 0.5, RetrySlack: 100, MaxStaleness: 5 * time.Second}, Zone: "a",
 		Logger: logr.Discard(), RoutineLogger: logr.Discard(), Metrics: noMetrics{}, AnnounceWork: func(fleet.ID) {}, Now: time.Now, Seed: 1,
 	})
-	w.server = httptest.NewServer(w.Forwarder)
-	t.Cleanup(func() { w.server.Close(); w.pool.CloseIdle() })
-	return w
+	env.server = httptest.NewServer(env.Forwarder)
+	t.Cleanup(func() { env.server.Close(); env.pool.CloseIdle() })
+	return env
 }
 
 // ask sends a request and returns status, body and the error of reading it.
-func (w *world) ask(t *testing.T, path, body string, header ...string) (*http.Response, string, error) {
+func (env *testEnv) post(t *testing.T, path, body string, header ...string) (*http.Response, string, error) {
 	t.Helper()
-	req, err := http.NewRequest(http.MethodPost, w.server.URL+path, strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, env.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/forward/limited_test.go
+++ b/internal/gateway/forward/limited_test.go
@@ -16,48 +16,48 @@
 
 // fixedLimits admit or refuse everything, and count what is asked of them.
 type fixedLimits struct {
-	mu                      sync.Mutex
-	refuse                  bool
-	asked, returned, charge float64
+	mu                          sync.Mutex
+	refuse                      bool
+	admitted, refunded, charged float64
 }
 
 func (l *fixedLimits) Admit(_ context.Context, r ratelimit.Request) ratelimit.Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked += r.Cost
+	l.admitted += r.Cost
 	return ratelimit.Decision{Admitted: !l.refuse, Source: ratelimit.Coordinated, RetryAfter: 200 * time.Millisecond}
 }
 
 func (l *fixedLimits) GiveBack(r ratelimit.Request, _ ratelimit.Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.returned += r.Cost
+	l.refunded += r.Cost
 }
 
 func (l *fixedLimits) Charge(r ratelimit.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.charge += r.Cost
+	l.charged += r.Cost
 }
 
 // startLimited serves targets to the workspace "town", which has a limit of one thousand
 // tokens a second and counts 200 for a request that states no size.
-func startLimited(t *testing.T, limits *fixedLimits, targets ...*target) *world {
-	w := startWorld(t, targets...)
-	w.Limits = limits
-	w.view.Estate.Workspace("town").Rate = ratelimit.Terms{Limit: ratelimit.Limit{PerSecond: 1000, Burst: 1000}, Unit: ratelimit.Tokens, Unstated: 200}
-	return w
+func newLimitedEnv(t *testing.T, limits *fixedLimits, targets ...*fakeTarget) *testEnv {
+	env := newTestEnv(t, targets...)
+	env.Limits = limits
+	env.view.Estate.Workspace("town").Rate = ratelimit.Terms{Limit: ratelimit.Limit{PerSecond: 1000, Burst: 1000}, Unit: ratelimit.Tokens, Unstated: 200}
+	return env
 }
 
 // A workspace has used up its limit. Its caller is told so with 429 and when to come back,
 // before the body has come in, and no target sees the request. Another workspace is served.
 func TestBeyondTheLimitIsRefusedBeforeTheBody(t *testing.T) {
 	tg := startTarget(t, "t", nil)
-	tg.answer = func(w io.Writer, r *http.Request, _ string) bool { return tg.whole(w, r, http.StatusOK, "fine") }
-	w := startLimited(t, &fixedLimits{refuse: true}, tg)
+	tg.handle = func(w io.Writer, r *http.Request, _ string) bool { return tg.writeSealed(w, r, http.StatusOK, "fine") }
+	env := newLimitedEnv(t, &fixedLimits{refuse: true}, tg)
 	body, feed := io.Pipe()
 	defer feed.Close()
-	req, err := http.NewRequest(http.MethodPost, w.server.URL+"/again/x", body)
+	req, err := http.NewRequest(http.MethodPost, env.server.URL+"/again/x", body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	if n := tg.runs.Load(); n != 0 {
 		t.Errorf("%d runs", n)
 	}
-	if resp, _, err := w.ask(t, "/again/x", "body", wiretest.Key, "fort-key"); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, _, err := env.post(t, "/again/x", "body", wiretest.Key, "fort-key"); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("another workspace: %v, %v", resp, err)
 	}
 }
@@ -83,50 +83,50 @@
 // What a request takes of the limit depends on what becomes of it: nothing where no target
 // ran it, and once more for each run after the first.
 func TestWhatARequestTakesOfTheLimit(t *testing.T) {
-	failing := func(n int) func(tg *target) func(io.Writer, *http.Request, string) bool {
-		return func(tg *target) func(io.Writer, *http.Request, string) bool {
+	failing := func(n int) func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool {
+		return func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool {
 			return func(w io.Writer, r *http.Request, _ string) bool {
 				if int(tg.runs.Load()) <= n {
 					return false
 				}
-				return tg.whole(w, r, http.StatusOK, "fine")
+				return tg.writeSealed(w, r, http.StatusOK, "fine")
 			}
 		}
 	}
 	for name, c := range map[string]struct {
-		answer   func(tg *target) func(io.Writer, *http.Request, string) bool
+		answer   func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool
 		used     float64
 		leaving  bool
 		expected int
 	}{
 		"served":    {answer: failing(0), used: 200, expected: http.StatusOK},
 		"no target": {answer: failing(0), leaving: true, used: 0, expected: http.StatusServiceUnavailable},
-		"refused by targets": {answer: func(tg *target) func(io.Writer, *http.Request, string) bool {
-			return func(w io.Writer, r *http.Request, _ string) bool { return tg.refused(w, r, 503) }
+		"refused by targets": {answer: func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool {
+			return func(w io.Writer, r *http.Request, _ string) bool { return tg.writeNotRun(w, r, 503) }
 		}, used: 0, expected: http.StatusServiceUnavailable},
 		"broken off and done": {answer: failing(1), used: 400, expected: http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, second := startTarget(t, "t1", nil), startTarget(t, "t2", nil)
-			first.answer, second.answer = c.answer(first), failing(0)(second)
+			first.handle, second.handle = c.answer(first), failing(0)(second)
 			if name == "refused by targets" {
-				second.answer = c.answer(second)
+				second.handle = c.answer(second)
 			}
 			limits := &fixedLimits{}
-			w := startLimited(t, limits, first, second)
-			for _, list := range w.view.Targets {
+			env := newLimitedEnv(t, limits, first, second)
+			for _, list := range env.view.Targets {
 				for i := range list {
 					list[i].Leaving = c.leaving
 				}
 			}
 			// Either target may be chosen first: where the failing one is not, there is one run.
-			resp, body, err := w.ask(t, "/again/x", "body")
+			resp, body, err := env.post(t, "/again/x", "body")
 			if err != nil || resp.StatusCode != c.expected {
 				t.Fatalf("%v, %q, %v", resp, body, err)
 			}
 			limits.mu.Lock()
 			defer limits.mu.Unlock()
-			used := limits.asked - limits.returned + limits.charge
+			used := limits.admitted - limits.refunded + limits.charged
 			if want := c.used; used != want && !(name == "broken off and done" && first.runs.Load() == 0 && used == 200) {
 				t.Errorf("%.0f tokens used, %.0f expected", used, want)
 			}
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -21,36 +21,36 @@
 	// placePause is the wait before another look when no target may take a
 	// request now, and maxPlaceWait the bound of all such waits: loads of weights
 	// end, and targets are listed, within some hundred milliseconds.
-	placePause   = 10 * time.Millisecond
-	maxPlaceWait = 400 * time.Millisecond
+	placeInterval = 10 * time.Millisecond
+	maxPlaceWait  = 400 * time.Millisecond
 	// probePause is the same where each look asks sidecars.
-	probePause = 25 * time.Millisecond
+	probeInterval = 25 * time.Millisecond
 	// waitShare is the most that is waited so, of the time left: a caller who is
 	// refused needs the rest to come back.
-	waitShare = 0.25
+	placeWaitShare = 0.25
 )
 
 // place chooses the target of the next send.
 func (fl *flow) place(ctx context.Context) (*destination, *errkind.Error) {
-	began := time.Now()
+	start := time.Now()
 	for {
 		v, ok := fl.View()
 		if ok {
 			fl.view = v
 		}
-		to, refusal := fl.chooseForStanding(ctx)
-		if refusal != nil && (refusal.Kind != errkind.NoTarget || time.Since(began) > fl.placeWait()) {
+		dst, refusal := fl.chooseForStatus(ctx)
+		if refusal != nil && (refusal.Kind != errkind.NoTarget || time.Since(start) > fl.placeWait()) {
 			return nil, refusal
 		}
-		if refusal == nil && (to.trial || !fl.awaitsParts(to)) {
-			return to, nil
+		if refusal == nil && (dst.probation || !fl.shouldAwaitParts(dst)) {
+			return dst, nil
 		}
-		pause := placePause
-		if to != nil && to.probed {
-			pause = probePause
+		interval := placeInterval
+		if dst != nil && dst.probed {
+			interval = probeInterval
 		}
-		if !sleep.For(ctx, pause) {
-			return nil, fl.ended(ctx)
+		if !sleep.For(ctx, interval) {
+			return nil, fl.contextRefusal(ctx)
 		}
 	}
 }
@@ -59,50 +59,50 @@
 // finds no room is told soon to come back: it waits no longer than its caller would not
 // notice.
 func (fl *flow) placeWait() time.Duration {
-	if v := fl.standing.Verdict; v == quarantine.Alone || v == quarantine.Held {
-		return min(aloneWait, time.Duration(aloneShare*float64(fl.timeLeft())))
+	if v := fl.quarantineStatus.Verdict; v == quarantine.Alone || v == quarantine.Held {
+		return min(probationWait, time.Duration(probationWaitShare*float64(fl.timeLeft())))
 	}
-	wait := min(maxPlaceWait, time.Duration(waitShare*float64(fl.timeLeft())))
+	wait := min(maxPlaceWait, time.Duration(placeWaitShare*float64(fl.timeLeft())))
 	if fl.view.Large && fl.route.Prompted && fl.route.TargetLatency > 0 {
-		wait = min(wait, time.Duration(unnoticedShare*float64(fl.route.TargetLatency)))
+		wait = min(wait, time.Duration(unnoticedWaitShare*float64(fl.route.TargetLatency)))
 	}
 	return wait
 }
 
 const (
 	// unnoticedShare is the part of the objective that callers do not notice.
-	unnoticedShare = 0.125
+	unnoticedWaitShare = 0.125
 	// partsPatience is the most that a prompt waits for a part that another
 	// request reads, and partsShare the most of the time within which its first
 	// event is of full use. Reading 5,000 tokens takes an engine about a tenth of
 	// a second.
-	partsPatience = 250 * time.Millisecond
-	partsShare    = 0.4
+	maxPartsWait      = 250 * time.Millisecond
+	maxPartsWaitShare = 0.4
 )
 
 // awaitsParts reports whether the prompt should wait for a part that another
 // request reads now. Two prompts that share a part and come within the time that
 // it takes to read it would both read it, at one engine as well as at two.
-func (fl *flow) awaitsParts(to *destination) bool {
+func (fl *flow) shouldAwaitParts(dst *destination) bool {
 	waited := time.Since(fl.arrived)
-	if to.probed && !to.coming {
+	if dst.probed && !dst.inProgress {
 		return false
 	}
-	if len(to.keys) == 0 || waited > partsPatience || waited > time.Duration(partsShare*float64(fl.route.TargetLatency)) {
+	if len(dst.partKeys) == 0 || waited > maxPartsWait || waited > time.Duration(maxPartsWaitShare*float64(fl.route.TargetLatency)) {
 		return false
 	}
-	if to.probed {
+	if dst.probed {
 		return true
 	}
 	now := fl.Now()
-	for i, k := range to.keys {
-		held, coming := false, false
+	for i, k := range dst.partKeys {
+		cached, inProgress := false, false
 		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
-			held = held || s == parts.Held
-			coming = coming || s == parts.Coming
+			cached = cached || s == parts.Held
+			inProgress = inProgress || s == parts.Coming
 		})
-		if !held {
-			return coming
+		if !cached {
+			return inProgress
 		}
 	}
 	return false
@@ -110,7 +110,7 @@
 
 func (fl *flow) choose(ctx context.Context) (*destination, *errkind.Error) {
 	if fl.service.Engine != nil && fl.Reach.CutOff(fl.Now()) {
-		return nil, errkind.After(errkind.CutOff, fl.comeBack(elsewherePause), "no engine and no sidecar was heard lately")
+		return nil, errkind.After(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine and no sidecar was heard lately")
 	}
 	if fl.service.Engine != nil && fl.route.Prompted {
 		return fl.chooseEngine(ctx)
@@ -122,7 +122,7 @@
 // availability zone with the least work, else the least loaded elsewhere.
 func (fl *flow) choosePlain() (*destination, *errkind.Error) {
 	totals := fl.Ledger.Totals(fl.Now())
-	rested := fl.Health.Rested(fl.Now())
+	ejected := fl.Health.Rested(fl.Now())
 	best, lowest := -1, math.Inf(1)
 	targets := fl.view.Targets[fl.service.Name]
 	for i := range targets {
@@ -133,107 +133,107 @@
 		if fl.mustAvoid(t) {
 			continue
 		}
-		if cost := fl.plainCost(t, totals[t.ID], rested); cost < lowest {
+		if cost := fl.plainCost(t, totals[t.ID], ejected); cost < lowest {
 			best, lowest = i, cost
 		}
 	}
 	if best < 0 {
-		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "no target of %s", fl.service.Name)
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "no target of %s", fl.service.Name)
 	}
-	to := &destination{target: targets[best], work: ledger.Work{Running: 1}}
+	dst := &destination{target: targets[best], work: ledger.Work{Running: 1}}
 	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
-		to.patience = fl.timeLeft() / 2
+		dst.maxWait = fl.timeLeft() / 2
 	}
-	return to, nil
+	return dst, nil
 }
 
 const (
 	// farRequests is how many running requests the way to another availability
 	// zone weighs, and restedRequests how many a rested target has against it.
-	farRequests    = 3
-	restedRequests = 1000
+	crossZoneRequests = 3
+	ejectedRequests   = 1000
 	// blindSpread spreads requests over targets in large fleets, where what other entries
 	// have sent is not known: without it each zone's share goes to that zone's targets,
 	// whose number differs.
-	blindSpread = 4
+	largeFleetSpread = 4
 	// doubtfulRequests is the same for a target that may be gone.
 	doubtfulRequests = 100
 )
 
-func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, rested map[fleet.Life]time.Time) float64 {
+func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, ejected map[fleet.Life]time.Time) float64 {
 	cost := float64(w.Running) + fl.uniform()/2
-	if key := fl.apartKey(); key != 0 {
+	if key := fl.suspectKey(); key != 0 {
 		cost = placement.Rank(key, t.Hash)
 	} else if fl.view.Large {
-		cost += fl.uniform() * blindSpread
+		cost += fl.uniform() * largeFleetSpread
 	}
-	if t.Zone != fl.Zone && fl.apartKey() == 0 {
-		cost += farRequests
+	if t.Zone != fl.Zone && fl.suspectKey() == 0 {
+		cost += crossZoneRequests
 	}
 	if t.Doubtful {
 		cost += doubtfulRequests
 	}
-	if _, ok := rested[t.Life]; ok {
-		cost += restedRequests
+	if _, ok := ejected[t.Life]; ok {
+		cost += ejectedRequests
 	}
-	if over := w.Running + 1 - t.Slots; t.Slots > 0 && over > 0 {
-		cost += float64(over)
+	if excess := w.Running + 1 - t.Slots; t.Slots > 0 && excess > 0 {
+		cost += float64(excess)
 	}
 	return cost
 }
 
 // chooseEngine picks the engine of a prompt.
 func (fl *flow) chooseEngine(ctx context.Context) (*destination, *errkind.Error) {
-	q := fl.question()
-	if p := fl.probeEngines(ctx, q); p != nil {
-		to, refusal := fl.settle(q, p.candidates, p.targets, p.choice)
-		if to != nil {
-			to.probed, to.first, to.asked = true, p.targets[0].Address, len(p.targets)
-			to.word = p.wordOf(to.choice.Index)
-			if p.saved() {
-				to.saveTo = ""
+	in := fl.placementInput()
+	if p := fl.probeEngines(ctx, in); p != nil {
+		dst, refusal := fl.resolveChoice(in, p.candidates, p.targets, p.choice)
+		if dst != nil {
+			dst.probed, dst.familyFirst, dst.probeCount = true, p.targets[0].Address, len(p.targets)
+			dst.probeAnswer = p.answerOf(dst.choice.Index)
+			if p.offloaded() {
+				dst.offloadTo = ""
 			}
-			to.coming = p.coming && to.choice.Held+to.choice.Fetched < q.Shared
+			dst.inProgress = p.inProgress && dst.choice.Held+dst.choice.Fetched < in.Shared
 		}
-		return to, refusal
+		return dst, refusal
 	}
 	candidates := fl.candidates()
-	return fl.settle(q, candidates, fl.view.Targets[fl.service.Name], placement.Pick(q, candidates))
+	return fl.resolveChoice(in, candidates, fl.view.Targets[fl.service.Name], placement.Pick(in, candidates))
 }
 
 // settle turns a choice among candidates into a destination, or into a refusal.
-func (fl *flow) settle(q *placement.Question, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
+func (fl *flow) resolveChoice(in *placement.Question, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
 	if choice.Index < 0 {
-		return nil, errkind.After(errkind.NoTarget, fl.comeBack(fl.noEnginePause(q)), "no engine of %s may take the request now", fl.service.Name)
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(fl.noEngineRetryAfter(in)), "no engine of %s may take the request now", fl.service.Name)
 	}
-	if left := fl.firstEventWithin(); choice.Estimate > left {
-		return nil, errkind.After(errkind.DeadlineUnmeetable, fl.comeBack(choice.Estimate-left), "the first event would come in %s", choice.Estimate)
+	if remaining := fl.firstEventTimeout(); choice.Estimate > remaining {
+		return nil, errkind.After(errkind.DeadlineUnmeetable, fl.jitter(choice.Estimate-remaining), "the first event would come in %s", choice.Estimate)
 	}
 	c := &candidates[choice.Index]
-	to := fl.toEngine(targets[choice.Index], c, choice, q)
-	to.carry = choice.Fetch
+	dst := fl.engineDestination(targets[choice.Index], c, choice, in)
+	dst.linkTime = choice.Fetch
 	if choice.Fetched == 0 && choice.FetchFrom.IsValid() {
-		missing := probableShare * float64(max(q.Shared-choice.Held, 0))
-		to.carry = time.Duration(c.Source.FetchMs(int(missing)) * float64(time.Millisecond))
+		missing := unknownStoreShare * float64(max(in.Shared-choice.Held, 0))
+		dst.linkTime = time.Duration(c.Source.FetchMs(int(missing)) * float64(time.Millisecond))
 	}
-	return to, nil
+	return dst, nil
 }
 
 // fullPause is when a caller comes back whose prompt found no room in the memory of any
 // engine: answers to long prompts take seconds, and end one after the other.
-const fullPause = 1500 * time.Millisecond
+const memoryFullRetryAfter = 1500 * time.Millisecond
 
 // noEnginePause is when a caller comes back whose prompt no engine may take.
-func (fl *flow) noEnginePause(q *placement.Question) time.Duration {
-	if q.MemoryShare > 0 {
-		return fullPause
+func (fl *flow) noEngineRetryAfter(in *placement.Question) time.Duration {
+	if in.MemoryShare > 0 {
+		return memoryFullRetryAfter
 	}
-	return retryPause
+	return busyRetryAfter
 }
 
 // firstEventWithin is the time within which the first event must come: callers of
 // streams leave before their deadline when none does.
-func (fl *flow) firstEventWithin() time.Duration {
+func (fl *flow) firstEventTimeout() time.Duration {
 	if fl.route.Patience == 0 {
 		return fl.timeLeft()
 	}
@@ -246,11 +246,11 @@
 	wanted := fl.view.Wanted[fl.request.Model]
 	candidates := make([]placement.Candidate, len(targets))
 	totals := fl.Ledger.Totals(fl.Now())
-	fl.totals = totals
-	rested := fl.Health.Rested(fl.Now())
-	kept := fl.keptFor(targets, totals)
-	schedule := fl.schedule(targets)
-	prompts := fl.promptsByVersion(kept)
+	fl.totalWork = totals
+	ejected := fl.Health.Rested(fl.Now())
+	retention := fl.partRetention(targets, totals)
+	schedule := fl.loadSchedule(targets)
+	locations := fl.locationsByVersion(retention)
 	for i := range targets {
 		t := &targets[i]
 		c := &candidates[i]
@@ -265,89 +265,89 @@
 		if c.Slots == 0 {
 			c.Slots = fl.service.Engine.Slots
 		}
-		_, c.Rested = rested[t.Life]
+		_, c.Rested = ejected[t.Life]
 		c.Rested = c.Rested || t.Doubtful || fl.view.Silent[t.Address]
-		prompts.at(c.Version).addTo(c, t)
+		locations.get(c.Version).fillCandidate(c, t)
 	}
 	return candidates
 }
 
 // schedule returns in how long engines load the weights that operators want.
-func (fl *flow) schedule(targets []fleet.Target) map[fleet.Life]time.Duration {
+func (fl *flow) loadSchedule(targets []fleet.Target) map[fleet.Life]time.Duration {
 	wanted := fl.view.Wanted[fl.request.Model].Newest()
 	engines := make([]weights.EngineView, len(targets))
-	behind := false
+	stale := false
 	for i := range targets {
 		t := &targets[i]
 		engines[i] = weights.EngineView{Life: t.Life, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
-		behind = behind || engines[i].Version < wanted
+		stale = stale || engines[i].Version < wanted
 	}
-	if !behind {
+	if !stale {
 		return nil
 	}
 	return weights.Schedule(engines, wanted)
 }
 
 // keptFor is for how long the service's engines keep a part that is not used.
-func (fl *flow) keptFor(targets []fleet.Target, totals map[fleet.ID]ledger.Work) time.Duration {
+func (fl *flow) partRetention(targets []fleet.Target, totals map[fleet.ID]ledger.Work) time.Duration {
 	running := 0
 	for i := range targets {
 		running += totals[targets[i].ID].Memory.All()
 	}
-	room := fl.service.Engine.CacheTokens - running/max(len(targets), 1)
-	return fl.turnover.Kept(fl.view.Entries, len(targets), max(room, 0), fl.Now())
+	free := fl.service.Engine.CacheTokens - running/max(len(targets), 1)
+	return fl.turnover.Kept(fl.view.Entries, len(targets), max(free, 0), fl.Now())
 }
 
-func (fl *flow) question() *placement.Question {
-	q := &placement.Question{Aim: fl.route.TargetLatency - time.Since(fl.arrived), VersionBound: fl.Bounds.MaxStaleness, FarCost: placement.FarCost, ReadTime: fl.readTime.Of, MaxTokens: fl.request.MaxTokens}
-	q.Urgency, q.LateUrgency = fl.urgency(false), fl.urgency(true)
-	q.Apart = fl.apartKey()
+func (fl *flow) placementInput() *placement.Question {
+	in := &placement.Question{Aim: fl.route.TargetLatency - time.Since(fl.arrived), VersionBound: fl.Bounds.MaxStaleness, FarCost: placement.FarCost, ReadTime: fl.prefillTime.Of, MaxTokens: fl.request.MaxTokens}
+	in.Urgency, in.LateUrgency = fl.priority(false), fl.priority(true)
+	in.Apart = fl.suspectKey()
 	for i, p := range fl.request.Parts {
 		if i < len(fl.request.Parts)-1 {
-			q.Shared += p.Tokens
-			q.Family = xxhash.Sum64String(p.ID)
+			in.Shared += p.Tokens
+			in.Family = xxhash.Sum64String(p.ID)
 		}
 		if i == 0 {
-			q.Outer = xxhash.Sum64String(fl.isolated() + "\x00" + p.ID)
+			in.Outer = xxhash.Sum64String(fl.isolatedWorkspace() + "\x00" + p.ID)
 		}
 	}
-	q.Own = max(fl.request.PromptTokens-q.Shared, 0)
-	return q
+	in.Own = max(fl.request.PromptTokens-in.Shared, 0)
+	return in
 }
 
 // answerShare is the inverse of the part of the longest answer that answers take
 // on the mean: callers state bounds, not lengths.
-const answerShare = 2
+const meanAnswerDivisor = 2
 
-func (fl *flow) toEngine(t fleet.Target, c *placement.Candidate, choice placement.Choice, q *placement.Question) *destination {
-	scope := fl.scopeAt(c.Version)
-	keys := parts.Keys(scope, fl.request.Parts)
-	slower := max(c.Pace, 1)
-	to := &destination{
-		slower:   slower,
-		expected: time.Duration(float64(choice.Wait+choice.Read)/slower) + choice.Fetch,
-		target:   t, scope: scope, weights: c.Version, choice: choice, fetchFrom: choice.FetchFrom, keys: keys, saveTo: fl.saveTo(keys, q),
+func (fl *flow) engineDestination(t fleet.Target, c *placement.Candidate, choice placement.Choice, in *placement.Question) *destination {
+	cacheScope := fl.cacheScopeAt(c.Version)
+	partKeys := parts.Keys(cacheScope, fl.request.Parts)
+	slowdown := max(c.Pace, 1)
+	dst := &destination{
+		slowdown:           slowdown,
+		expectedFirstEvent: time.Duration(float64(choice.Wait+choice.Read)/slowdown) + choice.Fetch,
+		target:             t, cacheScope: cacheScope, weightsVersion: c.Version, choice: choice, fetchFrom: choice.FetchFrom, partKeys: partKeys, offloadTo: fl.offloadTo(partKeys, in),
 		work: ledger.Work{Running: 1, Reading: ledger.Lane(choice.Urgency, choice.Read)},
 	}
-	to.intake = choice.ReadTokens + choice.Fetched + q.MaxTokens/answerShare
-	to.work.Memory = ledger.Lane(choice.Urgency, to.intake)
+	dst.memoryTokens = choice.ReadTokens + choice.Fetched + in.MaxTokens/meanAnswerDivisor
+	dst.work.Memory = ledger.Lane(choice.Urgency, dst.memoryTokens)
 	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
-		to.patience = patience(choice, fl.timeLeft())
+		dst.maxWait = firstEventMaxWait(choice, fl.timeLeft())
 	}
-	return to
+	return dst
 }
 
 // patienceFactor is how many times the expected wait is waited before a prompt is
 // sent to another engine. Engines that are only busy come within it; to leave
 // them adds the prompt to another queue and throws away what was read.
-const patienceFactor = 4
+const maxWaitFactor = 4
 
 // patience is how long an engine is waited for before another is tried; zero
 // means as long as there is time.
-func patience(choice placement.Choice, left time.Duration) time.Duration {
-	p := max(left/2, patienceFactor*choice.Estimate)
-	if choice.Late || p >= left {
+func firstEventMaxWait(choice placement.Choice, left time.Duration) time.Duration {
+	wait := max(left/2, maxWaitFactor*choice.Estimate)
+	if choice.Late || wait >= left {
 		return 0
 	}
-	return p
+	return wait
 }
--- a/internal/gateway/forward/urgency_test.go
+++ b/internal/gateway/forward/priority_test.go
@@ -14,7 +14,7 @@
 		if workspace >= 0 {
 			fl.workspace = &estate.Workspace{HasPriority: true, Priority: workspace}
 		}
-		return fl.urgency(late)
+		return fl.priority(late)
 	}
 	ordered := [][]int{{rank(0, 0, false)}, {rank(0, 1, false)}, {rank(1, 0, false)}, {rank(1, 1, false)}, {rank(0, 0, true)}, {rank(1, 1, true)}}
 	for i := 1; i < len(ordered); i++ {
@@ -26,10 +26,10 @@
 		t.Errorf("without a workspace's priority the rank is %d", got)
 	}
 	for _, workspace := range []int{-1, 0, 1, 50} {
-		if got := rank(workspace, 70, false); got < 0 || got >= ranks {
+		if got := rank(workspace, 70, false); got < 0 || got >= onTimePriorities {
 			t.Errorf("rank %d", got)
 		}
-		if got := rank(workspace, 70, true); got < ranks || got >= 2*ranks {
+		if got := rank(workspace, 70, true); got < onTimePriorities || got >= 2*onTimePriorities {
 			t.Errorf("late rank %d", got)
 		}
 	}
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -17,127 +17,127 @@
 const (
 	// familyRanks is how many of a family's first engines in the whole fleet are asked.
 	// All entries rank alike, so that they are where the family's parts are held.
-	familyRanks = 3
+	familyProbes = 3
 	// nearRanks is how many of its first engines in the entry's own zone are.
-	nearRanks = 2
+	sameZoneProbes = 2
 	// spreadRanks is how many others are asked, drawn at random, when those are busy.
-	spreadRanks = 4
+	randomProbes = 4
 	// busyShare is the part of the objective from which an expected first event counts
 	// as late enough to ask others.
 	busyShare = 0.5
 	// reportStale is the age of an engine's last report from which it may have gone
 	// dark: it reports ten times a second.
-	reportStale = 350 * time.Millisecond
+	staleReportAge = 350 * time.Millisecond
 )
 
 // probes is what sidecars said of the engines that they were asked for.
-type probes struct {
+type probeRound struct {
 	fl *flow
 	// taken are the engines that were asked, by their index among the service's targets.
-	taken      map[int]bool
+	selected   map[int]bool
 	targets    []fleet.Target
 	answers    []probe.Answer
-	known      []bool
+	answered   []bool
 	candidates []placement.Candidate
 	choice     placement.Choice
 	// coming is set when one of the engines reads shared parts of the prompt.
-	coming bool
+	inProgress bool
 }
 
 // probeEngines asks the sidecars of a prompt's first engines, and of others when those
 // are busy. It returns nil when none answers: entries then go by the list and by what
 // they sent themselves.
-func (fl *flow) probeEngines(ctx context.Context, q *placement.Question) *probes {
+func (fl *flow) probeEngines(ctx context.Context, in *placement.Question) *probeRound {
 	if !fl.view.Large || fl.Sidecars == nil {
 		return nil
 	}
-	q.FarCost = placement.FarCostAsked
+	in.FarCost = placement.FarCostAsked
 	switch {
 	case fl.route.Priority == 0: // engines make room for them
-	case fl.returns:
-		q.MemoryShare = placement.ReturnMemoryShare
+	case fl.isRetry:
+		in.MemoryShare = placement.ReturnMemoryShare
 	default:
-		q.MemoryShare = placement.LaterMemoryShare
+		in.MemoryShare = placement.LaterMemoryShare
 	}
-	p := &probes{fl: fl, taken: map[int]bool{}}
+	p := &probeRound{fl: fl, selected: map[int]bool{}}
 	ranked := fl.ranked()
-	if q.Apart != 0 {
-		return p.askApart(ctx, q, ranked)
+	if in.Apart != 0 {
+		return p.probeSuspect(ctx, in, ranked)
 	}
-	p.askMore(ctx, placement.Shortlist(q.Outer, q.Family, ranked, familyRanks, nearRanks))
-	if !p.any() {
+	p.probeMore(ctx, placement.Shortlist(in.Outer, in.Family, ranked, familyProbes, sameZoneProbes))
+	if !p.anyAnswered() {
 		return nil
 	}
-	p.pick(q)
-	if p.choice.Index >= 0 && !p.choice.Late && p.choice.Estimate <= time.Duration(busyShare*float64(q.Aim)) {
+	p.pick(in)
+	if p.choice.Index >= 0 && !p.choice.Late && p.choice.Estimate <= time.Duration(busyShare*float64(in.Aim)) {
 		return p
 	}
-	p.askMore(ctx, placement.Draw(ranked, p.taken, spreadRanks, fl.uniform))
-	p.pick(q)
+	p.probeMore(ctx, placement.Draw(ranked, p.selected, randomProbes, fl.uniform))
+	p.pick(in)
 	return p
 }
 
 // askApart asks for the engines that rank first for a request that is kept apart, the same
 // ones at every entry.
-func (p *probes) askApart(ctx context.Context, q *placement.Question, ranked []placement.Ranked) *probes {
-	p.askMore(ctx, placement.Shortlist(q.Apart, q.Apart, ranked, familyRanks, 0))
-	if !p.any() {
+func (p *probeRound) probeSuspect(ctx context.Context, in *placement.Question, ranked []placement.Ranked) *probeRound {
+	p.probeMore(ctx, placement.Shortlist(in.Apart, in.Apart, ranked, familyProbes, 0))
+	if !p.anyAnswered() {
 		return nil
 	}
-	p.pick(q)
+	p.pick(in)
 	return p
 }
 
 // ranked are the engines of the prompt's service, as the ranking needs them.
 func (fl *flow) ranked() []placement.Ranked {
 	targets := fl.view.Targets[fl.service.Name]
-	rested := fl.Health.Rested(fl.Now())
+	ejected := fl.Health.Rested(fl.Now())
 	ranked := make([]placement.Ranked, len(targets))
 	for i := range targets {
 		t := &targets[i]
-		_, ill := rested[t.Life]
-		ranked[i] = placement.Ranked{Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || ill || t.Doubtful || fl.excluded[t.Life] || fl.view.Silent[t.Address]}
+		_, isEjected := ejected[t.Life]
+		ranked[i] = placement.Ranked{Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || isEjected || t.Doubtful || fl.excluded[t.Life] || fl.view.Silent[t.Address]}
 	}
 	return ranked
 }
 
-func (p *probes) any() bool { return slices.Contains(p.known, true) }
+func (p *probeRound) anyAnswered() bool { return slices.Contains(p.answered, true) }
 
 // askMore asks for more engines, by their index among the service's targets.
-func (p *probes) askMore(ctx context.Context, engines []int) {
+func (p *probeRound) probeMore(ctx context.Context, engines []int) {
 	targets := p.fl.view.Targets[p.fl.service.Name]
 	var addresses []netip.AddrPort
 	for _, i := range engines {
-		p.taken[i] = true
+		p.selected[i] = true
 		p.targets = append(p.targets, targets[i])
 		addresses = append(addresses, targets[i].Address)
 	}
-	answers, known := p.fl.Sidecars.Ask(ctx, addresses, p.fl.sharedParts())
+	answers, answered := p.fl.Sidecars.Ask(ctx, addresses, p.fl.sharedParts())
 	p.answers = append(p.answers, answers...)
-	p.known = append(p.known, known...)
+	p.answered = append(p.answered, answered...)
 }
 
 // pick makes candidates of the answers and chooses among them.
-func (p *probes) pick(q *placement.Question) {
-	p.adoptLives()
-	p.coming = false
-	prompts := map[int64]*prompt{}
+func (p *probeRound) pick(in *placement.Question) {
+	p.adoptIncarnations()
+	p.inProgress = false
+	byVersion := map[int64]*promptLocations{}
 	p.candidates = make([]placement.Candidate, len(p.targets))
 	for i := range p.targets {
 		c := p.candidate(i)
-		if prompts[c.Version] == nil {
-			prompts[c.Version] = p.lookUp(q, c.Version)
+		if byVersion[c.Version] == nil {
+			byVersion[c.Version] = p.lookUp(in, c.Version)
 		}
-		prompts[c.Version].addTo(&c, &p.targets[i])
+		byVersion[c.Version].fillCandidate(&c, &p.targets[i])
 		p.candidates[i] = c
-		p.coming = p.coming || p.known[i] && p.answers[i].Coming
+		p.inProgress = p.inProgress || p.answered[i] && p.answers[i].Coming
 	}
-	p.choice = placement.Pick(q, p.candidates)
+	p.choice = placement.Pick(in, p.candidates)
 }
 
 // wordOf is what a sidecar answered; its report's age is unknown when it did not.
-func (p *probes) wordOf(i int) probe.Answer {
-	if !p.known[i] {
+func (p *probeRound) answerOf(i int) probe.Answer {
+	if !p.answered[i] {
 		return probe.Answer{ReportAge: unknownAge}
 	}
 	return p.answers[i]
@@ -145,12 +145,12 @@
 
 // adoptLives takes over the lives that sidecars tell of: the list shows an engine that
 // has started again a second or two late.
-func (p *probes) adoptLives() {
+func (p *probeRound) adoptIncarnations() {
 	for i := range p.targets {
 		t := &p.targets[i]
-		if life := p.answers[i].Life; p.known[i] && life.Instance != "" && life != t.Life {
+		if incarnation := p.answers[i].Life; p.answered[i] && incarnation.Instance != "" && incarnation != t.Life {
 			listing := t.Listing
-			listing.Life = life
+			listing.Life = incarnation
 			*t = fleet.NewTarget(listing)
 		}
 	}
@@ -158,7 +158,7 @@
 
 // candidate is one engine by its sidecar's word; by the list and this entry's own sends
 // where the sidecar did not answer, and then it comes last.
-func (p *probes) candidate(i int) placement.Candidate {
+func (p *probeRound) candidate(i int) placement.Candidate {
 	fl, t, a := p.fl, &p.targets[i], &p.answers[i]
 	c := placement.Candidate{
 		Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t),
@@ -167,10 +167,10 @@
 	if c.Slots == 0 {
 		c.Slots = fl.service.Engine.Slots
 	}
-	if p.known[i] {
+	if p.answered[i] {
 		c.Work, c.Arriving, c.Pace, c.Held = a.Work, a.Arriving, a.Pace, a.Held
 		c.Loading, c.Emptying = a.Phase == weights.Loading, a.Phase == weights.Emptying
-		c.Rested = a.Ill || a.ReportAge > reportStale || t.Doubtful
+		c.Rested = a.Ill || a.ReportAge > staleReportAge || t.Doubtful
 		c.Excluded = c.Excluded || a.Phase == weights.Silent
 		if version, ok := a.Weights[fl.request.Model]; ok {
 			c.Version = version
@@ -189,53 +189,53 @@
 // most of a prompt, also of one that is never saved. Asked before an engine that surely
 // holds the part that all prompts of a route begin with, they brought nothing, and each
 // engine read that part anew after each load of weights.
-func (p *probes) lookUp(q *placement.Question, version int64) *prompt {
+func (p *probeRound) lookUp(in *placement.Question, version int64) *promptLocations {
 	fl := p.fl
-	out := &prompt{held: map[fleet.ID]int{}, shared: fl.sharedTokens()}
+	out := &promptLocations{cached: map[fleet.ID]int{}, sharedTokens: fl.sharedTokens()}
 	for i := range p.targets {
 		t, a := &p.targets[i], &p.answers[i]
-		if !p.known[i] || a.Held == 0 || a.Weights[fl.request.Model] != version {
+		if !p.answered[i] || a.Held == 0 || a.Weights[fl.request.Model] != version {
 			continue
 		}
-		out.held[t.ID] = a.Held
-		if a.Phase != weights.Silent && a.ReportAge <= reportStale {
+		out.cached[t.ID] = a.Held
+		if a.Phase != weights.Silent && a.ReportAge <= staleReportAge {
 			out.sources = append(out.sources, source{
 				id: t.ID, address: t.Address, zone: t.Zone, peer: true, tokens: a.Held, rate: fl.linkRate(fl.service.Engine.LinkMbps),
 			})
 		}
 	}
 	p.addHolder(out, version)
-	if saved(q) {
-		p.addStore(out, fl.keysAt(version))
+	if shouldOffload(in) {
+		p.addStore(out, fl.partKeysAt(version))
 	}
 	return out
 }
 
 // addHolder adds the engine that the family's first ones know to hold its parts, unless
 // it was asked itself.
-func (p *probes) addHolder(out *prompt, version int64) {
+func (p *probeRound) addHolder(out *promptLocations, version int64) {
 	fl := p.fl
 	for i := range p.answers {
 		a := &p.answers[i]
-		if !a.Holder.IsValid() || a.Weights[fl.request.Model] != version || p.asked(a.Holder) {
+		if !a.Holder.IsValid() || a.Weights[fl.request.Model] != version || p.hasAnswered(a.Holder) {
 			continue
 		}
 		targets := fl.view.Targets[fl.service.Name]
-		at := slices.IndexFunc(targets, func(t fleet.Target) bool { return t.Address == a.Holder })
-		if at < 0 || fl.view.Silent[a.Holder] {
+		index := slices.IndexFunc(targets, func(t fleet.Target) bool { return t.Address == a.Holder })
+		if index < 0 || fl.view.Silent[a.Holder] {
 			continue
 		}
 		out.sources = append(out.sources, source{
-			id: targets[at].ID, address: a.Holder, zone: targets[at].Zone, peer: true, tokens: out.shared, rate: fl.linkRate(fl.service.Engine.LinkMbps),
+			id: targets[index].ID, address: a.Holder, zone: targets[index].Zone, peer: true, tokens: out.sharedTokens, rate: fl.linkRate(fl.service.Engine.LinkMbps),
 		})
 		return
 	}
 }
 
 // asked reports whether the sidecar of an engine answered.
-func (p *probes) asked(engine netip.AddrPort) bool {
+func (p *probeRound) hasAnswered(engine netip.AddrPort) bool {
 	for i := range p.targets {
-		if p.known[i] && p.targets[i].Address == engine {
+		if p.answered[i] && p.targets[i].Address == engine {
 			return true
 		}
 	}
@@ -244,32 +244,32 @@
 
 // addStore adds the store of the prompt's parts: as one that holds them all when one of
 // the engines has saved them lately.
-func (p *probes) addStore(out *prompt, keys []parts.Key) {
+func (p *probeRound) addStore(out *promptLocations, keys []parts.Key) {
 	fl := p.fl
 	s := fl.storeOf(keys)
 	if s == nil {
 		return
 	}
-	one := source{
+	store := source{
 		id: storeID(s.Store.Address.String()), address: s.Store.Address, zone: s.Store.Zone,
 		rate: fl.linkRate(min(s.Store.LinkMbps, fl.service.Engine.LinkMbps)),
 	}
-	if p.saved() {
-		one.tokens = out.shared
+	if p.offloaded() {
+		store.tokens = out.sharedTokens
 	} else {
-		one.unknown = fl.linkQueue(s.Store.Address) < fullLink
+		store.unknown = fl.linkQueue(s.Store.Address) < maxLinkQueue
 	}
-	out.sources = append(out.sources, one)
+	out.sources = append(out.sources, store)
 }
 
 // saved reports whether one of the engines has saved the prompt's parts lately.
-func (p *probes) saved() bool {
+func (p *probeRound) offloaded() bool {
 	return slices.ContainsFunc(p.answers, func(a probe.Answer) bool { return a.Saved })
 }
 
 // sharedParts names the prompt's shared parts.
 func (fl *flow) sharedParts() probe.Prompt {
-	p := probe.Prompt{Model: fl.request.Model, Isolated: fl.isolated()}
+	p := probe.Prompt{Model: fl.request.Model, Isolated: fl.isolatedWorkspace()}
 	if n := len(fl.request.Parts) - 1; n > 0 {
 		p.Parts = fl.request.Parts[:n]
 	}
@@ -281,50 +281,50 @@
 const lifetimeMargin = 2 * time.Second
 
 // tellSent tells the engine's sidecar of a send.
-func (fl *flow) tellSent(to *destination) {
+func (fl *flow) notifySent(dst *destination) {
 	fl.outcome = health.Good
-	if !to.probed {
+	if !dst.probed {
 		return
 	}
-	to.number = fl.Sidecars.Sent(to.target.Address, probe.Send{
-		Prompt: fl.sharedParts(), Weights: to.weights, Read: time.Duration(to.slower * float64(fl.readTime.Occupies(to.choice.ReadTokens))),
-		Urgency: to.choice.Urgency, Memory: to.choice.Held + to.intake, Saved: to.saveTo != "",
-		Lifetime: min(fl.timeLeft(), to.choice.Estimate+time.Duration(fl.request.MaxTokens)*tokenTime+lifetimeMargin),
+	dst.sendID = fl.Sidecars.Sent(dst.target.Address, probe.Send{
+		Prompt: fl.sharedParts(), Weights: dst.weightsVersion, Read: time.Duration(dst.slowdown * float64(fl.prefillTime.Occupies(dst.choice.ReadTokens))),
+		Urgency: dst.choice.Urgency, Memory: dst.choice.Held + dst.memoryTokens, Saved: dst.offloadTo != "",
+		Lifetime: min(fl.timeLeft(), dst.choice.Estimate+time.Duration(fl.request.MaxTokens)*slowTokenTime+lifetimeMargin),
 	})
-	if to.first != to.target.Address && to.choice.ReadTokens > fl.request.PromptTokens-fl.sharedTokens() {
-		to.firstNumber = fl.Sidecars.Sent(to.first, probe.Send{Prompt: fl.sharedParts(), Weights: to.weights, Saved: to.saveTo != "", Holder: to.target.Address})
+	if dst.familyFirst != dst.target.Address && dst.choice.ReadTokens > fl.request.PromptTokens-fl.sharedTokens() {
+		dst.familyFirstSendID = fl.Sidecars.Sent(dst.familyFirst, probe.Send{Prompt: fl.sharedParts(), Weights: dst.weightsVersion, Saved: dst.offloadTo != "", Holder: dst.target.Address})
 	}
 }
 
 // tellRead tells the engine's sidecar that the prompt has been read.
-func (fl *flow) tellRead(to *destination) {
-	if !to.probed {
+func (fl *flow) notifyPrefilled(dst *destination) {
+	if !dst.probed {
 		return
 	}
-	read := probe.Progress{Read: true}
-	if to.choice.ReadTokens > 0 {
-		read.Took, read.Expected = time.Since(fl.sentAt), to.expected
+	progress := probe.Progress{Read: true}
+	if dst.choice.ReadTokens > 0 {
+		progress.Took, progress.Expected = time.Since(fl.sentAt), dst.expectedFirstEvent
 	}
-	fl.tellProgress(to, read)
+	fl.notifyProgress(dst, progress)
 }
 
 // tellProgress tells the engine's sidecar, and that of the family's first engine where it
 // was told of the send.
-func (fl *flow) tellProgress(to *destination, p probe.Progress) {
-	fl.Sidecars.Progressed(to.target.Address, to.number, p)
-	if to.firstNumber != 0 {
-		fl.Sidecars.Progressed(to.first, to.firstNumber, p)
+func (fl *flow) notifyProgress(dst *destination, p probe.Progress) {
+	fl.Sidecars.Progressed(dst.target.Address, dst.sendID, p)
+	if dst.familyFirstSendID != 0 {
+		fl.Sidecars.Progressed(dst.familyFirst, dst.familyFirstSendID, p)
 	}
 }
 
-func (fl *flow) tellEnded(to *destination) {
-	if to.probed {
-		fl.tellProgress(to, probe.Progress{Ended: true, Outcome: fl.outcome})
+func (fl *flow) notifyEnded(dst *destination) {
+	if dst.probed {
+		fl.notifyProgress(dst, probe.Progress{Ended: true, Outcome: fl.outcome})
 	}
 }
 
 // judge takes in what a send says of its target.
-func (fl *flow) judge(to *destination, o health.Outcome) {
+func (fl *flow) recordOutcome(dst *destination, o health.Outcome) {
 	fl.outcome = o
-	fl.Health.Note(fl.service.Name, to.target.Life, o, fl.Now())
+	fl.Health.Note(fl.service.Name, dst.target.Life, o, fl.Now())
 }
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -20,23 +20,23 @@
 
 // fakeSidecars answers for engines by their address, and keeps what it is told.
 type fakeSidecars struct {
-	mu      sync.Mutex
-	answers map[netip.AddrPort]probe.Answer
-	asked   int
-	sends   map[netip.AddrPort][]probe.Send
-	told    map[netip.AddrPort][]probe.Progress
+	mu       sync.Mutex
+	answers  map[netip.AddrPort]probe.Answer
+	probes   int
+	sends    map[netip.AddrPort][]probe.Send
+	progress map[netip.AddrPort][]probe.Progress
 	// onSent is called with the lock held when a prompt was sent.
 	onSent func()
 }
 
 func newFakeSidecars() *fakeSidecars {
-	return &fakeSidecars{answers: map[netip.AddrPort]probe.Answer{}, sends: map[netip.AddrPort][]probe.Send{}, told: map[netip.AddrPort][]probe.Progress{}}
+	return &fakeSidecars{answers: map[netip.AddrPort]probe.Answer{}, sends: map[netip.AddrPort][]probe.Send{}, progress: map[netip.AddrPort][]probe.Progress{}}
 }
 
 func (s *fakeSidecars) Ask(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Answer, []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.probes++
 	answers, known := make([]probe.Answer, len(engines)), make([]bool, len(engines))
 	for i, engine := range engines {
 		answers[i], known[i] = s.answers[engine]
@@ -57,42 +57,42 @@
 func (s *fakeSidecars) Progressed(engine netip.AddrPort, _ uint32, p probe.Progress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told[engine] = append(s.told[engine], p)
+	s.progress[engine] = append(s.progress[engine], p)
 }
 
-func (s *fakeSidecars) say(engine netip.AddrPort, a probe.Answer) {
+func (s *fakeSidecars) setAnswer(engine netip.AddrPort, a probe.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers[engine] = a
 }
 
 // probedWorld is a world in a large fleet; each target is an engine that serves.
-func probedWorld(t *testing.T, targets ...*target) (*world, *fakeSidecars) {
+func newProbedEnv(t *testing.T, targets ...*fakeTarget) (*testEnv, *fakeSidecars) {
 	t.Helper()
-	w := startWorld(t, targets...)
+	env := newTestEnv(t, targets...)
 	sidecars := newFakeSidecars()
-	w.view.Large, w.Forwarder.Sidecars = true, sidecars
-	for i := range w.view.Targets["engines"] {
-		tg := &w.view.Targets["engines"][i]
+	env.view.Large, env.Forwarder.Sidecars = true, sidecars
+	for i := range env.view.Targets["engines"] {
+		tg := &env.view.Targets["engines"][i]
 		sidecars.answers[tg.Address] = probe.Answer{Life: tg.Life, Weights: map[string]int64{model: 3}, Pace: 1}
 		// All engines serve the family of the tests.
 		tg.Hash = 0
 	}
-	return w, sidecars
+	return env, sidecars
 }
 
-func addressOf(tg *target) netip.AddrPort {
+func addressOf(tg *fakeTarget) netip.AddrPort {
 	return netip.MustParseAddrPort(tg.listener.Addr().String())
 }
 
 // streamOf answers with a stream of two events.
-func streamOf(t *testing.T, instance string) *target {
+func startStreamTarget(t *testing.T, instance string) *fakeTarget {
 	t.Helper()
-	var tg *target
+	var tg *fakeTarget
 	tg = startTarget(t, instance, func(w io.Writer, r *http.Request, _ string) bool {
-		tg.streamHead(w, r)
-		chunk(w, event(1)+event(2))
-		chunk(w, "")
+		tg.writeStreamHead(w, r)
+		writeChunk(w, event(1)+event(2))
+		writeChunk(w, "")
 		return true
 	})
 	return tg
@@ -100,24 +100,24 @@
 
 // streamKeepingHeader answers with a stream of one event, and keeps the header of the last
 // request.
-func streamKeepingHeader(t *testing.T, instance string) (*target, http.Header) {
+func startHeaderRecorder(t *testing.T, instance string) (*fakeTarget, http.Header) {
 	t.Helper()
 	got := http.Header{}
-	var tg *target
+	var tg *fakeTarget
 	tg = startTarget(t, instance, func(w io.Writer, r *http.Request, _ string) bool {
 		clear(got)
 		maps.Copy(got, r.Header)
-		tg.streamHead(w, r)
-		chunk(w, event(1))
-		chunk(w, "")
+		tg.writeStreamHead(w, r)
+		writeChunk(w, event(1))
+		writeChunk(w, "")
 		return true
 	})
 	return tg, got
 }
 
-func askPrompt(t *testing.T, w *world) *http.Response {
+func postPrompt(t *testing.T, env *testEnv) *http.Response {
 	t.Helper()
-	resp, _, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
+	resp, _, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,26 +128,26 @@
 // nothing, and would take it for idle; its sidecar knows, and the prompt goes to the
 // other engine, which is told of the prompt, of its first event and of its end.
 func TestPromptGoesWhereSidecarsSayThatThereIsRoom(t *testing.T) {
-	busy, idle := streamOf(t, "busy"), streamOf(t, "idle")
-	w, sidecars := probedWorld(t, busy, idle)
+	busy, idle := startStreamTarget(t, "busy"), startStreamTarget(t, "idle")
+	env, sidecars := newProbedEnv(t, busy, idle)
 	a := sidecars.answers[addressOf(busy)]
 	a.Work = ledger.Work{Running: 30, Reading: ledger.Lane(0, 3*time.Second)}
-	sidecars.say(addressOf(busy), a)
-	if resp := askPrompt(t, w); resp.StatusCode != http.StatusOK {
+	sidecars.setAnswer(addressOf(busy), a)
+	if resp := postPrompt(t, env); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	if busy.runs.Load() != 0 || idle.runs.Load() != 1 {
 		t.Errorf("%d runs at the busy engine, %d at the idle one", busy.runs.Load(), idle.runs.Load())
 	}
-	w.server.Close()
+	env.server.Close()
 	sidecars.mu.Lock()
 	defer sidecars.mu.Unlock()
 	if sends := sidecars.sends[addressOf(idle)]; len(sends) != 1 || sends[0].Weights != 3 || len(sends[0].Prompt.Parts) != 2 {
 		t.Errorf("its sidecar was told of %+v", sends)
 	}
-	told := sidecars.told[addressOf(idle)]
-	if len(told) != 2 || !told[0].Read || !told[1].Ended || told[1].Outcome != health.Good {
-		t.Errorf("and of %+v", told)
+	progress := sidecars.progress[addressOf(idle)]
+	if len(progress) != 2 || !progress[0].Read || !progress[1].Ended || progress[1].Outcome != health.Good {
+		t.Errorf("and of %+v", progress)
 	}
 }
 
@@ -155,10 +155,10 @@
 // earlier life for a second or two. The request names the life that the sidecar knows,
 // and demands the weights that it has.
 func TestSidecarsWordOfLifeAndWeightsGoesBeforeTheList(t *testing.T) {
-	tg, got := streamKeepingHeader(t, "old")
-	w, sidecars := probedWorld(t, tg)
-	sidecars.say(addressOf(tg), probe.Answer{Life: fleet.Life{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
-	askPrompt(t, w)
+	tg, got := startHeaderRecorder(t, "old")
+	env, sidecars := newProbedEnv(t, tg)
+	sidecars.setAnswer(addressOf(tg), probe.Answer{Life: fleet.Life{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
+	postPrompt(t, env)
 	if got.Get(wiretest.Instance) != "new" || got.Get(wiretest.Weights) != "4" {
 		t.Errorf("asked for %q with weights %q", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
 	}
@@ -167,10 +167,10 @@
 // No sidecar answers: they are gone, or cut off from this entry. Engines are used all the
 // same, by the list.
 func TestEnginesAreUsedWithoutSidecars(t *testing.T) {
-	tg := streamOf(t, "e")
-	w, sidecars := probedWorld(t, tg)
+	tg := startStreamTarget(t, "e")
+	env, sidecars := newProbedEnv(t, tg)
 	clear(sidecars.answers)
-	if resp := askPrompt(t, w); resp.StatusCode != http.StatusOK || tg.runs.Load() != 1 {
+	if resp := postPrompt(t, env); resp.StatusCode != http.StatusOK || tg.runs.Load() != 1 {
 		t.Errorf("status %d, %d runs", resp.StatusCode, tg.runs.Load())
 	}
 }
@@ -178,14 +178,14 @@
 // One engine of two loads weights, the other does not answer its sidecar. Neither takes
 // the prompt: it is refused, and not sent to be given back.
 func TestLoadingAndSilentEnginesTakeNothing(t *testing.T) {
-	loading, silent := streamOf(t, "loading"), streamOf(t, "silent")
-	w, sidecars := probedWorld(t, loading, silent)
-	for tg, phase := range map[*target]weights.Phase{loading: weights.Loading, silent: weights.Silent} {
+	loading, silent := startStreamTarget(t, "loading"), startStreamTarget(t, "silent")
+	env, sidecars := newProbedEnv(t, loading, silent)
+	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, silent: weights.Silent} {
 		a := sidecars.answers[addressOf(tg)]
 		a.Phase = phase
-		sidecars.say(addressOf(tg), a)
+		sidecars.setAnswer(addressOf(tg), a)
 	}
-	if resp := askPrompt(t, w); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+	if resp := postPrompt(t, env); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if loading.runs.Load()+silent.runs.Load() != 0 {
@@ -196,18 +196,18 @@
 // The family's first engine is too busy, but knows that another one has the prompt's
 // parts. They are fetched from there, and neither read again nor saved again.
 func TestPartsAreFetchedFromWhereTheFirstEngineKnowsThem(t *testing.T) {
-	tg, got := streamKeepingHeader(t, "e")
-	w, sidecars := probedWorld(t, tg)
+	tg, got := startHeaderRecorder(t, "e")
+	env, sidecars := newProbedEnv(t, tg)
 	holder := netip.MustParseAddrPort("127.0.0.2:7")
-	listing := w.view.Targets["engines"][0].Listing
+	listing := env.view.Targets["engines"][0].Listing
 	listing.Life, listing.Address = fleet.Life{Instance: "holder"}, holder
 	other := fleet.NewTarget(listing)
 	other.Leaving = true // not asked itself
-	w.view.Targets["engines"] = append(w.view.Targets["engines"], other)
+	env.view.Targets["engines"] = append(env.view.Targets["engines"], other)
 	a := sidecars.answers[addressOf(tg)]
 	a.Holder, a.Saved = holder, true
-	sidecars.say(addressOf(tg), a)
-	askPrompt(t, w)
+	sidecars.setAnswer(addressOf(tg), a)
+	postPrompt(t, env)
 	if got.Get(wiretest.Fetch) != holder.String() {
 		t.Errorf("fetched from %q", got.Get(wiretest.Fetch))
 	}
@@ -220,24 +220,24 @@
 // stays open and nothing comes. The caller must see an end, long before its deadline, and
 // not one that looks complete.
 func TestStreamOfADarkEngineEnds(t *testing.T) {
-	var tg *target
-	dark := make(chan struct{})
+	var tg *fakeTarget
+	release := make(chan struct{})
 	tg = startTarget(t, "e", func(w io.Writer, r *http.Request, _ string) bool {
-		tg.streamHead(w, r)
-		chunk(w, event(1))
-		<-dark
+		tg.writeStreamHead(w, r)
+		writeChunk(w, event(1))
+		<-release
 		return false
 	})
-	defer close(dark)
-	w, sidecars := probedWorld(t, tg)
-	w.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
+	defer close(release)
+	env, sidecars := newProbedEnv(t, tg)
+	env.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
 	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Answer{Phase: weights.Silent} }
-	began := time.Now()
-	_, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
+	start := time.Now()
+	_, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err == nil {
 		t.Errorf("the stream looks complete: %q", body)
 	}
-	if took := time.Since(began); took > 20*time.Second {
+	if took := time.Since(start); took > 20*time.Second {
 		t.Errorf("it ended after %v", took)
 	}
 }
@@ -245,15 +245,15 @@
 // An engine is busy and says nothing for three seconds, and its sidecar hears it. Its
 // answer must not be ended sooner.
 func TestSilenceOfABusyEngineEndsNothing(t *testing.T) {
-	tg := streamOf(t, "e")
-	w, _ := probedWorld(t, tg)
-	fl := &flow{Forwarder: w.Forwarder, service: w.view.Estate.Service("engines")}
+	tg := startStreamTarget(t, "e")
+	env, _ := newProbedEnv(t, tg)
+	fl := &flow{Forwarder: env.Forwarder, service: env.view.Estate.Service("engines")}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	watch := fl.watchDark(ctx, &destination{target: w.view.Targets["engines"][0], probed: true}, cancel)
+	watch := fl.watchEngine(ctx, &destination{target: env.view.Targets["engines"][0], probed: true}, cancel)
 	defer watch.stop()
-	watch.heardAt = time.Now().Add(-time.Minute)
-	for range 2 * darkChecks {
+	watch.lastReceived = time.Now().Add(-time.Minute)
+	for range 2 * unresponsiveChecks {
 		watch.check()
 	}
 	if ctx.Err() != nil {
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -18,118 +18,118 @@
 	// what ended its targets, and aloneShare the most of its time left: a run that ends its
 	// engine takes a few hundred milliseconds, and a caller who is refused needs the rest to
 	// come back.
-	aloneWait  = time.Second
-	aloneShare = 0.5
+	probationWait      = time.Second
+	probationWaitShare = 0.5
 	// longestHold bounds the time to come back that callers of a refused request are told:
 	// an operator may let it go before it would be forgotten.
-	longestHold = time.Hour
+	maxHoldRetryAfter = time.Hour
 )
 
 // errApart is the cause of sends that were given up because another target has ended under
 // the same request.
-var errApart = errors.New("another target has ended under the same request")
+var errCrashedElsewhere = errors.New("another target has ended under the same request")
 
 // mayRun looks up what is held against the request, and refuses one that has ended enough
 // targets. It is refused at once: it waits for no place, and takes nothing of the retry
 // budget.
-func (fl *flow) mayRun() *errkind.Error {
-	fl.standing = fl.Quarantine.Standing(fl.print, fl.Now())
-	if fl.standing.Verdict != quarantine.Refused {
+func (fl *flow) checkQuarantine() *errkind.Error {
+	fl.quarantineStatus = fl.Quarantine.Standing(fl.fingerprint, fl.Now())
+	if fl.quarantineStatus.Verdict != quarantine.Refused {
 		return nil
 	}
-	hold := min(fl.standing.Until.Sub(fl.Now()), longestHold)
-	return errkind.After(errkind.Quarantined, fl.comeBack(hold), "%d targets ended under request %s; it is held until %s", fl.standing.Ends, fl.print, hold.Round(time.Second))
+	hold := min(fl.quarantineStatus.Until.Sub(fl.Now()), maxHoldRetryAfter)
+	return errkind.After(errkind.Quarantined, fl.jitter(hold), "%d targets ended under request %s; it is held until %s", fl.quarantineStatus.Ends, fl.fingerprint, hold.Round(time.Second))
 }
 
 // apartKey ranks the targets for a request that is kept apart; zero for all others.
-func (fl *flow) apartKey() uint64 {
-	if fl.standing.Verdict == quarantine.Free {
+func (fl *flow) suspectKey() uint64 {
+	if fl.quarantineStatus.Verdict == quarantine.Free {
 		return 0
 	}
-	return uint64(fl.print)
+	return uint64(fl.fingerprint)
 }
 
 // mustAvoid reports whether another suspect runs at a target to which this one may not go
 // at the same time: if the target ended, neither could be told from the other.
 func (fl *flow) mustAvoid(t *fleet.Target) bool {
-	return fl.standing.Verdict == quarantine.Alone && fl.Quarantine.Occupied(t.ID, fl.print, fl.Now())
+	return fl.quarantineStatus.Verdict == quarantine.Alone && fl.Quarantine.Occupied(t.ID, fl.fingerprint, fl.Now())
 }
 
 // chooseForStanding chooses a target by what is held against the request now, and begins
 // the trial of one that may only run alone.
-func (fl *flow) chooseForStanding(ctx context.Context) (*destination, *errkind.Error) {
-	if refusal := fl.mayRun(); refusal != nil {
+func (fl *flow) chooseForStatus(ctx context.Context) (*destination, *errkind.Error) {
+	if refusal := fl.checkQuarantine(); refusal != nil {
 		return nil, refusal
 	}
-	if fl.standing.Verdict == quarantine.Held {
-		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%d targets ended under the request: it is held for a moment", fl.standing.Ends)
+	if fl.quarantineStatus.Verdict == quarantine.Held {
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets ended under the request: it is held for a moment", fl.quarantineStatus.Ends)
 	}
-	to, refusal := fl.choose(ctx)
-	if refusal != nil || fl.standing.Verdict != quarantine.Alone {
-		return to, refusal
+	dst, refusal := fl.choose(ctx)
+	if refusal != nil || fl.quarantineStatus.Verdict != quarantine.Alone {
+		return dst, refusal
 	}
-	if !fl.Quarantine.Begin(fl.print, to.target.ID, fl.Now()) {
-		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%d targets ended under the request, and another try of it runs", fl.standing.Ends)
+	if !fl.Quarantine.Begin(fl.fingerprint, dst.target.ID, fl.Now()) {
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets ended under the request, and another try of it runs", fl.quarantineStatus.Ends)
 	}
-	to.trial = true
-	return to, nil
+	dst.probation = true
+	return dst, nil
 }
 
 // startRun notes the send, so that it can be given up when another target ends under the
 // same request. One that runs at most once is kept: it may have begun.
-func (fl *flow) startRun(to *destination, cancel context.CancelCauseFunc) *quarantine.Run {
-	var giveUp func()
+func (fl *flow) startRun(dst *destination, cancel context.CancelCauseFunc) *quarantine.Run {
+	var abandonSend func()
 	if fl.route.Repeatable() {
-		giveUp = func() { cancel(errApart) }
+		abandonSend = func() { cancel(errCrashedElsewhere) }
 	}
-	return fl.Quarantine.Start(fl.print, to.target.ID, giveUp)
+	return fl.Quarantine.Start(fl.fingerprint, dst.target.ID, abandonSend)
 }
 
 // endRun notes that the send has ended.
-func (fl *flow) endRun(to *destination, run *quarantine.Run) {
+func (fl *flow) endRun(dst *destination, run *quarantine.Run) {
 	fl.Quarantine.Done(run)
-	fl.endTrial(to)
+	fl.endProbation(dst)
 }
 
-func (fl *flow) endTrial(to *destination) {
-	if to.trial {
-		fl.Quarantine.End(fl.print, to.target.ID)
+func (fl *flow) endProbation(dst *destination) {
+	if dst.probation {
+		fl.Quarantine.End(fl.fingerprint, dst.target.ID)
 	}
 }
 
 // served notes that a target answered the request whole, and lives. It is counted for
 // requests that may run anywhere, too: one that is asked for all the time would otherwise
 // be refused after its third crash within the hour, whatever it was served between.
-func (fl *flow) served() { fl.Quarantine.Served(fl.print) }
+func (fl *flow) recordServed() { fl.Quarantine.Served(fl.fingerprint) }
 
 // brokeOff reports whether an error is how the end of a target's process shows: its host
 // closes or resets the connection. A host that is dark or cut off answers nothing at all.
-func brokeOff(err error) bool {
+func isDisconnect(err error) bool {
 	return errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE)
 }
 
 // doubt is that the target has ended under the request now.
-func (fl *flow) doubt(to *destination) quarantine.Doubt {
+func (fl *flow) suspectedCrash(dst *destination) quarantine.Doubt {
 	return quarantine.Doubt{
-		Print: fl.print, Who: quarantine.Who{Workspace: fl.workspaceName(), Route: fl.routeName()},
-		Target: to.target, Unlisted: !quarantine.Lists(fl.view, &to.target), Step: to.standing.Step, At: fl.Now(), Ran: time.Since(fl.sentAt), RequestID: fl.request.ID,
+		Print: fl.fingerprint, Who: quarantine.Who{Workspace: fl.workspaceName(), Route: fl.routeName()},
+		Target: dst.target, Unlisted: !quarantine.Lists(fl.view, &dst.target), Step: dst.quarantineStatus.Step, At: fl.Now(), Ran: time.Since(fl.sentAt), RequestID: fl.request.ID,
 	}
 }
 
 // blame holds it against the request if its target has ended and did not only break the
 // connection off. It is called before the next send is placed, which goes by it.
-func (fl *flow) blame(ctx context.Context, to *destination, err error) {
-	if ctx.Err() != nil || !brokeOff(err) {
+func (fl *flow) attributeCrash(ctx context.Context, dst *destination, err error) {
+	if ctx.Err() != nil || !isDisconnect(err) {
 		return
 	}
 	v, ok := fl.View()
 	if !ok {
 		return
 	}
-	d := fl.doubt(to)
+	d := fl.suspectedCrash(dst)
 	evidence := fl.CrashDetector.Ended(ctx, v, d)
-	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.print, "target", to.target.Life, "evidence", string(evidence),
-		"list_age", fl.since(v.ListedAt), "step", d.Step, "ran", tenth(time.Since(fl.sentAt)))
+	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.fingerprint, "target", dst.target.Life, "evidence", string(evidence),
+		"list_age", fl.age(v.ListedAt), "step", d.Step, "ran", roundForLog(time.Since(fl.sentAt)))
 	if evidence != quarantine.NoEvidence {
 		fl.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
 	}
--- a/internal/gateway/forward/quarantined_test.go
+++ b/internal/gateway/forward/quarantined_test.go
@@ -12,23 +12,23 @@
 )
 
 // fragileTargets start targets that end when they run the body "fatal".
-func fragileTargets(t *testing.T, n int) []*target {
-	var all []*target
+func startCrashingTargets(t *testing.T, n int) []*fakeTarget {
+	var all []*fakeTarget
 	for i := range n {
-		var tg *target
+		var tg *fakeTarget
 		tg = startTarget(t, fmt.Sprintf("t%d", i), func(w io.Writer, r *http.Request, body string) bool {
 			if body == "fatal" {
 				tg.listener.Close()
 				return false
 			}
-			return tg.whole(w, r, http.StatusOK, "fine")
+			return tg.writeSealed(w, r, http.StatusOK, "fine")
 		})
 		all = append(all, tg)
 	}
 	return all
 }
 
-func totalRuns(targets []*target) int {
+func totalRuns(targets []*fakeTarget) int {
 	n := 0
 	for _, tg := range targets {
 		n += int(tg.runs.Load())
@@ -40,10 +40,10 @@
 // the trader, who is told each time that it may have run, files it anew. From the fourth
 // time on it is not sent, first held for a moment and then refused: this filing has not run.
 func TestSubmissionThatEndsTargetsIsRefusedAfterThree(t *testing.T) {
-	targets := fragileTargets(t, 6)
-	w := startWorld(t, targets...)
+	targets := startCrashingTargets(t, 6)
+	env := newTestEnv(t, targets...)
 	for n := 1; n <= 3; n++ {
-		resp, _, err := w.ask(t, "/once/x", "fatal")
+		resp, _, err := env.post(t, "/once/x", "fatal")
 		if err != nil || resp.StatusCode != http.StatusBadGateway {
 			t.Fatalf("filing %d: %v, %v", n, resp, err)
 		}
@@ -53,7 +53,7 @@
 	}
 	settled := false
 	for n := 4; n <= 7; n++ {
-		resp, body, err := w.ask(t, "/once/x", "fatal", wiretest.ID, fmt.Sprintf("r%d", n))
+		resp, body, err := env.post(t, "/once/x", "fatal", wiretest.ID, fmt.Sprintf("r%d", n))
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 			t.Errorf("filing %d after the third end: %v, %q, %v", n, resp, body, err)
 		}
@@ -70,22 +70,22 @@
 // What is refused is that request, and no other: the same body on another path, of another
 // workspace, or another body on the same path is sent to a target.
 func TestOnlyTheSameRequestIsRefused(t *testing.T) {
-	targets := fragileTargets(t, 24)
-	w := startWorld(t, targets...)
+	targets := startCrashingTargets(t, 24)
+	env := newTestEnv(t, targets...)
 	for range 4 {
-		if _, _, err := w.ask(t, "/again/x", "fatal"); err != nil {
+		if _, _, err := env.post(t, "/again/x", "fatal"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if runs := totalRuns(targets); runs != 3 {
 		t.Fatalf("%d runs of one request; allowed are 3", runs)
 	}
-	if resp, body, err := w.ask(t, "/again/x", "another"); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, body, err := env.post(t, "/again/x", "another"); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("another body: %v, %q, %v", resp, body, err)
 	}
 	for n, ask := range [][]string{{"/again/y"}, {"/again/x?y"}, {"/again/x", wiretest.Key, "fort-key"}} {
 		before := totalRuns(targets)
-		if _, _, err := w.ask(t, ask[0], "fatal", ask[1:]...); err != nil {
+		if _, _, err := env.post(t, ask[0], "fatal", ask[1:]...); err != nil {
 			t.Fatal(err)
 		}
 		if totalRuns(targets) == before {
@@ -99,14 +99,14 @@
 func TestATargetThatOnlyBreaksOffBlamesNobody(t *testing.T) {
 	broken := func(w io.Writer, r *http.Request, _ string) bool { return false }
 	a, b := startTarget(t, "a", broken), startTarget(t, "b", broken)
-	w := startWorld(t, a, b)
+	env := newTestEnv(t, a, b)
 	for n := range 6 {
-		resp, body, err := w.ask(t, "/again/x", "question", wiretest.ID, fmt.Sprintf("r%d", n))
+		resp, body, err := env.post(t, "/again/x", "question", wiretest.ID, fmt.Sprintf("r%d", n))
 		if err != nil || resp.StatusCode != http.StatusBadGateway {
 			t.Errorf("try %d: %v, %q, %v", n, resp, body, err)
 		}
 	}
-	if listed := w.Quarantine.List(w.Now()); len(listed) != 0 {
+	if listed := env.Quarantine.List(env.Now()); len(listed) != 0 {
 		t.Errorf("held against requests: %+v", listed)
 	}
 }
@@ -116,23 +116,23 @@
 // two crashes, and never refused.
 func TestAQuestionThatIsAskedAllTheTimeIsNotRefused(t *testing.T) {
 	const between, crashes = 40, 5
-	var targets []*target
+	var targets []*fakeTarget
 	var runs atomic.Int32
 	for i := range 24 {
-		var tg *target
+		var tg *fakeTarget
 		tg = startTarget(t, fmt.Sprintf("t%d", i), func(w io.Writer, r *http.Request, _ string) bool {
 			if runs.Add(1)%between == 0 {
 				tg.listener.Close()
 				return false
 			}
-			return tg.whole(w, r, http.StatusOK, "fine")
+			return tg.writeSealed(w, r, http.StatusOK, "fine")
 		})
 		targets = append(targets, tg)
 	}
-	w := startWorld(t, targets...)
+	env := newTestEnv(t, targets...)
 	failed := 0
 	for n := range between * crashes {
-		resp, body, err := w.ask(t, "/again/x", "question")
+		resp, body, err := env.post(t, "/again/x", "question")
 		if err != nil || resp.StatusCode == http.StatusServiceUnavailable {
 			t.Fatalf("question %d: %v, %q, %v", n, resp, body, err)
 		}
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -15,7 +15,7 @@
 const unknownAge = time.Duration(-1)
 
 // since is how old a belief is, for the log.
-func (fl *flow) since(at time.Time) time.Duration {
+func (fl *flow) age(at time.Time) time.Duration {
 	if at.IsZero() {
 		return unknownAge
 	}
@@ -23,43 +23,43 @@
 }
 
 // tenth rounds for the log.
-func tenth(d time.Duration) time.Duration { return d.Round(time.Millisecond / 10) }
+func roundForLog(d time.Duration) time.Duration { return d.Round(time.Millisecond / 10) }
 
 // logSend writes the line of a send before it is made, so that it is there also
 // when the process ends in the middle of the answer. It names what decided: the
 // versions and ages of the beliefs, and the estimate.
-func (fl *flow) logSend(to *destination) {
+func (fl *flow) logSend(dst *destination) {
 	log := fl.RoutineLogger
-	if fl.cause != "" {
+	if fl.retryCause != "" {
 		log = fl.Logger
 	}
-	heard := fl.view.Engines[to.target.Life]
-	phase, age := heard.Phase, fl.since(heard.HeardAt)
-	if to.probed {
-		phase, age = to.word.Phase, to.word.ReportAge
+	report := fl.view.Engines[dst.target.Life]
+	phase, age := report.Phase, fl.age(report.HeardAt)
+	if dst.probed {
+		phase, age = dst.probeAnswer.Phase, dst.probeAnswer.ReportAge
 	}
-	log.Info("request_sent", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "cause", fl.cause, "last_event", fl.lastEvent,
+	log.Info("request_sent", "request_id", fl.request.ID, "print", fl.fingerprint, "send", fl.sends, "cause", fl.retryCause, "last_event", fl.lastEvent,
 		"route", fl.routeName(), "service", fl.serviceName(), "workspace", fl.workspaceName(), "estate", fl.estateVersion(),
-		"target", to.target.Life, "address", to.target.Address, "zone", to.target.Zone,
-		"list_age", fl.since(fl.view.ListedAt), "listed", !to.target.Unlisted, "asked", to.asked, "word_age", age, "phase", phase.String(),
-		"weights", to.weights, "wanted", fl.view.Wanted[fl.request.Model].Newest(),
-		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", family(to), "answer", fl.request.MaxTokens, "held", to.choice.Held, "fetched", to.choice.Fetched, "fetch_from", to.fetchFrom, "save_to", to.saveTo,
-		"late", to.choice.Late, "urgency", to.choice.Urgency, "wait", tenth(to.choice.Wait), "read", tenth(to.choice.Read), "fetch", tenth(to.choice.Fetch),
-		"patience", tenth(to.patience), "kept", tenth(time.Since(fl.arrived)), "left", fl.timeLeft().Round(time.Millisecond))
+		"target", dst.target.Life, "address", dst.target.Address, "zone", dst.target.Zone,
+		"list_age", fl.age(fl.view.ListedAt), "listed", !dst.target.Unlisted, "asked", dst.probeCount, "word_age", age, "phase", phase.String(),
+		"weights", dst.weightsVersion, "wanted", fl.view.Wanted[fl.request.Model].Newest(),
+		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", familyName(dst), "answer", fl.request.MaxTokens, "held", dst.choice.Held, "fetched", dst.choice.Fetched, "fetch_from", dst.fetchFrom, "save_to", dst.offloadTo,
+		"late", dst.choice.Late, "urgency", dst.choice.Urgency, "wait", roundForLog(dst.choice.Wait), "read", roundForLog(dst.choice.Read), "fetch", roundForLog(dst.choice.Fetch),
+		"patience", roundForLog(dst.maxWait), "kept", roundForLog(time.Since(fl.arrived)), "left", fl.timeLeft().Round(time.Millisecond))
 }
 
 // family names the prompt's shared parts, with the weights for which they are read: sends
 // of one family may use what one of them had read.
-func family(to *destination) string {
-	if len(to.keys) == 0 {
+func familyName(dst *destination) string {
+	if len(dst.partKeys) == 0 {
 		return ""
 	}
-	return strconv.FormatUint(uint64(to.keys[len(to.keys)-1]), 16)
+	return strconv.FormatUint(uint64(dst.partKeys[len(dst.partKeys)-1]), 16)
 }
 
 // logAnswer writes a line for a send that brought no usable answer.
-func (fl *flow) logAnswer(to *destination, resp *upstream.Response, err error) {
-	if err == nil && !refusedOrFailed(resp.Status) {
+func (fl *flow) logFailedSend(dst *destination, resp *upstream.Response, err error) {
+	if err == nil && !isSendFailure(resp.Status) {
 		return
 	}
 	status, detail := 0, ""
@@ -69,42 +69,42 @@
 	if err != nil {
 		detail = err.Error()
 	}
-	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "target", to.target.Life,
-		"status", status, "error", detail, "after", tenth(time.Since(fl.sentAt)))
+	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.fingerprint, "send", fl.sends, "target", dst.target.Life,
+		"status", status, "error", detail, "after", roundForLog(time.Since(fl.sentAt)))
 }
 
 // refusedOrFailed reports whether an answer of that status is no answer to the
 // request itself.
-func refusedOrFailed(status int) bool {
+func isSendFailure(status int) bool {
 	return status >= http.StatusInternalServerError || status == http.StatusMisdirectedRequest || status == http.StatusTooManyRequests
 }
 
 // count counts what a send means for waiting and for cached prompts.
-func (fl *flow) count(to *destination) {
+func (fl *flow) countSend(dst *destination) {
 	if fl.sends > 1 {
 		return
 	}
 	fl.Metrics.Waited(fl.serviceName(), fl.class(), fl.sentAt.Sub(fl.arrived))
-	if len(to.keys) == 0 {
+	if len(dst.partKeys) == 0 {
 		return
 	}
-	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, to.choice.Held+to.choice.Fetched, fl.wasted(to))
+	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, dst.choice.Held+dst.choice.Fetched, fl.recomputedTokens(dst))
 }
 
 // wasted is how many of a prompt's shared tokens the engine reads although another
 // was believed to hold them.
-func (fl *flow) wasted(to *destination) int {
+func (fl *flow) recomputedTokens(dst *destination) int {
 	tokens := 0
-	for i, k := range to.keys {
+	for i, k := range dst.partKeys {
 		elsewhere := false
 		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, fl.Now(), func(target fleet.ID, s parts.State) {
-			elsewhere = elsewhere || s == parts.Held && target != to.target.ID
+			elsewhere = elsewhere || s == parts.Held && target != dst.target.ID
 		})
 		if elsewhere {
 			tokens += fl.request.Parts[i].Tokens
 		}
 	}
-	return max(tokens-to.choice.Held-to.choice.Fetched, 0)
+	return max(tokens-dst.choice.Held-dst.choice.Fetched, 0)
 }
 
 // sharedTokens is the length of the prompt's parts that others use too.
@@ -137,15 +137,15 @@
 	return fl.view.Estate.Version
 }
 
-func (fl *flow) done() {
-	fl.Metrics.FirstToken(fl.serviceName(), fl.class(), fl.firstAt)
-	aim := fl.route.TargetLatency
-	fl.burn(fl.last.status < http.StatusInternalServerError && (aim == 0 || fl.firstAt <= aim))
+func (fl *flow) recordSuccess() {
+	fl.Metrics.FirstToken(fl.serviceName(), fl.class(), fl.timeToFirstByte)
+	objective := fl.route.TargetLatency
+	fl.recordObjective(fl.lastSend.status < http.StatusInternalServerError && (objective == 0 || fl.timeToFirstByte <= objective))
 	fl.logDone(nil)
 }
 
 // burn counts the request against its objective.
-func (fl *flow) burn(good bool) {
+func (fl *flow) recordObjective(good bool) {
 	if fl.service != nil {
 		fl.Metrics.Burn(fl.serviceName(), fl.class(), fl.workspaceName(), good)
 	}
@@ -153,17 +153,17 @@
 
 // failed counts a refusal or an answer that broke off. A caller's own mistake, or
 // leave, is not held against the service.
-func (fl *flow) failed(e *errkind.Error) {
+func (fl *flow) recordFailure(e *errkind.Error) {
 	fl.Metrics.Refusal(fl.serviceName(), fl.class(), e.Kind.String())
-	if ofTheService(e) {
-		fl.burn(false)
+	if isServiceFault(e) {
+		fl.recordObjective(false)
 	}
 	fl.logDone(e)
 }
 
 // ofTheService reports whether a refusal is the service's doing. What callers do
 // wrong is ordinary: a flood of it must not take the log from the others.
-func ofTheService(e *errkind.Error) bool {
+func isServiceFault(e *errkind.Error) bool {
 	if e.Kind == errkind.Quarantined {
 		return false // the request ends what runs it
 	}
@@ -172,16 +172,16 @@
 
 // logDone writes the line that ends a request's story.
 func (fl *flow) logDone(e *errkind.Error) {
-	outcome, detail, back := "answered", "", time.Duration(0)
+	outcome, detail, retryAfter := "answered", "", time.Duration(0)
 	log := fl.RoutineLogger
 	if e != nil {
-		outcome, detail, back = e.Kind.String(), e.Detail, e.RetryAfter
+		outcome, detail, retryAfter = e.Kind.String(), e.Detail, e.RetryAfter
 	}
-	if e != nil && ofTheService(e) || fl.sends > 1 || fl.last.status >= http.StatusInternalServerError {
+	if e != nil && isServiceFault(e) || fl.sends > 1 || fl.lastSend.status >= http.StatusInternalServerError {
 		log = fl.Logger
 	}
-	log.Info("request_done", "request_id", fl.request.ID, "print", fl.print, "outcome", outcome, "detail", detail, "retry_after", tenth(back),
+	log.Info("request_done", "request_id", fl.request.ID, "print", fl.fingerprint, "outcome", outcome, "detail", detail, "retry_after", roundForLog(retryAfter),
 		"route", fl.routeName(), "service", fl.serviceName(), "workspace", fl.workspaceName(), "estate", fl.estateVersion(),
-		"sends", fl.sends, "runs", fl.runs, "target", fl.last.life, "status", fl.last.status,
-		"first", tenth(fl.firstAt), "events", fl.events, "longest_gap", tenth(fl.longestGap), "took", tenth(time.Since(fl.arrived)))
+		"sends", fl.sends, "runs", fl.runs, "target", fl.lastSend.incarnation, "status", fl.lastSend.status,
+		"first", roundForLog(fl.timeToFirstByte), "events", fl.eventCount, "longest_gap", roundForLog(fl.longestGap), "took", roundForLog(time.Since(fl.arrived)))
 }
--- a/internal/gateway/forward/answer.go
+++ b/internal/gateway/forward/refusal.go
@@ -20,7 +20,7 @@
 // refuse answers with a refusal. Nothing of another answer has been written.
 func (fl *flow) refuse(e *errkind.Error) {
 	row := e.Kind.Row()
-	fl.failed(e)
+	fl.recordFailure(e)
 	if e.Kind == errkind.Cancelled {
 		panic(http.ErrAbortHandler)
 	}
@@ -29,7 +29,7 @@
 	if e.RetryAfter > 0 {
 		fl.Protocol.WriteRetryAfter(header, e.RetryAfter)
 	}
-	fl.sendElsewhere(header)
+	fl.setConnectionClose(header)
 	body, err := json.Marshal(problem{
 		Type: "urn:toucanwell:error:" + row.Name, Title: row.Title, Status: row.Status, Detail: e.Detail,
 		RequestID: fl.request.ID, RetryAfterMs: e.RetryAfter.Milliseconds(),
@@ -43,15 +43,15 @@
 
 // breakOff ends an answer that cannot be completed, so that it does not look
 // complete: the connection is closed without the mark of the answer's end.
-func (fl *flow) breakOff(e *errkind.Error) {
-	fl.failed(e)
+func (fl *flow) abort(e *errkind.Error) {
+	fl.recordFailure(e)
 	panic(http.ErrAbortHandler)
 }
 
 // sendElsewhere asks the caller to use another connection next time, while this
 // entry stops or is cut off: a kept connection stays with its entry. The view is
 // read anew, because the process may have begun to stop since.
-func (fl *flow) sendElsewhere(header http.Header) {
+func (fl *flow) setConnectionClose(header http.Header) {
 	if v, ok := fl.View(); ok && v.Stopping || fl.Reach.CutOff(fl.Now()) {
 		header.Set("Connection", "close")
 	}
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -18,43 +18,43 @@
 // maxHeld is the largest answer that is held until it is whole. A cut one can
 // then be asked for elsewhere, or refused; a larger one is passed on as it
 // comes.
-const maxHeld = 1 << 20
+const maxBuffered = 1 << 20
 
 // relayWhole passes an answer on once it is there to its end.
-func (fl *flow) relayWhole(ctx context.Context, to *destination, resp *upstream.Response) verdict {
-	body, err := io.ReadAll(io.LimitReader(resp, maxHeld+1))
+func (fl *flow) relayWhole(ctx context.Context, dst *destination, resp *upstream.Response) sendResult {
+	body, err := io.ReadAll(io.LimitReader(resp, maxBuffered+1))
 	if err != nil {
-		return fl.cut(ctx, to, err)
+		return fl.handleBroken(ctx, dst, err)
 	}
 	if resp.Status < http.StatusInternalServerError {
-		fl.judge(to, health.Good)
-		fl.served()
+		fl.recordOutcome(dst, health.Good)
+		fl.recordServed()
 	}
-	fl.firstAt = time.Since(fl.arrived)
+	fl.timeToFirstByte = time.Since(fl.arrived)
 	header := fl.w.Header()
 	fl.Protocol.WriteReply(header, resp.Header)
-	noDefaults(header)
-	fl.sendElsewhere(header)
-	if len(body) <= maxHeld {
+	suppressDefaultHeaders(header)
+	fl.setConnectionClose(header)
+	if len(body) <= maxBuffered {
 		header.Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	fl.begun = true
+	fl.responseStarted = true
 	fl.w.WriteHeader(resp.Status)
 	if _, err := fl.w.Write(body); err != nil {
-		return verdict{end: true, refusal: errkind.New(errkind.Cancelled, "%v", err)}
+		return sendResult{final: true, refusal: errkind.New(errkind.Cancelled, "%v", err)}
 	}
-	if len(body) <= maxHeld {
-		return verdict{end: true}
+	if len(body) <= maxBuffered {
+		return sendResult{final: true}
 	}
 	if _, err := io.Copy(fl.w, resp); err != nil {
-		fl.blame(ctx, to, err)
-		return verdict{end: true, refusal: errkind.New(errkind.StreamBroken, "%v", err)}
+		fl.attributeCrash(ctx, dst, err)
+		return sendResult{final: true, refusal: errkind.New(errkind.StreamBroken, "%v", err)}
 	}
-	return verdict{end: true}
+	return sendResult{final: true}
 }
 
 // noDefaults keeps the server from adding headers that the target did not send.
-func noDefaults(header http.Header) {
+func suppressDefaultHeaders(header http.Header) {
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := header[name]; !ok {
 			header[name] = nil
@@ -63,68 +63,68 @@
 }
 
 // cut judges an answer that broke off.
-func (fl *flow) cut(ctx context.Context, to *destination, err error) verdict {
-	if ctx.Err() != nil && !gaveUp(ctx) {
-		return verdict{end: true, refusal: fl.ended(ctx)}
+func (fl *flow) handleBroken(ctx context.Context, dst *destination, err error) sendResult {
+	if ctx.Err() != nil && !abandoned(ctx) {
+		return sendResult{final: true, refusal: fl.contextRefusal(ctx)}
 	}
-	fl.excluded[to.target.Life] = true
-	fl.judgeBroken(ctx, to, err)
+	fl.excluded[dst.target.Life] = true
+	fl.recordBroken(ctx, dst, err)
 	kind := errkind.TargetFailed
-	if fl.begun {
+	if fl.responseStarted {
 		kind = errkind.StreamBroken
 	}
-	return verdict{refusal: errkind.New(kind, "the answer broke off: %v", err)}
+	return sendResult{refusal: errkind.New(kind, "the answer broke off: %v", err)}
 }
 
 // relayStream passes a stream on event by event. The head is held until the
 // first event, so that a target that fails before it costs the caller nothing.
-func (fl *flow) relayStream(ctx context.Context, to *destination, resp *upstream.Response, item *ledger.Item, patience *time.Timer, watch *darkWatch, run *quarantine.Run) verdict {
+func (fl *flow) relayStream(ctx context.Context, dst *destination, resp *upstream.Response, item *ledger.Item, maxWaitTimer *time.Timer, watch *engineWatch, run *quarantine.Run) sendResult {
 	reader := events.NewReader(resp)
 	flusher := http.NewResponseController(fl.w)
 	first := true
 	for {
 		event, err := reader.Next()
 		if err == io.EOF {
-			return fl.streamEnded(to)
+			return fl.finishStream(dst)
 		}
 		if err != nil {
-			return fl.cut(ctx, to, err)
+			return fl.handleBroken(ctx, dst, err)
 		}
 		if first {
 			first = false
 			fl.Quarantine.Begun(run)
 			item.Read()
-			fl.tellRead(to)
-			if fl.noteParts(to, true) {
-				fl.AnnounceWork(to.target.ID)
+			fl.notifyPrefilled(dst)
+			if fl.recordParts(dst, true) {
+				fl.AnnounceWork(dst.target.ID)
 			}
-			if patience != nil {
-				patience.Stop()
+			if maxWaitTimer != nil {
+				maxWaitTimer.Stop()
 			}
-			fl.firstEvent(to, resp)
+			fl.writeHead(dst, resp)
 		}
 		if event.HasID {
 			fl.lastEvent = strconv.FormatInt(event.ID, 10)
 		}
-		fl.noteEvent()
-		watch.heard()
-		if err := fl.pass(flusher, event.Raw); err != nil {
-			return verdict{end: true, refusal: errkind.New(errkind.Cancelled, "%v", err)}
+		fl.recordEvent()
+		watch.received()
+		if err := fl.writeEvent(flusher, event.Raw); err != nil {
+			return sendResult{final: true, refusal: errkind.New(errkind.Cancelled, "%v", err)}
 		}
 	}
 }
 
 // noteEvent keeps the longest pause between two events.
-func (fl *flow) noteEvent() {
+func (fl *flow) recordEvent() {
 	now := time.Now()
-	if fl.events > 0 {
-		fl.longestGap = max(fl.longestGap, now.Sub(fl.lastAt))
+	if fl.eventCount > 0 {
+		fl.longestGap = max(fl.longestGap, now.Sub(fl.lastEventAt))
 	}
-	fl.events++
-	fl.lastAt = now
+	fl.eventCount++
+	fl.lastEventAt = now
 }
 
-func (fl *flow) pass(flusher *http.ResponseController, raw []byte) error {
+func (fl *flow) writeEvent(flusher *http.ResponseController, raw []byte) error {
 	if _, err := fl.w.Write(raw); err != nil {
 		return err
 	}
@@ -132,43 +132,43 @@
 }
 
 // firstEvent writes the head of the answer, unless an earlier target's stands.
-func (fl *flow) firstEvent(to *destination, resp *upstream.Response) {
-	if fl.begun {
+func (fl *flow) writeHead(dst *destination, resp *upstream.Response) {
+	if fl.responseStarted {
 		fl.Metrics.Resume()
 		return
 	}
-	fl.begun = true
-	fl.firstAt = time.Since(fl.arrived)
-	fl.learnReadTime(to)
+	fl.responseStarted = true
+	fl.timeToFirstByte = time.Since(fl.arrived)
+	fl.learnPrefillTime(dst)
 	header := fl.w.Header()
 	fl.Protocol.WriteReply(header, resp.Header)
-	noDefaults(header)
-	fl.sendElsewhere(header)
+	suppressDefaultHeaders(header)
+	fl.setConnectionClose(header)
 	fl.w.WriteHeader(resp.Status)
 }
 
 // unhindered is the expected wait up to which a prompt counts as having met no
 // others at its engine.
-const unhindered = 3 * time.Millisecond
+const maxUnqueuedWait = 3 * time.Millisecond
 
 // learnReadTime takes in how long an engine took to read a prompt.
-func (fl *flow) learnReadTime(to *destination) {
-	if to.choice.ReadTokens > 0 {
-		fl.paces.Note(to.target.Life, time.Since(fl.sentAt), to.expected, fl.Now())
+func (fl *flow) learnPrefillTime(dst *destination) {
+	if dst.choice.ReadTokens > 0 {
+		fl.paces.Note(dst.target.Life, time.Since(fl.sentAt), dst.expectedFirstEvent, fl.Now())
 	}
-	if to.choice.Wait > unhindered || to.choice.ReadTokens == 0 {
+	if dst.choice.Wait > maxUnqueuedWait || dst.choice.ReadTokens == 0 {
 		return
 	}
-	fl.readTime.Note(to.choice.ReadTokens, time.Since(fl.sentAt)-to.choice.Fetch)
+	fl.prefillTime.Note(dst.choice.ReadTokens, time.Since(fl.sentAt)-dst.choice.Fetch)
 }
 
 // streamEnded judges a stream that came to its end.
-func (fl *flow) streamEnded(to *destination) verdict {
-	if !fl.begun {
-		fl.excluded[to.target.Life] = true
-		return verdict{refusal: errkind.New(errkind.TargetFailed, "the stream ended without an event")}
-	}
-	fl.judge(to, health.Good)
-	fl.served()
-	return verdict{end: true}
+func (fl *flow) finishStream(dst *destination) sendResult {
+	if !fl.responseStarted {
+		fl.excluded[dst.target.Life] = true
+		return sendResult{refusal: errkind.New(errkind.TargetFailed, "the stream ended without an event")}
+	}
+	fl.recordOutcome(dst, health.Good)
+	fl.recordServed()
+	return sendResult{final: true}
 }
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -27,50 +27,50 @@
 	target fleet.Target
 	work   ledger.Work
 	// The following are set for prompts.
-	scope     string
-	weights   int64
-	fetchFrom netip.AddrPort
-	saveTo    string
-	keys      []parts.Key
-	choice    placement.Choice
+	cacheScope     string
+	weightsVersion int64
+	fetchFrom      netip.AddrPort
+	offloadTo      string
+	partKeys       []parts.Key
+	choice         placement.Choice
 	// carry is how long the link of the source probably carries what is fetched.
-	carry time.Duration
+	linkTime time.Duration
 	// intake is how many tokens the engine's memory takes in.
-	intake int
+	memoryTokens int
 	// expected is the time to the first event at an engine of ordinary pace.
-	expected time.Duration
+	expectedFirstEvent time.Duration
 	// standing is what was held against the request when the target was chosen, and trial
 	// is set when the send is the only one of it that may run.
-	standing quarantine.Standing
-	trial    bool
+	quarantineStatus quarantine.Standing
+	probation        bool
 	// probed is set when sidecars were asked, coming when an engine among theirs reads
 	// what the prompt lacks.
-	probed, coming bool
+	probed, inProgress bool
 	// asked is how many sidecars were, word what the chosen engine's answered.
-	asked int
-	word  probe.Answer
+	probeCount  int
+	probeAnswer probe.Answer
 	// first is the family's first engine, whose sidecar knows where its parts are read;
 	// firstNumber is the send's number there, zero when it was not told.
-	first       netip.AddrPort
-	firstNumber uint32
+	familyFirst       netip.AddrPort
+	familyFirstSendID uint32
 	// slower is by how much the engine is slower than expected; at least 1.
-	slower float64
+	slowdown float64
 	// number is the send's, among those that the engine's sidecar was told of.
-	number uint32
+	sendID uint32
 	// patience is how long the first byte is awaited; zero until the deadline.
-	patience time.Duration
+	maxWait time.Duration
 }
 
 // sendRecord is what the log tells of the last send.
 type sendRecord struct {
-	life   fleet.Life
-	status int
+	incarnation fleet.Life
+	status      int
 }
 
 // verdict is what became of a send.
-type verdict struct {
+type sendResult struct {
 	// end is set when no further send may follow.
-	end bool
+	final bool
 	// refusal is what the caller would be told; nil with end means that it has
 	// the answer.
 	refusal *errkind.Error
@@ -81,96 +81,96 @@
 // tellFrom is the reading from which other entries are told at once of a prompt.
 // Engines read prompts one after the other: a small one that is sent behind a
 // long one, of which its entry has not heard yet, waits for all of it.
-const tellFrom = 60 * time.Millisecond
+const announcePrefill = 60 * time.Millisecond
 
 // gaveUp reports whether the send was given up, and not the request.
-func gaveUp(ctx context.Context) bool {
+func abandoned(ctx context.Context) bool {
 	cause := context.Cause(ctx)
-	return errors.Is(cause, errImpatient) || errors.Is(cause, errDark) || errors.Is(cause, errApart)
+	return errors.Is(cause, errMaxWait) || errors.Is(cause, errUnresponsive) || errors.Is(cause, errCrashedElsewhere)
 }
 
 // errImpatient is the cause of sends that were given up for another target.
-var errImpatient = errors.New("no answer in the time set for one target")
+var errMaxWait = errors.New("no answer in the time set for one target")
 
 // send makes one send and passes on what comes.
-func (fl *flow) send(ctx context.Context, to *destination) verdict {
+func (fl *flow) send(ctx context.Context, dst *destination) sendResult {
 	fl.sends++
 	// The following are taken back when they turn out not to be so.
-	fl.arrivals++
+	fl.delivered++
 	fl.runs++
-	fl.last = sendRecord{life: to.target.Life}
+	fl.lastSend = sendRecord{incarnation: dst.target.Life}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	to.standing = fl.standing
-	run := fl.startRun(to, cancel)
-	defer fl.endRun(to, run)
-	var patience *time.Timer
-	if to.patience > 0 {
-		patience = time.AfterFunc(to.patience, func() { cancel(errImpatient) })
-		defer patience.Stop()
+	dst.quarantineStatus = fl.quarantineStatus
+	run := fl.startRun(dst, cancel)
+	defer fl.endRun(dst, run)
+	var maxWaitTimer *time.Timer
+	if dst.maxWait > 0 {
+		maxWaitTimer = time.AfterFunc(dst.maxWait, func() { cancel(errMaxWait) })
+		defer maxWaitTimer.Stop()
 	}
-	fl.turnover.Intake(to.intake, fl.Now())
-	item := fl.Ledger.Begin(to.target.ID, to.work, to.choice.Wait+to.choice.Fetch, fl.Now())
+	fl.turnover.Intake(dst.memoryTokens, fl.Now())
+	item := fl.Ledger.Begin(dst.target.ID, dst.work, dst.choice.Wait+dst.choice.Fetch, fl.Now())
 	defer item.End()
-	fl.tellSent(to)
-	defer fl.tellEnded(to)
-	link := fl.beginFetch(to)
+	fl.notifySent(dst)
+	defer fl.notifyEnded(dst)
+	link := fl.beginFetch(dst)
 	defer link.End()
-	if fl.noteParts(to, false) || to.choice.Read > tellFrom {
-		fl.AnnounceWork(to.target.ID)
+	if fl.recordParts(dst, false) || dst.choice.Read > announcePrefill {
+		fl.AnnounceWork(dst.target.ID)
 	}
 	fl.sentAt = time.Now()
-	fl.logSend(to)
-	fl.count(to)
-	watch := fl.watchDark(ctx, to, cancel)
+	fl.logSend(dst)
+	fl.countSend(dst)
+	watch := fl.watchEngine(ctx, dst, cancel)
 	defer watch.stop()
-	resp, err := fl.Pool.Send(ctx, to.target.Address, fl.upstreamRequest(to))
-	fl.logAnswer(to, resp, err)
+	resp, err := fl.Pool.Send(ctx, dst.target.Address, fl.upstreamRequest(dst))
+	fl.logFailedSend(dst, resp, err)
 	if err != nil {
-		return fl.failedSend(ctx, to, err)
+		return fl.handleFailedSend(ctx, dst, err)
 	}
 	defer resp.Close()
 	if fl.service.Engine != nil {
 		fl.Reach.Answered(fl.Now())
 	}
-	fl.last.status = resp.Status
+	fl.lastSend.status = resp.Status
 	reply := fl.Protocol.ReadReply(resp.Status, resp.Header)
 	if reply.IdleTimeout > 0 {
-		fl.Pool.LimitIdle(to.target.Address, reply.IdleTimeout)
+		fl.Pool.LimitIdle(dst.target.Address, reply.IdleTimeout)
 	}
 	if reply.NotRun {
-		return fl.notRunBy(to, resp, reply)
+		return fl.handleNotRun(dst, resp, reply)
 	}
-	if v, ok := fl.unusable(ctx, to, resp, reply); !ok {
-		return v
+	if result, ok := fl.checkResponse(ctx, dst, resp, reply); !ok {
+		return result
 	}
 	if fl.route.Kind == estate.Stream && resp.Status < http.StatusMultipleChoices {
-		return fl.relayStream(ctx, to, resp, item, patience, watch, run)
+		return fl.relayStream(ctx, dst, resp, item, maxWaitTimer, watch, run)
 	}
-	return fl.relayWhole(ctx, to, resp)
+	return fl.relayWhole(ctx, dst, resp)
 }
 
 // beginFetch counts what the send fetches against its source's link, so that others do
 // not all wait for the same one.
-func (fl *flow) beginFetch(to *destination) *ledger.Item {
-	return fl.Ledger.Begin(linkID(to.fetchFrom), ledger.Work{Reading: ledger.Lane(0, to.carry)}, fl.linkQueue(to.fetchFrom), fl.Now())
+func (fl *flow) beginFetch(dst *destination) *ledger.Item {
+	return fl.Ledger.Begin(linkID(dst.fetchFrom), ledger.Work{Reading: ledger.Lane(0, dst.linkTime)}, fl.linkQueue(dst.fetchFrom), fl.Now())
 }
 
 // noteParts notes that the engine, and the store that it saves to, read the
 // prompt's parts or have read them.
 // It reports whether the other entries should hear of it.
-func (fl *flow) noteParts(to *destination, done bool) bool {
-	news := fl.Parts.Note(to.target.ID, to.keys, done, fl.Now())
-	if to.saveTo != "" {
-		news = fl.Parts.Note(storeID(to.saveTo), to.keys, done, fl.Now()) || news
+func (fl *flow) recordParts(dst *destination, done bool) bool {
+	updated := fl.Parts.Note(dst.target.ID, dst.partKeys, done, fl.Now())
+	if dst.offloadTo != "" {
+		updated = fl.Parts.Note(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
 	}
-	return news
+	return updated
 }
 
-func (fl *flow) upstreamRequest(to *destination) *upstream.Request {
+func (fl *flow) upstreamRequest(dst *destination) *upstream.Request {
 	send := wire.Send{
-		TimeLeft: fl.timeLeft(), Instance: to.target.Instance, Urgency: -1,
-		CacheScope: to.scope, Weights: to.weights, SaveTo: to.saveTo,
+		TimeLeft: fl.timeLeft(), Instance: dst.target.Instance, Urgency: -1,
+		CacheScope: dst.cacheScope, Weights: dst.weightsVersion, SaveTo: dst.offloadTo,
 	}
 	if fl.route.Resumable {
 		send.LastEvent = fl.lastEvent
@@ -178,11 +178,11 @@
 	if fl.workspace != nil {
 		send.Workspace = fl.workspace.Name
 	}
-	if to.fetchFrom.IsValid() {
-		send.FetchFrom = to.fetchFrom.String()
+	if dst.fetchFrom.IsValid() {
+		send.FetchFrom = dst.fetchFrom.String()
 	}
 	if fl.service.Engine != nil {
-		send.Urgency = to.choice.Urgency
+		send.Urgency = dst.choice.Urgency
 	}
 	return &upstream.Request{
 		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
@@ -197,9 +197,9 @@
 const (
 	// ranks is how many ranks requests that can be in time have; as many follow for
 	// those that cannot.
-	ranks = ledger.Urgencies / 2
+	onTimePriorities = ledger.Urgencies / 2
 	// routeStep is by how much a workspace's priority outweighs a route's.
-	routeStep = 2
+	workspaceStep = 2
 )
 
 // urgency ranks the request at an engine: those that can be in time come first, among
@@ -208,61 +208,61 @@
 // The load pattern that it answers: more prompts come than the engines can read, short
 // ones of an urgent route and long ones of another. Ranked alike, or last once they are
 // late, the short ones wait for all long ones until their callers leave.
-func (fl *flow) urgency(late bool) int {
+func (fl *flow) priority(late bool) int {
 	rank := max(fl.route.Priority, 0)
 	if fl.workspace != nil && fl.workspace.HasPriority {
-		rank = routeStep*max(fl.workspace.Priority, 0) + min(rank, routeStep-1)
+		rank = workspaceStep*max(fl.workspace.Priority, 0) + min(rank, workspaceStep-1)
 	}
-	rank = min(rank, ranks-1)
+	rank = min(rank, onTimePriorities-1)
 	if late {
-		return ranks + rank
+		return onTimePriorities + rank
 	}
 	return rank
 }
 
 // failedSend judges a send that brought no answer.
-func (fl *flow) failedSend(ctx context.Context, to *destination, err error) verdict {
-	if ctx.Err() != nil && !gaveUp(ctx) {
-		return verdict{end: true, refusal: fl.ended(ctx)}
+func (fl *flow) handleFailedSend(ctx context.Context, dst *destination, err error) sendResult {
+	if ctx.Err() != nil && !abandoned(ctx) {
+		return sendResult{final: true, refusal: fl.contextRefusal(ctx)}
 	}
-	fl.excluded[to.target.Life] = true
+	fl.excluded[dst.target.Life] = true
 	if errors.Is(err, upstream.ErrNotSent) {
 		fl.runs--
-		fl.arrivals--
+		fl.delivered--
 		if fl.service.Engine != nil {
 			fl.Reach.Failed(fl.Now())
 		}
-		fl.judge(to, health.Unreachable)
-		return verdict{notRun: true, refusal: errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%v", err)}
+		fl.recordOutcome(dst, health.Unreachable)
+		return sendResult{notRun: true, refusal: errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%v", err)}
 	}
-	fl.judgeBroken(ctx, to, err)
-	return verdict{refusal: errkind.New(errkind.TargetFailed, "%v", err)}
+	fl.recordBroken(ctx, dst, err)
+	return sendResult{refusal: errkind.New(errkind.TargetFailed, "%v", err)}
 }
 
 // judgeBroken takes in that a send brought no answer, or half of one. A send that was
 // given up for the sake of another target says nothing of its own.
-func (fl *flow) judgeBroken(ctx context.Context, to *destination, err error) {
-	if errors.Is(context.Cause(ctx), errApart) {
-		fl.CrashDetector.GivenUp(fl.doubt(to))
+func (fl *flow) recordBroken(ctx context.Context, dst *destination, err error) {
+	if errors.Is(context.Cause(ctx), errCrashedElsewhere) {
+		fl.CrashDetector.GivenUp(fl.suspectedCrash(dst))
 		return
 	}
-	fl.judge(to, health.Broken)
-	fl.blame(ctx, to, err)
+	fl.recordOutcome(dst, health.Broken)
+	fl.attributeCrash(ctx, dst, err)
 }
 
 // notRunBy judges a target's word that it did not run the request.
-func (fl *flow) notRunBy(to *destination, resp *upstream.Response, reply wire.Reply) verdict {
+func (fl *flow) handleNotRun(dst *destination, resp *upstream.Response, reply wire.Reply) sendResult {
 	fl.runs--
-	fl.excluded[to.target.Life] = true
+	fl.excluded[dst.target.Life] = true
 	drain(resp)
-	refusal := errkind.After(errkind.Overloaded, fl.comeBack(retryPause), "the target refused with status %d", resp.Status)
+	refusal := errkind.After(errkind.Overloaded, fl.jitter(busyRetryAfter), "the target refused with status %d", resp.Status)
 	if resp.Status == http.StatusMisdirectedRequest {
-		refusal = errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "the target at this address is now %q or has other weights", reply.Instance)
+		refusal = errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "the target at this address is now %q or has other weights", reply.Instance)
 	}
 	if resp.Status == http.StatusBadRequest {
-		return verdict{end: true, refusal: errkind.New(errkind.BadRequest, "the target refused the request as malformed")}
+		return sendResult{final: true, refusal: errkind.New(errkind.BadRequest, "the target refused the request as malformed")}
 	}
-	return verdict{notRun: true, refusal: refusal}
+	return sendResult{notRun: true, refusal: refusal}
 }
 
 // maxDrain bounds what is read of an answer that nobody wants, to keep its
@@ -272,24 +272,24 @@
 func drain(resp *upstream.Response) { _, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDrain)) }
 
 // unusable sorts out answers that must not reach the caller as they are.
-func (fl *flow) unusable(ctx context.Context, to *destination, resp *upstream.Response, reply wire.Reply) (verdict, bool) {
+func (fl *flow) checkResponse(ctx context.Context, dst *destination, resp *upstream.Response, reply wire.Reply) (sendResult, bool) {
 	success := resp.Status < http.StatusMultipleChoices
 	if reply.Encoded || success && (!reply.Sealed || reply.ID != fl.request.ID) {
-		fl.judge(to, health.Broken)
-		fl.excluded[to.target.Life] = true
-		return verdict{refusal: errkind.New(errkind.TargetFailed, "the target's answer is not sealed or encoded")}, false
+		fl.recordOutcome(dst, health.Broken)
+		fl.excluded[dst.target.Life] = true
+		return sendResult{refusal: errkind.New(errkind.TargetFailed, "the target's answer is not sealed or encoded")}, false
 	}
 	if resp.Status >= http.StatusInternalServerError {
-		fl.judge(to, health.Failed)
-		if fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts && !fl.begun && ctx.Err() == nil {
-			fl.excluded[to.target.Life] = true
+		fl.recordOutcome(dst, health.Failed)
+		if fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts && !fl.responseStarted && ctx.Err() == nil {
+			fl.excluded[dst.target.Life] = true
 			drain(resp)
-			return verdict{refusal: errkind.New(errkind.TargetFailed, "the target answered with status %d", resp.Status)}, false
+			return sendResult{refusal: errkind.New(errkind.TargetFailed, "the target answered with status %d", resp.Status)}, false
 		}
 	}
-	if fl.begun && !success {
-		fl.excluded[to.target.Life] = true
-		return verdict{refusal: errkind.New(errkind.StreamBroken, "continuing gave status %d", resp.Status)}, false
+	if fl.responseStarted && !success {
+		fl.excluded[dst.target.Life] = true
+		return sendResult{refusal: errkind.New(errkind.StreamBroken, "continuing gave status %d", resp.Status)}, false
 	}
-	return verdict{}, true
+	return sendResult{}, true
 }
--- a/internal/gateway/forward/sources.go
+++ b/internal/gateway/forward/sources.go
@@ -13,12 +13,12 @@
 )
 
 // scopeAt is the cache scope of the request at weights of a version.
-func (fl *flow) scopeAt(version int64) string {
-	return parts.Scope(fl.request.Model, version, fl.isolated())
+func (fl *flow) cacheScopeAt(version int64) string {
+	return parts.Scope(fl.request.Model, version, fl.isolatedWorkspace())
 }
 
 // isolated is the request's workspace, where that shares no part with others.
-func (fl *flow) isolated() string {
+func (fl *flow) isolatedWorkspace() string {
 	if fl.workspace != nil && fl.workspace.Isolated {
 		return fl.workspace.Name
 	}
@@ -26,11 +26,11 @@
 }
 
 // prompt is what is believed of a prompt's shared parts at weights of one version.
-type prompt struct {
+type promptLocations struct {
 	// held is how many tokens of its beginning each target holds.
-	held map[fleet.ID]int
+	cached map[fleet.ID]int
 	// shared is how many tokens they have.
-	shared int
+	sharedTokens int
 	// sources are where an engine that lacks some can fetch them from.
 	sources []source
 }
@@ -51,40 +51,40 @@
 }
 
 // prompts holds the prompt at each version of the weights that some engine has.
-type prompts struct {
+type versionLocations struct {
 	fl        *flow
-	kept      time.Duration
-	byVersion map[int64]*prompt
+	retention time.Duration
+	byVersion map[int64]*promptLocations
 }
 
 // promptsByVersion looks the prompt up once for each version; kept is for how long
 // engines keep parts that are not used.
-func (fl *flow) promptsByVersion(kept time.Duration) *prompts {
-	return &prompts{fl: fl, kept: kept, byVersion: map[int64]*prompt{}}
+func (fl *flow) locationsByVersion(retention time.Duration) *versionLocations {
+	return &versionLocations{fl: fl, retention: retention, byVersion: map[int64]*promptLocations{}}
 }
 
-func (p *prompts) at(version int64) *prompt {
-	known := p.byVersion[version]
-	if known == nil {
-		known = p.fl.lookUp(version, p.kept)
-		p.byVersion[version] = known
+func (p *versionLocations) get(version int64) *promptLocations {
+	found := p.byVersion[version]
+	if found == nil {
+		found = p.fl.lookUpPrompt(version, p.retention)
+		p.byVersion[version] = found
 	}
-	return known
+	return found
 }
 
 // keysAt are the keys of the prompt's shared parts at weights of a version.
-func (fl *flow) keysAt(version int64) []parts.Key {
-	return parts.Keys(fl.scopeAt(version), fl.request.Parts)
+func (fl *flow) partKeysAt(version int64) []parts.Key {
+	return parts.Keys(fl.cacheScopeAt(version), fl.request.Parts)
 }
 
-func (fl *flow) lookUp(version int64, kept time.Duration) *prompt {
-	keys := fl.keysAt(version)
-	p := &prompt{held: map[fleet.ID]int{}, shared: fl.sharedTokens()}
+func (fl *flow) lookUpPrompt(version int64, retention time.Duration) *promptLocations {
+	keys := fl.partKeysAt(version)
+	p := &promptLocations{cached: map[fleet.ID]int{}, sharedTokens: fl.sharedTokens()}
 	if len(keys) == 0 {
 		return p
 	}
-	for _, one := range fl.Parts.Prefixes(keys, fl.request.Parts, kept, fl.Now()) {
-		p.held[one.Target] = one.Tokens
+	for _, prefix := range fl.Parts.Prefixes(keys, fl.request.Parts, retention, fl.Now()) {
+		p.cached[prefix.Target] = prefix.Tokens
 	}
 	p.addStores(fl, keys)
 	p.addPeers(fl, version)
@@ -93,26 +93,26 @@
 
 // addStores adds the stores of cached parts. The prompt's own is a source also when it
 // is not known to hold any of it: asking for a part that it lacks costs a millisecond.
-func (p *prompt) addStores(fl *flow, keys []parts.Key) {
+func (p *promptLocations) addStores(fl *flow, keys []parts.Key) {
 	own := fl.storeOf(keys)
 	for _, s := range fl.view.Estate.Stores() {
 		id := storeID(s.Store.Address.String())
-		if tokens := p.held[id]; tokens > 0 || s == own {
+		if tokens := p.cached[id]; tokens > 0 || s == own {
 			rate := fl.linkRate(min(s.Store.LinkMbps, fl.service.Engine.LinkMbps))
 			p.sources = append(p.sources, source{
 				id: id, address: s.Store.Address, zone: s.Store.Zone, tokens: tokens, rate: rate,
-				unknown: !fl.Parts.Known(id, fl.Now()) && fl.linkQueue(s.Store.Address) < fullLink,
+				unknown: !fl.Parts.Known(id, fl.Now()) && fl.linkQueue(s.Store.Address) < maxLinkQueue,
 			})
 		}
 	}
 }
 
 // addPeers adds the engines that hold some of the prompt.
-func (p *prompt) addPeers(fl *flow, version int64) {
+func (p *promptLocations) addPeers(fl *flow, version int64) {
 	targets := fl.view.Targets[fl.service.Name]
 	for i := range targets {
 		t := &targets[i]
-		tokens := p.held[t.ID]
+		tokens := p.cached[t.ID]
 		if tokens == 0 || fl.view.Silent[t.Address] || fl.view.Version(t, fl.request.Model) != version {
 			continue
 		}
@@ -127,11 +127,11 @@
 
 // fullLink is the queue from which a store of which nothing is known is not asked: what
 // it may have would come later than it is read.
-const fullLink = 150 * time.Millisecond
+const maxLinkQueue = 150 * time.Millisecond
 
 // linkQueue is the time until a link has carried what prompts of all entries wait for.
 func (fl *flow) linkQueue(address netip.AddrPort) time.Duration {
-	work := fl.totals[linkID(address)]
+	work := fl.totalWork[linkID(address)]
 	return work.Reading.All()
 }
 
@@ -142,8 +142,8 @@
 
 // addTo fills in what a candidate holds of the prompt, and from where it best fetches
 // the rest: from where most of it is, near by, and from an engine before a store.
-func (p *prompt) addTo(c *placement.Candidate, t *fleet.Target) {
-	c.Held = p.held[t.ID]
+func (p *promptLocations) fillCandidate(c *placement.Candidate, t *fleet.Target) {
+	c.Held = p.cached[t.ID]
 	best := -1
 	for i := range p.sources {
 		if p.sources[i].id != t.ID && (best < 0 || p.betterThan(&p.sources[i], &p.sources[best], t.Zone)) {
@@ -160,12 +160,12 @@
 
 // probableShare is the share of a prompt that a store of which nothing is known counts
 // as holding: it has room for most of what is shared.
-const probableShare = 0.6
+const unknownStoreShare = 0.6
 
 // probable is how many tokens a source probably has of the prompt.
-func (p *prompt) probable(s *source) int {
+func (p *promptLocations) expectedTokens(s *source) int {
 	if s.unknown {
-		return max(s.tokens, int(probableShare*float64(p.shared)))
+		return max(s.tokens, int(unknownStoreShare*float64(p.sharedTokens)))
 	}
 	return s.tokens
 }
@@ -175,14 +175,14 @@
 // The failure guarded against: all processes have started again, and know of engines
 // that hold the part that all prompts begin with. Fetched from there, the rest is read
 // again although the store holds all of it.
-func (p *prompt) betterThan(s, o *source, zone string) bool {
-	if a, b := p.probable(s), p.probable(o); a != b {
+func (p *promptLocations) betterThan(s, other *source, zone string) bool {
+	if a, b := p.expectedTokens(s), p.expectedTokens(other); a != b {
 		return a > b
 	}
-	if near := s.zone == zone; near != (o.zone == zone) {
-		return near
+	if sameZone := s.zone == zone; sameZone != (other.zone == zone) {
+		return sameZone
 	}
-	return s.peer && !o.peer
+	return s.peer && !other.peer
 }
 
 // storeOf returns the store of a prompt's parts, or nil. Where there are several
@@ -207,14 +207,14 @@
 const minSharedShare = 0.4
 
 // saved reports whether prompts like this one are saved to stores.
-func saved(q *placement.Question) bool {
-	return float64(q.Shared) >= minSharedShare*float64(q.Shared+q.Own)
+func shouldOffload(in *placement.Question) bool {
+	return float64(in.Shared) >= minSharedShare*float64(in.Shared+in.Own)
 }
 
 // saveTo returns the store that the prompt's parts are to be sent to: one that
 // neither holds them nor is about to. Saving them again would fill its link.
-func (fl *flow) saveTo(keys []parts.Key, q *placement.Question) string {
-	if len(keys) == 0 || !saved(q) {
+func (fl *flow) offloadTo(keys []parts.Key, in *placement.Question) string {
+	if len(keys) == 0 || !shouldOffload(in) {
 		return ""
 	}
 	s := fl.storeOf(keys)
--- a/internal/gateway/forward/sources_test.go
+++ b/internal/gateway/forward/sources_test.go
@@ -15,11 +15,11 @@
 	engine := source{id: 2, zone: "a", peer: true, tokens: 500}
 	target := &fleet.Target{ID: 3, Listing: fleet.Listing{Zone: "a"}}
 	choose := func(sources ...source) (c placement.Candidate) {
-		p := &prompt{shared: 6000, held: map[fleet.ID]int{}, sources: sources}
+		p := &promptLocations{sharedTokens: 6000, cached: map[fleet.ID]int{}, sources: sources}
 		for i := range p.sources {
 			p.sources[i].rate = 100 + float64(p.sources[i].id) // tells which was chosen
 		}
-		p.addTo(&c, target)
+		p.fillCandidate(&c, target)
 		return c
 	}
 	if got := choose(store, engine); got.Source.Rate != 101 || got.Fetchable != 0 {
