--- a/internal/gateway/forward/callerretry.go
+++ b/internal/gateway/forward/callerretry.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// returnShare is the share of a route's usual time below which a caller has probably
-// spent some on an earlier try. Callers of one route mostly wait for the same time.
+// retryTimeoutShare is the share of a route's usual timeout below which a caller has
+// probably spent time on an earlier attempt. Callers of one route mostly use the same
+// timeout.
 const retryTimeoutShare = 0.97
 
-// usualTimes knows for how long callers of each route wait at their first try. It is
-// safe for concurrent use.
+// timeoutTracker detects retries by their shorter timeouts. It is safe for concurrent use.
 //
-// The load pattern that it answers: an overload lasts longer than callers' pauses, and
-// those who were refused come back into it. Treated like all others they are refused
-// again, and have waited for nothing; who has waited goes before who has not.
+// During an overload that outlasts the retry delays, retries get priority over new
+// requests, so that callers who have already waited are not refused again.
 type timeoutTracker struct {
 	mu             sync.Mutex
 	longestByRoute map[string]time.Duration
 }
 
-// returns takes in the time that a caller is left with, and reports whether it has
-// probably tried before. Callers that state no time are new.
+// isRetry records the timeout that a caller states, and reports whether the request is
+// probably a retry. Requests without a timeout count as new.
 func (u *timeoutTracker) isRetry(route string, timeout time.Duration) bool {
 	if timeout <= 0 {
 		return false
--- a/internal/gateway/forward/explain.go
+++ b/internal/gateway/forward/explain.go
@@ -10,25 +10,25 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// Explanation says where a request would go, and why.
+// Explanation describes where a request would be sent, and why.
 type Explanation struct {
 	Route, Service string
 	Estate         int64
 	ListAge        time.Duration
-	// Chosen is the instance of the target; empty when the request would be
-	// refused, or would go to a plain target.
+	// Chosen is the instance of the chosen target; empty if the request would be refused or
+	// if the target has no instance.
 	Chosen string
-	// Refusal is what the caller would be told now; nil when the request would be
-	// sent.
+	// Refusal is the error that the caller would get; nil if the request would be sent.
 	Refusal *errkind.Error
-	// Targets are the service's, Candidates and Ratings what the decision knows
-	// and makes of them. The latter two are empty for plain targets.
+	// Targets are the targets of the service, or those that were probed. Candidates and
+	// Ratings are the placement's inputs and scores for them, empty for routes without
+	// prompts.
 	Targets    []fleet.Target
 	Candidates []placement.Candidate
 	Ratings    []placement.Rating
 }
 
-// rate fills in what the decision makes of each engine that it considers.
+// addRatings adds the placement's candidates and their ratings.
 func (x *Explanation) addRatings(ctx context.Context, fl *flow) {
 	in := fl.placementInput()
 	if p := fl.probeEngines(ctx, in); p != nil {
@@ -39,8 +39,8 @@
 	x.Ratings = placement.Rate(in, x.Candidates)
 }
 
-// Explain decides on a request of a workspace as if it came now. Nothing is sent
-// and nothing is kept of it.
+// Explain places a request of a workspace as if it had just arrived. It sends nothing and
+// records nothing.
 func (f *Forwarder) Explain(ctx context.Context, host, path, workspace string, request wire.Request) (*Explanation, *errkind.Error) {
 	fl := &flow{Forwarder: f, arrived: time.Now(), request: request, excluded: map[fleet.Life]bool{}}
 	var ok bool
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -1,15 +1,10 @@
-// Package forward is the way of a request through an entry: it is checked,
-// placed at a target, sent, and its answer passed on.
+// Package forward serves callers' requests at an entry: it checks each request, chooses a
+// target, sends the request and relays the response.
 //
-// # What it guards against
-//
-// A request that may run once only is sent on only when its first send
-// certainly did not run. What a caller is told of a request that did not run is
-// true: only refusals that are made before a send, or that a target states,
-// become answers that say so. An answer reaches the caller whole and sealed by
-// its target, or not as a success. A stream that breaks off is continued at
-// another target only after the last event that the caller has, and only where
-// the route allows it.
+// A request that may run only once is retried only if its first send certainly did not run,
+// and only then is the caller told that it did not run. Successful responses are relayed
+// only if they are whole and carry the target's seal. A broken stream is resumed at another
+// target after the last event that the caller received, on routes that allow it.
 package forward
 
 import (
@@ -43,18 +38,18 @@
 	"github.com/toucanwell/toucanwell/internal/retry"
 )
 
-// Bounds are the deployment's figures that the request path goes by.
+// Bounds are the deployment's limits on retries and on stale weights.
 type Bounds struct {
-	// RetryRatio is how many sends beyond the first the whole fleet may make for
-	// each request of a service, RetrySlack how many beyond that in a window.
+	// RetryRatio is the number of retries per request of a service that the whole fleet may
+	// make; RetrySlack is the number of further retries in a window.
 	RetryRatio float64
 	RetrySlack float64
-	// MaxStaleness is the age of wanted weights from which no request begins on
-	// older ones.
+	// MaxStaleness is how long weights may be outdated before requests are no longer
+	// started on them.
 	MaxStaleness time.Duration
 }
 
-// Deps are what a forwarder needs.
+// Deps are the dependencies of a Forwarder.
 type Deps struct {
 	Protocol wire.Protocol
 	View     func() (*view.View, bool)
@@ -63,89 +58,89 @@
 	Parts    *parts.Book
 	Health   *health.Book
 	Reach    *reach.Book
-	// Quarantine holds what is known of requests that were under way when targets ended,
-	// Endings tells such ends from others.
+	// Quarantine tracks requests that were running when targets crashed; CrashDetector
+	// distinguishes crashes from other disconnects.
 	Quarantine    *quarantine.Book
 	CrashDetector *quarantine.Endings
-	// Sidecars answer for engines in large fleets; nil where probes are off.
+	// Sidecars are probed in large fleets; nil disables probes.
 	Sidecars Sidecars
-	// Limits keep workspaces within their rate limits; nil where there are none.
+	// Limits enforces the rate limits of workspaces; nil disables them.
 	Limits Limits
 	Bounds Bounds
 	Zone   string
 	Logger logr.Logger
-	// RoutineLogger writes lines of what goes well. Under load they are dropped before
-	// the others.
+	// RoutineLogger logs successful operations. Its lines are dropped first under load.
 	RoutineLogger logr.Logger
 	Metrics       Metrics
-	// AnnounceWork tells the other entries at once of the work at a target.
+	// AnnounceWork broadcasts the work at a target to the other entries without waiting for
+	// the next heartbeat.
 	AnnounceWork func(target fleet.ID)
 	Now          func() time.Time
-	// Seed makes this entry's random choices its own.
+	// Seed seeds the random choices; each entry uses another one.
 	Seed uint64
 }
 
-// Sidecars are asked what a prompt would meet at their engines, and told of the prompts
-// that were sent there.
+// Sidecars probes engines through their sidecars, and reports the prompts sent there to
+// them.
 type Sidecars interface {
-	// Ask returns the answers in the order of the engines, with which of them came.
+	// Ask returns the answers in the order of engines, and which of the engines answered.
 	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Answer, []bool)
-	// Sent returns the number under which the prompt's progress is told.
+	// Sent reports a send and returns the ID under which its progress is to be reported.
 	Sent(engine netip.AddrPort, s probe.Send) uint32
 	Progressed(engine netip.AddrPort, number uint32, p probe.Progress)
 }
 
-// Limits admit requests of workspaces that have a rate limit.
+// Limits admits requests of workspaces that have a rate limit.
 type Limits interface {
 	Admit(ctx context.Context, r ratelimit.Request) ratelimit.Decision
-	// GiveBack returns the cost of a request that did not run, Charge takes it out once more
-	// for one that is sent again after it may have run.
+	// GiveBack refunds the cost of a request that did not run. Charge deducts the cost
+	// again for a request that is sent again after it may have run.
 	GiveBack(r ratelimit.Request, d ratelimit.Decision)
 	Charge(r ratelimit.Request)
 }
 
-// Metrics are told what becomes of requests.
+// Metrics records the outcomes of requests.
 type Metrics interface {
 	Request(service, class string)
 	Refusal(service, class, kind string)
 	FirstToken(service, class string, d time.Duration)
-	// Waited is told how long a request was kept before a send.
+	// Waited records the time between a request's arrival and its first send.
 	Waited(service, class string, d time.Duration)
-	// Burn is told whether a request was answered within its objective.
+	// Burn records whether a request met its objective.
 	Burn(service, class, workspace string, good bool)
-	// Tokens is told of a prompt's tokens at its first send: in all, those that the
-	// engine was believed to hold or fetch, and those that it was to read although
-	// another engine held them.
+	// Tokens records the token counts of a prompt at its first send: its length, the tokens
+	// expected to be cached at or fetched by the engine, and those that the engine
+	// recomputes although another engine has them cached.
 	Tokens(service, class string, prompt, cached, wasted int)
 	Retry(cause string)
 	Resume()
-	// RateLimit is told whether a request was within its workspace's limit, and who said so.
+	// RateLimit records whether a request was admitted, and the source of the decision.
 	RateLimit(source string, admitted bool)
 }
 
-// Forwarder serves callers. Make it with New.
+// Forwarder is the HTTP handler that serves callers. Create it with New.
 type Forwarder struct {
 	Deps
 	inFlight       atomic.Int64
 	random         atomic.Uint64
-	retryBudgets   sync.Map // service to *retry.Budget
+	retryBudgets   sync.Map // by service name; values are *retry.Budget
 	prefillTime    *readtime.Meter
 	paces          *readtime.Paces
 	turnover       parts.Turnover
 	callerTimeouts timeoutTracker
 }
 
-// New returns a forwarder.
+// New returns a Forwarder.
 func New(d Deps) *Forwarder {
 	f := &Forwarder{Deps: d, prefillTime: readtime.New(), paces: readtime.NewPaces()}
 	f.random.Store(d.Seed)
 	return f
 }
 
-// InFlight is the number of requests being served.
+// InFlight returns the number of requests being served.
 func (f *Forwarder) InFlight() int { return int(f.inFlight.Load()) }
 
-// uniform returns a number in [0, 1).
+// uniform returns a pseudorandom number in [0, 1).
 func (f *Forwarder) uniform() float64 {
 	x := f.random.Add(0x9E3779B97F4A7C15)
 	x ^= x >> 30
@@ -156,11 +151,11 @@
 	return float64(x>>11) / (1 << 53)
 }
 
-// slackShare is the part of the fleet's retry slack that all entries together
-// use. The rest covers entries that start anew or do not know of each other.
+// slackShare is the share of the fleet's retry slack that is divided among the known
+// entries. The rest covers entries that restart or don't know of each other.
 const slackShare = 0.6
 
-// budget returns the retry budget of a service.
+// retryBudget returns the retry budget of a service.
 func (f *Forwarder) retryBudget(service string, entries int) *retry.Budget {
 	slack := f.Bounds.RetrySlack * slackShare / float64(max(entries, 1))
 	b, ok := f.retryBudgets.Load(service)
@@ -171,7 +166,7 @@
 	return b.(*retry.Budget)
 }
 
-// flow is one request on its way.
+// flow is the state of one request while it is served.
 type flow struct {
 	*Forwarder
 	w         http.ResponseWriter
@@ -182,41 +177,41 @@
 	workspace *estate.Workspace
 	request   wire.Request
 	body      []byte
-	// print names the request across its caller's tries.
+	// fingerprint identifies the request across the caller's retries.
 	fingerprint quarantine.Print
-	// standing is what was held against it at the last look.
+	// quarantineStatus is the request's status in the quarantine when it was last checked.
 	quarantineStatus quarantine.Standing
 	arrived          time.Time
 	deadline         time.Time
 	retries          *retry.Budget
-	// returns is set when the caller has probably been refused before.
+	// isRetry is set if the caller has probably been refused before.
 	isRetry bool
-	// sends counts sends, arrivals those of them that may have reached a target,
-	// and runs those that may have run.
+	// sends counts the sends, delivered those that may have reached a target, and runs
+	// those that may have run.
 	sends, delivered, runs int
-	// totals is the work at all targets, as the last choice saw it.
+	// totalWork is the work of all targets at the last placement.
 	totalWork map[fleet.ID]ledger.Work
 	// excluded targets are not tried again.
 	excluded map[fleet.Life]bool
-	// lastEvent is the event that the caller has; begun is set once it has any
-	// byte of the answer.
+	// lastEvent is the ID of the last event relayed. responseStarted is set once the caller
+	// has received a byte of the response.
 	lastEvent       string
 	responseStarted bool
 	timeToFirstByte time.Duration
-	// events counts the events passed on, lastAt is when the last one was, and
-	// longestGap the longest pause between two.
+	// eventCount counts the events relayed, lastEventAt is the time of the last one, and
+	// longestGap the longest time between two.
 	eventCount  int
 	lastEventAt time.Time
 	longestGap  time.Duration
-	// sentAt is when the last send was made.
+	// sentAt is the time of the last send.
 	sentAt   time.Time
 	lastSend sendRecord
-	// outcome is what the last send said of its target.
+	// outcome is the health outcome of the last send.
 	outcome health.Outcome
-	// cause is why the next send is made; empty for the first.
+	// retryCause is the reason for the next send; empty for the first.
 	retryCause string
-	// use is what the request takes of its workspace's rate limit, and admission what was
-	// decided on it.
+	// limitRequest is what the request asks of its workspace's rate limit, admission the
+	// decision on it.
 	limitRequest ratelimit.Request
 	admission    ratelimit.Decision
 }
@@ -246,8 +241,8 @@
 	}
 }
 
-// errDeadline is the cause of contexts whose request ran out of time.
-var errDeadline = errors.New("deadline passed")
+// errDeadline is the cause of contexts that end at the request's deadline.
+var errDeadline = errors.New("deadline exceeded")
 
 func (fl *flow) class() string {
 	if fl.route == nil {
@@ -263,7 +258,8 @@
 	return fl.service.Name
 }
 
-// admit checks a request and finds its route, workspace, service and deadline.
+// admit validates a request, resolves its route, workspace, service and deadline, and
+// checks its limits.
 func (fl *flow) admit() *errkind.Error {
 	var ok bool
 	fl.view, ok = fl.View()
@@ -295,7 +291,7 @@
 	return fl.checkQuarantine()
 }
 
-// assign finds the request's route, service, retry budget and deadline.
+// resolveRoute sets the request's route, service, retry budget and deadline.
 func (fl *flow) resolveRoute(host, path string) *errkind.Error {
 	e := fl.view.Estate
 	if fl.route = e.Match(host, path); fl.route == nil {
@@ -315,38 +311,36 @@
 }
 
 const (
-	// readingTime and tokenTime are how long an engine under load takes to read a
-	// prompt and to make one token of the answer, well above the mean: a step takes
-	// 4 ms and more, and a prompt that is read delays the others.
+	// slowPrefillTime and slowTokenTime are the prefill time of a prompt and the time per
+	// token of an answer at an engine under load, well above the mean.
 	slowPrefillTime = time.Second
 	slowTokenTime   = 25 * time.Millisecond
 )
 
-// mayOutlast refuses a request that may go on for longer than this process. The
-// failure guarded against is an answer that is cut off when a stopping process
-// ends: another entry can give it whole.
+// checkOutlivesEntry refuses a request that may run past the exit of a stopping process,
+// which would truncate its response. Another entry can serve it.
 func (fl *flow) checkOutlivesEntry() *errkind.Error {
 	v := fl.view
 	longest := min(fl.timeLeft(), slowPrefillTime+time.Duration(fl.request.MaxTokens)*slowTokenTime)
 	if !v.Stopping || fl.arrived.Before(v.PicksFrom) || time.Now().Add(longest).Before(v.EndsAt) {
 		return nil
 	}
-	return errkind.After(errkind.Stopping, fl.jitter(otherEntryRetryAfter), "the entry ends in %s", time.Until(v.EndsAt).Round(time.Millisecond))
+	return errkind.After(errkind.Stopping, fl.jitter(otherEntryRetryAfter), "the entry exits in %s", time.Until(v.EndsAt).Round(time.Millisecond))
 }
 
 const (
-	// noDeadline bounds requests of callers and routes that name no time.
+	// defaultTimeout applies if neither the caller nor the route sets a timeout.
 	defaultTimeout = 2 * time.Minute
-	// noEstateRetry is when callers of a process without an estate come back:
-	// one is had within some hundred milliseconds of the store's or a peer's
-	// first answer.
+	// noEstateRetryAfter is the retry delay for callers of a process that has no
+	// configuration yet; it arrives within some hundred milliseconds after the store or a
+	// peer responds.
 	noEstateRetryAfter = 500 * time.Millisecond
-	// defaultBody bounds a body where operators state no bound.
+	// defaultMaxBody is the body limit if the configuration sets none.
 	defaultMaxBody = 4 << 20
 )
 
-// readBody reads the whole body. It is kept, so that the request can be sent
-// again, and so that a body that was cut short is sent to nobody.
+// readBody reads the whole body before anything is sent, so that the request can be retried
+// and a truncated body reaches no target.
 func (fl *flow) readBody(limit int64) *errkind.Error {
 	if limit <= 0 {
 		limit = defaultMaxBody
@@ -355,9 +349,10 @@
 		return nil
 	}
 	if fl.r.ContentLength > limit {
-		// A caller that is still sending would meet a reset in place of the answer.
+		// Drain what the limit allows: a caller that is still sending would get a reset
+		// instead of the response.
 		_, _ = io.CopyN(io.Discard, fl.r.Body, limit)
-		return errkind.New(errkind.BodyTooLarge, "%d bytes found; allowed are %d", fl.r.ContentLength, limit)
+		return errkind.New(errkind.BodyTooLarge, "the body has %d bytes; the limit is %d", fl.r.ContentLength, limit)
 	}
 	if n := fl.r.ContentLength; n > 0 {
 		fl.body = make([]byte, n)
@@ -371,7 +366,7 @@
 		return errkind.New(errkind.BadRequest, "read body: %v", err)
 	}
 	if int64(len(body)) > limit {
-		return errkind.New(errkind.BodyTooLarge, "over %d bytes found", limit)
+		return errkind.New(errkind.BodyTooLarge, "the body exceeds %d bytes", limit)
 	}
 	fl.body = body
 	return nil
@@ -380,8 +375,8 @@
 // timeLeft is the time until the deadline.
 func (fl *flow) timeLeft() time.Duration { return time.Until(fl.deadline) }
 
-// run sends the request until it is answered, or until no further send is
-// possible. A nil result means that the caller has the answer.
+// run sends the request until it is answered or no further send is possible. It returns nil
+// if the caller got a response.
 func (fl *flow) run(ctx context.Context) *errkind.Error {
 	fl.excluded = map[fleet.Life]bool{}
 	fl.lastEvent = fl.request.LastEvent
@@ -396,7 +391,7 @@
 		}
 		if fl.delivered > 0 && !fl.retries.Spend() {
 			fl.endProbation(dst)
-			return fl.finalRefusal(lastRefusal, errkind.After(errkind.Overloaded, fl.jitter(busyRetryAfter), "the retry budget is spent"))
+			return fl.finalRefusal(lastRefusal, errkind.After(errkind.Overloaded, fl.jitter(busyRetryAfter), "the retry budget is exhausted"))
 		}
 		fl.chargeRerun()
 		result := fl.send(ctx, dst)
@@ -413,19 +408,20 @@
 }
 
 const (
-	// maxSends bounds the sends of one request, refused ones included.
+	// maxSends limits the sends of one request, including those that targets refuse.
 	maxSends = 4
-	// retryPause is when a caller comes back who was refused although targets
-	// may take it soon.
+	// busyRetryAfter is the retry delay for callers that are refused although targets may
+	// accept the request soon.
 	busyRetryAfter = 300 * time.Millisecond
-	// elsewherePause is when a caller comes back who was refused because this entry
-	// is cut off or stops: another entry can take the request at once.
+	// otherEntryRetryAfter is the retry delay for callers that are refused because this
+	// entry is stopping or cut off: another entry can accept the request at once.
 	otherEntryRetryAfter = 50 * time.Millisecond
-	// minTimeLeft is the time under which a further send is pointless.
+	// minTimeLeft is the least remaining time that makes a retry worthwhile.
 	minTimeLeft = 15 * time.Millisecond
 )
 
-// mayStart reports why no further send is made.
+// checkNextSend returns the error that ends the request, or nil if another send may be
+// made.
 func (fl *flow) checkNextSend(ctx context.Context, lastRefusal *errkind.Error) *errkind.Error {
 	if ctx.Err() != nil {
 		return fl.contextRefusal(ctx)
@@ -439,10 +435,10 @@
 	return nil
 }
 
-// ended says why a request's context ended.
+// contextRefusal returns the refusal for a context that has ended.
 func (fl *flow) contextRefusal(ctx context.Context) *errkind.Error {
 	if fl.r.Context().Err() != nil {
-		return errkind.New(errkind.Cancelled, "the caller has gone")
+		return errkind.New(errkind.Cancelled, "the caller closed the connection")
 	}
 	if fl.runs == 0 {
 		return errkind.After(errkind.DeadlineUnmeetable, busyRetryAfter, "%v", context.Cause(ctx))
@@ -450,8 +446,8 @@
 	return errkind.New(errkind.TimedOut, "%v", context.Cause(ctx))
 }
 
-// worse returns what the caller is told when a further send is not possible. A
-// request that may have run is not called "not run" by the later refusal.
+// finalRefusal returns the error for the caller when no further send is possible. A request
+// that may have run must not be reported as not run by a later refusal.
 func (fl *flow) finalRefusal(lastRefusal, refusal *errkind.Error) *errkind.Error {
 	if lastRefusal != nil && fl.runs > 0 {
 		return lastRefusal
@@ -459,17 +455,16 @@
 	return refusal
 }
 
-// goesOn reports whether a request that failed at one target is sent to
-// another.
+// mayRetry reports whether a request that failed at one target may be sent to another.
 func (fl *flow) mayRetry(result sendResult) bool {
 	if fl.responseStarted && !(fl.route.Resumable && fl.lastEvent != "") {
-		return false // a new run would begin the stream again
+		return false // a new run would restart the stream
 	}
 	return result.notRun || fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts
 }
 
-// comeBack spreads a time to come back by half, so that callers who were
-// refused together do not return together.
+// jitter extends a retry delay by up to half, so that callers that were refused at the same
+// time don't retry at the same time.
 func (fl *flow) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + fl.uniform()/2))
 }
--- a/internal/gateway/forward/limited.go
+++ b/internal/gateway/forward/limited.go
@@ -7,12 +7,13 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/ratelimit"
 )
 
-// patienceShare is the part of its time left after which a refused caller comes back at the
-// latest.
+// maxWaitShare is the share of its remaining time that a refused caller waits at most
+// before it retries.
 const maxWaitShare = 1.0 / 3
 
-// withinLimit takes the request out of its workspace's rate limit. One beyond it is refused
-// before its body is read, with the time after which it would be admitted.
+// checkRateLimit charges the request to its workspace's rate limit. A request beyond the
+// limit is refused before its body is read, with the delay after which it would be
+// admitted.
 func (fl *flow) checkRateLimit() *errkind.Error {
 	if fl.Limits == nil || fl.workspace == nil || !fl.workspace.Rate.Limited() {
 		return nil
@@ -28,19 +29,19 @@
 		fl.admission = d
 		return nil
 	}
-	return errkind.After(errkind.RateLimited, fl.jitter(d.RetryAfter), "the request counts %.0f %s; allowed are %.0f a second and %.0f at once; the workspace has %.0f left (%s, asked for %s)",
+	return errkind.After(errkind.RateLimited, fl.jitter(d.RetryAfter), "the request costs %.0f %s; the limit is %.0f per second with bursts of %.0f; the workspace has %.0f left (decided by %s in %s)",
 		fl.limitRequest.Cost, terms.Unit, terms.PerSecond, terms.Burst, d.Level, d.Source, roundForLog(d.Took))
 }
 
-// giveBack returns what a request took that no target has run.
+// refund returns the cost of a request that no target ran.
 func (fl *flow) refund() {
 	if fl.admission.Admitted && fl.runs == 0 {
 		fl.Limits.GiveBack(fl.limitRequest, fl.admission)
 	}
 }
 
-// chargeAgain takes out once more what a request costs that may have run already: each run
-// counts. It is not refused for that, since its caller has waited for the first one.
+// chargeRerun charges a request again that may have run already, since each run counts. It
+// can't be refused: its caller has already waited for the first run.
 func (fl *flow) chargeRerun() {
 	if fl.admission.Admitted && fl.runs > 0 {
 		fl.Limits.Charge(fl.limitRequest)
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// placePause is the wait before another look when no target may take a
-	// request now, and maxPlaceWait the bound of all such waits: loads of weights
-	// end, and targets are listed, within some hundred milliseconds.
+	// placeInterval is the time between placement attempts while no target can accept the
+	// request, and maxPlaceWait the longest total wait. Weight loads finish, and targets
+	// are listed, within some hundred milliseconds.
 	placeInterval = 10 * time.Millisecond
 	maxPlaceWait  = 400 * time.Millisecond
-	// probePause is the same where each look asks sidecars.
+	// probeInterval replaces placeInterval where each attempt probes sidecars.
 	probeInterval = 25 * time.Millisecond
-	// waitShare is the most that is waited so, of the time left: a caller who is
-	// refused needs the rest to come back.
+	// placeWaitShare limits the wait to a share of the remaining time: a refused caller
+	// needs the rest to retry.
 	placeWaitShare = 0.25
 )
 
-// place chooses the target of the next send.
+// place chooses the target of the next send, and waits for one if necessary.
 func (fl *flow) place(ctx context.Context) (*destination, *errkind.Error) {
 	start := time.Now()
 	for {
@@ -55,9 +55,9 @@
 	}
 }
 
-// placeWait is how long a target is waited for. Where sidecars are asked, a prompt that
-// finds no room is told soon to come back: it waits no longer than its caller would not
-// notice.
+// placeWait returns how long to wait for a target. Requests in quarantine wait for their
+// probation run. In large fleets prompts wait only briefly, because a refused caller is
+// told to retry soon.
 func (fl *flow) placeWait() time.Duration {
 	if v := fl.quarantineStatus.Verdict; v == quarantine.Alone || v == quarantine.Held {
 		return min(probationWait, time.Duration(probationWaitShare*float64(fl.timeLeft())))
@@ -70,19 +70,18 @@
 }
 
 const (
-	// unnoticedShare is the part of the objective that callers do not notice.
+	// unnoticedWaitShare is the share of the latency objective that callers don't notice.
 	unnoticedWaitShare = 0.125
-	// partsPatience is the most that a prompt waits for a part that another
-	// request reads, and partsShare the most of the time within which its first
-	// event is of full use. Reading 5,000 tokens takes an engine about a tenth of
-	// a second.
+	// maxPartsWait is how long a prompt waits at most for a part that an engine is
+	// computing for another request, and maxPartsWaitShare the same as a share of the
+	// latency objective. The prefill of 5,000 tokens takes about 100 ms.
 	maxPartsWait      = 250 * time.Millisecond
 	maxPartsWaitShare = 0.4
 )
 
-// awaitsParts reports whether the prompt should wait for a part that another
-// request reads now. Two prompts that share a part and come within the time that
-// it takes to read it would both read it, at one engine as well as at two.
+// shouldAwaitParts reports whether the prompt should wait for a shared part whose prefill
+// is in progress for another request. Sent at once, it would compute the part a second
+// time, even at the same engine.
 func (fl *flow) shouldAwaitParts(dst *destination) bool {
 	waited := time.Since(fl.arrived)
 	if dst.probed && !dst.inProgress {
@@ -108,9 +107,10 @@
 	return false
 }
 
+// choose chooses a target for the request as it stands now.
 func (fl *flow) choose(ctx context.Context) (*destination, *errkind.Error) {
 	if fl.service.Engine != nil && fl.Reach.CutOff(fl.Now()) {
-		return nil, errkind.After(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine and no sidecar was heard lately")
+		return nil, errkind.After(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine or sidecar has responded recently")
 	}
 	if fl.service.Engine != nil && fl.route.Prompted {
 		return fl.chooseEngine(ctx)
@@ -118,8 +118,8 @@
 	return fl.choosePlain()
 }
 
-// choosePlain picks the target of a request without a prompt: one in the same
-// availability zone with the least work, else the least loaded elsewhere.
+// choosePlain chooses the target of a request without a prompt: the least loaded one,
+// preferably in the entry's availability zone.
 func (fl *flow) choosePlain() (*destination, *errkind.Error) {
 	totals := fl.Ledger.Totals(fl.Now())
 	ejected := fl.Health.Rested(fl.Now())
@@ -148,18 +148,19 @@
 }
 
 const (
-	// farRequests is how many running requests the way to another availability
-	// zone weighs, and restedRequests how many a rested target has against it.
+	// crossZoneRequests is the cost of another availability zone, ejectedRequests that of
+	// an ejected target, in running requests.
 	crossZoneRequests = 3
 	ejectedRequests   = 1000
-	// blindSpread spreads requests over targets in large fleets, where what other entries
-	// have sent is not known: without it each zone's share goes to that zone's targets,
-	// whose number differs.
+	// largeFleetSpread randomizes the choice in large fleets, where entries don't know each
+	// other's sends. Without it the targets of each zone would serve just that zone's
+	// requests, although zones have different numbers of targets.
 	largeFleetSpread = 4
-	// doubtfulRequests is the same for a target that may be gone.
+	// doubtfulRequests is the cost of a target that may be gone.
 	doubtfulRequests = 100
 )
 
+// plainCost returns the cost of a target in running requests.
 func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, ejected map[fleet.Life]time.Time) float64 {
 	cost := float64(w.Running) + fl.uniform()/2
 	if key := fl.suspectKey(); key != 0 {
@@ -182,7 +183,7 @@
 	return cost
 }
 
-// chooseEngine picks the engine of a prompt.
+// chooseEngine chooses the engine of a prompt.
 func (fl *flow) chooseEngine(ctx context.Context) (*destination, *errkind.Error) {
 	in := fl.placementInput()
 	if p := fl.probeEngines(ctx, in); p != nil {
@@ -201,13 +202,13 @@
 	return fl.resolveChoice(in, candidates, fl.view.Targets[fl.service.Name], placement.Pick(in, candidates))
 }
 
-// settle turns a choice among candidates into a destination, or into a refusal.
+// resolveChoice turns a placement choice into a destination or a refusal.
 func (fl *flow) resolveChoice(in *placement.Question, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
 	if choice.Index < 0 {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(fl.noEngineRetryAfter(in)), "no engine of %s may take the request now", fl.service.Name)
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(fl.noEngineRetryAfter(in)), "no engine of %s can accept the request now", fl.service.Name)
 	}
 	if remaining := fl.firstEventTimeout(); choice.Estimate > remaining {
-		return nil, errkind.After(errkind.DeadlineUnmeetable, fl.jitter(choice.Estimate-remaining), "the first event would come in %s", choice.Estimate)
+		return nil, errkind.After(errkind.DeadlineUnmeetable, fl.jitter(choice.Estimate-remaining), "the first event is expected in %s", choice.Estimate)
 	}
 	c := &candidates[choice.Index]
 	dst := fl.engineDestination(targets[choice.Index], c, choice, in)
@@ -219,11 +220,12 @@
 	return dst, nil
 }
 
-// fullPause is when a caller comes back whose prompt found no room in the memory of any
-// engine: answers to long prompts take seconds, and end one after the other.
+// memoryFullRetryAfter is the retry delay for callers whose prompt fits into no engine's
+// memory: long prompts run for seconds and free it one after the other.
 const memoryFullRetryAfter = 1500 * time.Millisecond
 
-// noEnginePause is when a caller comes back whose prompt no engine may take.
+// noEngineRetryAfter returns the retry delay for a caller whose prompt no engine can
+// accept.
 func (fl *flow) noEngineRetryAfter(in *placement.Question) time.Duration {
 	if in.MemoryShare > 0 {
 		return memoryFullRetryAfter
@@ -231,8 +233,8 @@
 	return busyRetryAfter
 }
 
-// firstEventWithin is the time within which the first event must come: callers of
-// streams leave before their deadline when none does.
+// firstEventTimeout returns the time left for the first event, which may be less than the
+// time until the deadline: callers of streams give up earlier if they receive nothing.
 func (fl *flow) firstEventTimeout() time.Duration {
 	if fl.route.Patience == 0 {
 		return fl.timeLeft()
@@ -240,7 +242,7 @@
 	return min(fl.timeLeft(), fl.route.Patience-time.Since(fl.arrived))
 }
 
-// candidates are the engines of the prompt's service, in the order of the view.
+// candidates returns the engines of the prompt's service, in the order of the view.
 func (fl *flow) candidates() []placement.Candidate {
 	targets := fl.view.Targets[fl.service.Name]
 	wanted := fl.view.Wanted[fl.request.Model]
@@ -272,7 +274,8 @@
 	return candidates
 }
 
-// schedule returns in how long engines load the weights that operators want.
+// loadSchedule returns the time until each engine loads the wanted weights; nil if no
+// engine is stale.
 func (fl *flow) loadSchedule(targets []fleet.Target) map[fleet.Life]time.Duration {
 	wanted := fl.view.Wanted[fl.request.Model].Newest()
 	engines := make([]weights.EngineView, len(targets))
@@ -288,7 +291,7 @@
 	return weights.Schedule(engines, wanted)
 }
 
-// keptFor is for how long the service's engines keep a part that is not used.
+// partRetention returns how long the service's engines keep an unused part cached.
 func (fl *flow) partRetention(targets []fleet.Target, totals map[fleet.ID]ledger.Work) time.Duration {
 	running := 0
 	for i := range targets {
@@ -298,6 +301,7 @@
 	return fl.turnover.Kept(fl.view.Entries, len(targets), max(free, 0), fl.Now())
 }
 
+// placementInput returns what the placement decision needs to know about the request.
 func (fl *flow) placementInput() *placement.Question {
 	in := &placement.Question{Aim: fl.route.TargetLatency - time.Since(fl.arrived), VersionBound: fl.Bounds.MaxStaleness, FarCost: placement.FarCost, ReadTime: fl.prefillTime.Of, MaxTokens: fl.request.MaxTokens}
 	in.Urgency, in.LateUrgency = fl.priority(false), fl.priority(true)
@@ -315,10 +319,10 @@
 	return in
 }
 
-// answerShare is the inverse of the part of the longest answer that answers take
-// on the mean: callers state bounds, not lengths.
+// meanAnswerDivisor divides max tokens to estimate the mean length of an answer.
 const meanAnswerDivisor = 2
 
+// engineDestination returns the destination for a chosen candidate.
 func (fl *flow) engineDestination(t fleet.Target, c *placement.Candidate, choice placement.Choice, in *placement.Question) *destination {
 	cacheScope := fl.cacheScopeAt(c.Version)
 	partKeys := parts.Keys(cacheScope, fl.request.Parts)
@@ -337,13 +341,13 @@
 	return dst
 }
 
-// patienceFactor is how many times the expected wait is waited before a prompt is
-// sent to another engine. Engines that are only busy come within it; to leave
-// them adds the prompt to another queue and throws away what was read.
+// maxWaitFactor is how many times the estimated wait passes before a prompt is sent to
+// another engine. Busy engines respond within it; abandoning one discards its prefill and
+// adds the prompt to another queue.
 const maxWaitFactor = 4
 
-// patience is how long an engine is waited for before another is tried; zero
-// means as long as there is time.
+// firstEventMaxWait returns how long to wait for an engine's first event before another
+// engine is tried; zero means until the deadline.
 func firstEventMaxWait(choice placement.Choice, left time.Duration) time.Duration {
 	wait := max(left/2, maxWaitFactor*choice.Estimate)
 	if choice.Late || wait >= left {
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -15,45 +15,47 @@
 )
 
 const (
-	// familyRanks is how many of a family's first engines in the whole fleet are asked.
-	// All entries rank alike, so that they are where the family's parts are held.
+	// familyProbes is how many of a family's best ranked engines of the fleet are probed.
+	// All entries rank alike, so the family's parts are cached there.
 	familyProbes = 3
-	// nearRanks is how many of its first engines in the entry's own zone are.
+	// sameZoneProbes is how many of its best ranked engines in the entry's own zone are
+	// probed.
 	sameZoneProbes = 2
-	// spreadRanks is how many others are asked, drawn at random, when those are busy.
+	// randomProbes is how many randomly drawn engines are probed when the others are busy.
 	randomProbes = 4
-	// busyShare is the part of the objective from which an expected first event counts
-	// as late enough to ask others.
+	// busyShare is the share of the latency objective above which the expected first event
+	// counts as late and more engines are probed.
 	busyShare = 0.5
-	// reportStale is the age of an engine's last report from which it may have gone
-	// dark: it reports ten times a second.
+	// staleReportAge is the age of its last report from which an engine may be
+	// unresponsive: engines report ten times a second.
 	staleReportAge = 350 * time.Millisecond
 )
 
-// probes is what sidecars said of the engines that they were asked for.
+// probeRound holds the engines probed for a prompt, their answers and the choice among
+// them.
 type probeRound struct {
 	fl *flow
-	// taken are the engines that were asked, by their index among the service's targets.
+	// selected holds the indexes of the probed engines among the service's targets.
 	selected   map[int]bool
 	targets    []fleet.Target
 	answers    []probe.Answer
 	answered   []bool
 	candidates []placement.Candidate
 	choice     placement.Choice
-	// coming is set when one of the engines reads shared parts of the prompt.
+	// inProgress is set if a probed engine is computing shared parts of the prompt.
 	inProgress bool
 }
 
-// probeEngines asks the sidecars of a prompt's first engines, and of others when those
-// are busy. It returns nil when none answers: entries then go by the list and by what
-// they sent themselves.
+// probeEngines probes the best ranked engines of a prompt, and others when those are busy.
+// It returns nil if no sidecar answers: the entry then relies on the target list and its
+// own sends.
 func (fl *flow) probeEngines(ctx context.Context, in *placement.Question) *probeRound {
 	if !fl.view.Large || fl.Sidecars == nil {
 		return nil
 	}
 	in.FarCost = placement.FarCostAsked
 	switch {
-	case fl.route.Priority == 0: // engines make room for them
+	case fl.route.Priority == 0: // engines preempt others for these
 	case fl.isRetry:
 		in.MemoryShare = placement.ReturnMemoryShare
 	default:
@@ -77,8 +79,8 @@
 	return p
 }
 
-// askApart asks for the engines that rank first for a request that is kept apart, the same
-// ones at every entry.
+// probeSuspect probes the best ranked engines for a quarantined request. They are the same
+// at every entry.
 func (p *probeRound) probeSuspect(ctx context.Context, in *placement.Question, ranked []placement.Ranked) *probeRound {
 	p.probeMore(ctx, placement.Shortlist(in.Apart, in.Apart, ranked, familyProbes, 0))
 	if !p.anyAnswered() {
@@ -88,7 +90,7 @@
 	return p
 }
 
-// ranked are the engines of the prompt's service, as the ranking needs them.
+// ranked returns the engines of the prompt's service for ranking.
 func (fl *flow) ranked() []placement.Ranked {
 	targets := fl.view.Targets[fl.service.Name]
 	ejected := fl.Health.Rested(fl.Now())
@@ -103,7 +105,7 @@
 
 func (p *probeRound) anyAnswered() bool { return slices.Contains(p.answered, true) }
 
-// askMore asks for more engines, by their index among the service's targets.
+// probeMore probes engines, given by their index among the service's targets.
 func (p *probeRound) probeMore(ctx context.Context, engines []int) {
 	targets := p.fl.view.Targets[p.fl.service.Name]
 	var addresses []netip.AddrPort
@@ -117,7 +119,7 @@
 	p.answered = append(p.answered, answered...)
 }
 
-// pick makes candidates of the answers and chooses among them.
+// pick chooses among all engines probed so far.
 func (p *probeRound) pick(in *placement.Question) {
 	p.adoptIncarnations()
 	p.inProgress = false
@@ -135,7 +137,7 @@
 	p.choice = placement.Pick(in, p.candidates)
 }
 
-// wordOf is what a sidecar answered; its report's age is unknown when it did not.
+// answerOf returns an engine's answer, or one of unknown age if it did not answer.
 func (p *probeRound) answerOf(i int) probe.Answer {
 	if !p.answered[i] {
 		return probe.Answer{ReportAge: unknownAge}
@@ -143,8 +145,8 @@
 	return p.answers[i]
 }
 
-// adoptLives takes over the lives that sidecars tell of: the list shows an engine that
-// has started again a second or two late.
+// adoptIncarnations updates the targets to the incarnations that their sidecars report: the
+// target list shows a restarted engine a second or two late.
 func (p *probeRound) adoptIncarnations() {
 	for i := range p.targets {
 		t := &p.targets[i]
@@ -156,8 +158,8 @@
 	}
 }
 
-// candidate is one engine by its sidecar's word; by the list and this entry's own sends
-// where the sidecar did not answer, and then it comes last.
+// candidate returns the candidate for a probed engine. Without an answer it is based on the
+// target list and this entry's own sends, and is used as a last resort.
 func (p *probeRound) candidate(i int) placement.Candidate {
 	fl, t, a := p.fl, &p.targets[i], &p.answers[i]
 	c := placement.Candidate{
@@ -182,13 +184,11 @@
 	return c
 }
 
-// lookUp gathers where the prompt's shared parts are, at weights of a version: at the
-// engines that were asked, and in the stores.
+// lookUp returns where the prompt's shared parts are cached at a version of the weights: at
+// the probed engines and in the stores.
 //
-// The failure guarded against: nobody tells of stores, so that they count as holding
-// most of a prompt, also of one that is never saved. Asked before an engine that surely
-// holds the part that all prompts of a route begin with, they brought nothing, and each
-// engine read that part anew after each load of weights.
+// A store is a source only for prompts that are offloaded. Its content isn't known here, so
+// that it would otherwise be preferred to engines that do have the parts.
 func (p *probeRound) lookUp(in *placement.Question, version int64) *promptLocations {
 	fl := p.fl
 	out := &promptLocations{cached: map[fleet.ID]int{}, sharedTokens: fl.sharedTokens()}
@@ -211,8 +211,8 @@
 	return out
 }
 
-// addHolder adds the engine that the family's first ones know to hold its parts, unless
-// it was asked itself.
+// addHolder adds the engine that the best ranked engines report as holder of the family's
+// parts, unless it was probed itself.
 func (p *probeRound) addHolder(out *promptLocations, version int64) {
 	fl := p.fl
 	for i := range p.answers {
@@ -232,7 +232,7 @@
 	}
 }
 
-// asked reports whether the sidecar of an engine answered.
+// hasAnswered reports whether the sidecar of an engine answered.
 func (p *probeRound) hasAnswered(engine netip.AddrPort) bool {
 	for i := range p.targets {
 		if p.answered[i] && p.targets[i].Address == engine {
@@ -242,8 +242,8 @@
 	return false
 }
 
-// addStore adds the store of the prompt's parts: as one that holds them all when one of
-// the engines has saved them lately.
+// addStore adds the store of the prompt's parts. It is expected to hold all of them if one
+// of the engines has offloaded them recently.
 func (p *probeRound) addStore(out *promptLocations, keys []parts.Key) {
 	fl := p.fl
 	s := fl.storeOf(keys)
@@ -262,12 +262,12 @@
 	out.sources = append(out.sources, store)
 }
 
-// saved reports whether one of the engines has saved the prompt's parts lately.
+// offloaded reports whether a probed engine has offloaded the prompt's parts recently.
 func (p *probeRound) offloaded() bool {
 	return slices.ContainsFunc(p.answers, func(a probe.Answer) bool { return a.Saved })
 }
 
-// sharedParts names the prompt's shared parts.
+// sharedParts returns the prompt's shared parts for a probe.
 func (fl *flow) sharedParts() probe.Prompt {
 	p := probe.Prompt{Model: fl.request.Model, Isolated: fl.isolatedWorkspace()}
 	if n := len(fl.request.Parts) - 1; n > 0 {
@@ -276,11 +276,12 @@
 	return p
 }
 
-// lifetimeMargin is added to the longest time that an engine works on a prompt: its
-// sidecar forgets the prompt then if it is not told of its end.
+// lifetimeMargin is added to the longest expected run of a prompt. The sidecar forgets the
+// prompt after that time even if its end is not reported.
 const lifetimeMargin = 2 * time.Second
 
-// tellSent tells the engine's sidecar of a send.
+// notifySent reports a send to the engine's sidecar. If shared parts are computed elsewhere
+// than at the family's first engine, it reports the send to that engine's sidecar too.
 func (fl *flow) notifySent(dst *destination) {
 	fl.outcome = health.Good
 	if !dst.probed {
@@ -296,7 +297,7 @@
 	}
 }
 
-// tellRead tells the engine's sidecar that the prompt has been read.
+// notifyPrefilled reports to the engine's sidecar that the prefill has completed.
 func (fl *flow) notifyPrefilled(dst *destination) {
 	if !dst.probed {
 		return
@@ -308,8 +309,7 @@
 	fl.notifyProgress(dst, progress)
 }
 
-// tellProgress tells the engine's sidecar, and that of the family's first engine where it
-// was told of the send.
+// notifyProgress reports progress to the sidecars that were notified of the send.
 func (fl *flow) notifyProgress(dst *destination, p probe.Progress) {
 	fl.Sidecars.Progressed(dst.target.Address, dst.sendID, p)
 	if dst.familyFirstSendID != 0 {
@@ -317,13 +317,14 @@
 	}
 }
 
+// notifyEnded reports the end of a send and its health outcome.
 func (fl *flow) notifyEnded(dst *destination) {
 	if dst.probed {
 		fl.notifyProgress(dst, probe.Progress{Ended: true, Outcome: fl.outcome})
 	}
 }
 
-// judge takes in what a send says of its target.
+// recordOutcome records the health outcome of a send.
 func (fl *flow) recordOutcome(dst *destination, o health.Outcome) {
 	fl.outcome = o
 	fl.Health.Note(fl.service.Name, dst.target.Life, o, fl.Now())
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// aloneWait is how long a request waits for its turn to run alone, or until it is settled
-	// what ended its targets, and aloneShare the most of its time left: a run that ends its
-	// engine takes a few hundred milliseconds, and a caller who is refused needs the rest to
-	// come back.
+	// probationWait is how long a request waits for its probation run, or until it is known
+	// whether a crash is attributed to it; probationWaitShare limits the wait to a share of
+	// the remaining time, since a refused caller needs the rest to retry. A run that
+	// crashes its engine takes a few hundred milliseconds.
 	probationWait      = time.Second
 	probationWaitShare = 0.5
-	// longestHold bounds the time to come back that callers of a refused request are told:
-	// an operator may let it go before it would be forgotten.
+	// maxHoldRetryAfter limits the retry delay for callers of a quarantined request, which
+	// an operator may release earlier.
 	maxHoldRetryAfter = time.Hour
 )
 
-// errApart is the cause of sends that were given up because another target has ended under
-// the same request.
-var errCrashedElsewhere = errors.New("another target has ended under the same request")
+// errCrashedElsewhere is the cause of sends that were cancelled because another target
+// crashed while it ran the same request.
+var errCrashedElsewhere = errors.New("another target crashed while it ran the same request")
 
-// mayRun looks up what is held against the request, and refuses one that has ended enough
-// targets. It is refused at once: it waits for no place, and takes nothing of the retry
+// checkQuarantine updates the request's quarantine status, and refuses a request that has
+// crashed too many targets. The refusal neither waits for a target nor uses the retry
 // budget.
 func (fl *flow) checkQuarantine() *errkind.Error {
 	fl.quarantineStatus = fl.Quarantine.Standing(fl.fingerprint, fl.Now())
@@ -38,10 +38,11 @@
 		return nil
 	}
 	hold := min(fl.quarantineStatus.Until.Sub(fl.Now()), maxHoldRetryAfter)
-	return errkind.After(errkind.Quarantined, fl.jitter(hold), "%d targets ended under request %s; it is held until %s", fl.quarantineStatus.Ends, fl.fingerprint, hold.Round(time.Second))
+	return errkind.After(errkind.Quarantined, fl.jitter(hold), "%d targets crashed while they ran request %s; it is quarantined for %s", fl.quarantineStatus.Ends, fl.fingerprint, hold.Round(time.Second))
 }
 
-// apartKey ranks the targets for a request that is kept apart; zero for all others.
+// suspectKey returns the key that ranks the targets for a suspect, so that all its runs go
+// to the same few targets; zero for other requests.
 func (fl *flow) suspectKey() uint64 {
 	if fl.quarantineStatus.Verdict == quarantine.Free {
 		return 0
@@ -49,34 +50,35 @@
 	return uint64(fl.fingerprint)
 }
 
-// mustAvoid reports whether another suspect runs at a target to which this one may not go
-// at the same time: if the target ended, neither could be told from the other.
+// mustAvoid reports whether a target is running another suspect. If it crashed, the crash
+// could not be attributed to either of them.
 func (fl *flow) mustAvoid(t *fleet.Target) bool {
 	return fl.quarantineStatus.Verdict == quarantine.Alone && fl.Quarantine.Occupied(t.ID, fl.fingerprint, fl.Now())
 }
 
-// chooseForStanding chooses a target by what is held against the request now, and begins
-// the trial of one that may only run alone.
+// chooseForStatus chooses a target according to the request's quarantine status. It starts
+// the probation run of a request that may run only one at a time.
 func (fl *flow) chooseForStatus(ctx context.Context) (*destination, *errkind.Error) {
 	if refusal := fl.checkQuarantine(); refusal != nil {
 		return nil, refusal
 	}
 	if fl.quarantineStatus.Verdict == quarantine.Held {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets ended under the request: it is held for a moment", fl.quarantineStatus.Ends)
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request; it is on hold until the crashes are attributed", fl.quarantineStatus.Ends)
 	}
 	dst, refusal := fl.choose(ctx)
 	if refusal != nil || fl.quarantineStatus.Verdict != quarantine.Alone {
 		return dst, refusal
 	}
 	if !fl.Quarantine.Begin(fl.fingerprint, dst.target.ID, fl.Now()) {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets ended under the request, and another try of it runs", fl.quarantineStatus.Ends)
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request, and another run of it is in progress", fl.quarantineStatus.Ends)
 	}
 	dst.probation = true
 	return dst, nil
 }
 
-// startRun notes the send, so that it can be given up when another target ends under the
-// same request. One that runs at most once is kept: it may have begun.
+// startRun registers the send, so that it can be cancelled when another target crashes
+// while it runs the same request. A request that may run only once is not cancelled, since
+// it may have started.
 func (fl *flow) startRun(dst *destination, cancel context.CancelCauseFunc) *quarantine.Run {
 	var abandonSend func()
 	if fl.route.Repeatable() {
@@ -85,7 +87,7 @@
 	return fl.Quarantine.Start(fl.fingerprint, dst.target.ID, abandonSend)
 }
 
-// endRun notes that the send has ended.
+// endRun unregisters the send.
 func (fl *flow) endRun(dst *destination, run *quarantine.Run) {
 	fl.Quarantine.Done(run)
 	fl.endProbation(dst)
@@ -97,18 +99,19 @@
 	}
 }
 
-// served notes that a target answered the request whole, and lives. It is counted for
-// requests that may run anywhere, too: one that is asked for all the time would otherwise
-// be refused after its third crash within the hour, whatever it was served between.
+// recordServed records that a target answered the request completely and survived. It is
+// recorded for all requests: one that is always running would otherwise be quarantined
+// after its third unrelated crash within the hour.
 func (fl *flow) recordServed() { fl.Quarantine.Served(fl.fingerprint) }
 
-// brokeOff reports whether an error is how the end of a target's process shows: its host
-// closes or resets the connection. A host that is dark or cut off answers nothing at all.
+// isDisconnect reports whether an error is a connection closed or reset by the target's
+// host, as when the target's process ends. An unresponsive or unreachable host closes
+// nothing.
 func isDisconnect(err error) bool {
 	return errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE)
 }
 
-// doubt is that the target has ended under the request now.
+// suspectedCrash describes a possible crash of the target while it ran the request.
 func (fl *flow) suspectedCrash(dst *destination) quarantine.Doubt {
 	return quarantine.Doubt{
 		Print: fl.fingerprint, Who: quarantine.Who{Workspace: fl.workspaceName(), Route: fl.routeName()},
@@ -116,8 +119,8 @@
 	}
 }
 
-// blame holds it against the request if its target has ended and did not only break the
-// connection off. It is called before the next send is placed, which goes by it.
+// attributeCrash attributes a broken connection to the request if the target crashed. It
+// must be called before the next send is placed, which depends on the request's status.
 func (fl *flow) attributeCrash(ctx context.Context, dst *destination, err error) {
 	if ctx.Err() != nil || !isDisconnect(err) {
 		return
@@ -135,8 +138,8 @@
 	}
 }
 
-// RecheckCrashes looks again at requests whose targets may have ended, by the newest view, and at
-// those that are held.
+// RecheckCrashes checks suspected crashes against the current view, and updates the
+// requests that are on hold. Call it when the view has changed.
 func (f *Forwarder) RecheckCrashes() {
 	defer func() { f.Quarantine.Settle(f.Now()) }()
 	v, ok := f.View()
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -11,10 +11,10 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/upstream"
 )
 
-// unknownAge is logged as the age of what was never heard.
+// unknownAge is logged as the age of something that was never reported.
 const unknownAge = time.Duration(-1)
 
-// since is how old a belief is, for the log.
+// age returns the time since at, rounded for the log.
 func (fl *flow) age(at time.Time) time.Duration {
 	if at.IsZero() {
 		return unknownAge
@@ -22,12 +22,11 @@
 	return fl.Now().Sub(at).Round(time.Millisecond)
 }
 
-// tenth rounds for the log.
 func roundForLog(d time.Duration) time.Duration { return d.Round(time.Millisecond / 10) }
 
-// logSend writes the line of a send before it is made, so that it is there also
-// when the process ends in the middle of the answer. It names what decided: the
-// versions and ages of the beliefs, and the estimate.
+// logSend logs a send before it is made, so that the line exists even if the process exits
+// during the response. It logs the inputs of the decision: versions, ages of reports, and
+// estimates.
 func (fl *flow) logSend(dst *destination) {
 	log := fl.RoutineLogger
 	if fl.retryCause != "" {
@@ -48,8 +47,8 @@
 		"patience", roundForLog(dst.maxWait), "kept", roundForLog(time.Since(fl.arrived)), "left", fl.timeLeft().Round(time.Millisecond))
 }
 
-// family names the prompt's shared parts, with the weights for which they are read: sends
-// of one family may use what one of them had read.
+// familyName returns the log's name for the prompt's shared parts at the version of the
+// weights. Sends with the same name can use each other's cached parts.
 func familyName(dst *destination) string {
 	if len(dst.partKeys) == 0 {
 		return ""
@@ -57,7 +56,7 @@
 	return strconv.FormatUint(uint64(dst.partKeys[len(dst.partKeys)-1]), 16)
 }
 
-// logAnswer writes a line for a send that brought no usable answer.
+// logFailedSend logs a send that brought no usable response.
 func (fl *flow) logFailedSend(dst *destination, resp *upstream.Response, err error) {
 	if err == nil && !isSendFailure(resp.Status) {
 		return
@@ -73,13 +72,12 @@
 		"status", status, "error", detail, "after", roundForLog(time.Since(fl.sentAt)))
 }
 
-// refusedOrFailed reports whether an answer of that status is no answer to the
-// request itself.
+// isSendFailure reports whether a status means that the send failed or was refused.
 func isSendFailure(status int) bool {
 	return status >= http.StatusInternalServerError || status == http.StatusMisdirectedRequest || status == http.StatusTooManyRequests
 }
 
-// count counts what a send means for waiting and for cached prompts.
+// countSend counts the waiting time and the cached tokens of the first send.
 func (fl *flow) countSend(dst *destination) {
 	if fl.sends > 1 {
 		return
@@ -91,8 +89,8 @@
 	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, dst.choice.Held+dst.choice.Fetched, fl.recomputedTokens(dst))
 }
 
-// wasted is how many of a prompt's shared tokens the engine reads although another
-// was believed to hold them.
+// recomputedTokens returns how many of a prompt's shared tokens the engine computes
+// although another target has them cached.
 func (fl *flow) recomputedTokens(dst *destination) int {
 	tokens := 0
 	for i, k := range dst.partKeys {
@@ -107,7 +105,7 @@
 	return max(tokens-dst.choice.Held-dst.choice.Fetched, 0)
 }
 
-// sharedTokens is the length of the prompt's parts that others use too.
+// sharedTokens returns the number of tokens in the prompt's shared parts.
 func (fl *flow) sharedTokens() int {
 	n := 0
 	for i := range max(len(fl.request.Parts)-1, 0) {
@@ -144,15 +142,15 @@
 	fl.logDone(nil)
 }
 
-// burn counts the request against its objective.
+// recordObjective counts whether the request met its objective.
 func (fl *flow) recordObjective(good bool) {
 	if fl.service != nil {
 		fl.Metrics.Burn(fl.serviceName(), fl.class(), fl.workspaceName(), good)
 	}
 }
 
-// failed counts a refusal or an answer that broke off. A caller's own mistake, or
-// leave, is not held against the service.
+// recordFailure counts a refusal or a truncated response. Errors of the caller, such as a
+// closed connection, don't count against the objective.
 func (fl *flow) recordFailure(e *errkind.Error) {
 	fl.Metrics.Refusal(fl.serviceName(), fl.class(), e.Kind.String())
 	if isServiceFault(e) {
@@ -161,16 +159,16 @@
 	fl.logDone(e)
 }
 
-// ofTheService reports whether a refusal is the service's doing. What callers do
-// wrong is ordinary: a flood of it must not take the log from the others.
+// isServiceFault reports whether a refusal is the service's fault. Errors of callers are
+// logged as routine, so that a flood of them doesn't displace other lines.
 func isServiceFault(e *errkind.Error) bool {
 	if e.Kind == errkind.Quarantined {
-		return false // the request ends what runs it
+		return false // the request crashes its targets
 	}
 	return e.Kind.Row().Status >= http.StatusInternalServerError || e.Kind == errkind.Overloaded
 }
 
-// logDone writes the line that ends a request's story.
+// logDone logs the outcome of the request.
 func (fl *flow) logDone(e *errkind.Error) {
 	outcome, detail, retryAfter := "answered", "", time.Duration(0)
 	log := fl.RoutineLogger
--- a/internal/gateway/forward/refusal.go
+++ b/internal/gateway/forward/refusal.go
@@ -7,7 +7,7 @@
 	"github.com/toucanwell/toucanwell/internal/errkind"
 )
 
-// problem is the body of an own refusal.
+// problem is the body of a refusal that the entry itself makes (RFC 9457).
 type problem struct {
 	Type         string `json:"type"`
 	Title        string `json:"title"`
@@ -17,7 +17,7 @@
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 }
 
-// refuse answers with a refusal. Nothing of another answer has been written.
+// refuse answers the request with an error. No byte of a response may have been written.
 func (fl *flow) refuse(e *errkind.Error) {
 	row := e.Kind.Row()
 	fl.recordFailure(e)
@@ -38,19 +38,19 @@
 		fl.Logger.Error(err, "encode_problem", "request_id", fl.request.ID)
 	}
 	fl.w.WriteHeader(row.Status)
-	_, _ = fl.w.Write(body) // a caller that has gone needs no refusal
+	_, _ = fl.w.Write(body) // the caller may have gone
 }
 
-// breakOff ends an answer that cannot be completed, so that it does not look
-// complete: the connection is closed without the mark of the answer's end.
+// abort closes the connection without terminating the response body, so that the caller
+// can't take a truncated response for a complete one.
 func (fl *flow) abort(e *errkind.Error) {
 	fl.recordFailure(e)
 	panic(http.ErrAbortHandler)
 }
 
-// sendElsewhere asks the caller to use another connection next time, while this
-// entry stops or is cut off: a kept connection stays with its entry. The view is
-// read anew, because the process may have begun to stop since.
+// setConnectionClose asks the caller to reconnect, while this entry is stopping or cut off,
+// so that a load balancer can choose another entry. It reads the current view, since the
+// process may have begun to stop while the request ran.
 func (fl *flow) setConnectionClose(header http.Header) {
 	if v, ok := fl.View(); ok && v.Stopping || fl.Reach.CutOff(fl.Now()) {
 		header.Set("Connection", "close")
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -15,12 +15,12 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/upstream"
 )
 
-// maxHeld is the largest answer that is held until it is whole. A cut one can
-// then be asked for elsewhere, or refused; a larger one is passed on as it
-// comes.
+// maxBuffered is the largest response that is buffered until it is complete. If a buffered
+// response is truncated, the request can still be retried or refused; larger responses are
+// streamed.
 const maxBuffered = 1 << 20
 
-// relayWhole passes an answer on once it is there to its end.
+// relayWhole relays a response after it has been received completely.
 func (fl *flow) relayWhole(ctx context.Context, dst *destination, resp *upstream.Response) sendResult {
 	body, err := io.ReadAll(io.LimitReader(resp, maxBuffered+1))
 	if err != nil {
@@ -53,7 +53,7 @@
 	return sendResult{final: true}
 }
 
-// noDefaults keeps the server from adding headers that the target did not send.
+// suppressDefaultHeaders keeps net/http from adding headers that the target did not send.
 func suppressDefaultHeaders(header http.Header) {
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := header[name]; !ok {
@@ -62,7 +62,7 @@
 	}
 }
 
-// cut judges an answer that broke off.
+// handleBroken handles a response that was truncated.
 func (fl *flow) handleBroken(ctx context.Context, dst *destination, err error) sendResult {
 	if ctx.Err() != nil && !abandoned(ctx) {
 		return sendResult{final: true, refusal: fl.contextRefusal(ctx)}
@@ -73,11 +73,11 @@
 	if fl.responseStarted {
 		kind = errkind.StreamBroken
 	}
-	return sendResult{refusal: errkind.New(kind, "the answer broke off: %v", err)}
+	return sendResult{refusal: errkind.New(kind, "the response was truncated: %v", err)}
 }
 
-// relayStream passes a stream on event by event. The head is held until the
-// first event, so that a target that fails before it costs the caller nothing.
+// relayStream relays a stream event by event. The response head is delayed until the first
+// event, so that the request can be retried if the target fails before it.
 func (fl *flow) relayStream(ctx context.Context, dst *destination, resp *upstream.Response, item *ledger.Item, maxWaitTimer *time.Timer, watch *engineWatch, run *quarantine.Run) sendResult {
 	reader := events.NewReader(resp)
 	flusher := http.NewResponseController(fl.w)
@@ -114,7 +114,7 @@
 	}
 }
 
-// noteEvent keeps the longest pause between two events.
+// recordEvent counts an event and updates the longest gap between events.
 func (fl *flow) recordEvent() {
 	now := time.Now()
 	if fl.eventCount > 0 {
@@ -131,7 +131,7 @@
 	return flusher.Flush()
 }
 
-// firstEvent writes the head of the answer, unless an earlier target's stands.
+// writeHead writes the response head, unless the stream is being resumed.
 func (fl *flow) writeHead(dst *destination, resp *upstream.Response) {
 	if fl.responseStarted {
 		fl.Metrics.Resume()
@@ -147,11 +147,12 @@
 	fl.w.WriteHeader(resp.Status)
 }
 
-// unhindered is the expected wait up to which a prompt counts as having met no
-// others at its engine.
+// maxUnqueuedWait is the longest expected wait with which a prompt counts as not queued
+// behind others.
 const maxUnqueuedWait = 3 * time.Millisecond
 
-// learnReadTime takes in how long an engine took to read a prompt.
+// learnPrefillTime updates the pace of the engine and, if the prompt was not queued, the
+// model of prefill times.
 func (fl *flow) learnPrefillTime(dst *destination) {
 	if dst.choice.ReadTokens > 0 {
 		fl.paces.Note(dst.target.Life, time.Since(fl.sentAt), dst.expectedFirstEvent, fl.Now())
@@ -162,7 +163,7 @@
 	fl.prefillTime.Note(dst.choice.ReadTokens, time.Since(fl.sentAt)-dst.choice.Fetch)
 }
 
-// streamEnded judges a stream that came to its end.
+// finishStream handles the regular end of a stream.
 func (fl *flow) finishStream(dst *destination) sendResult {
 	if !fl.responseStarted {
 		fl.excluded[dst.target.Life] = true
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -22,80 +22,81 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// destination is where one send goes, and with what.
+// destination is the target of a send, and how to send the request there.
 type destination struct {
 	target fleet.Target
 	work   ledger.Work
-	// The following are set for prompts.
+	// The following fields are set for prompts only.
 	cacheScope     string
 	weightsVersion int64
 	fetchFrom      netip.AddrPort
 	offloadTo      string
 	partKeys       []parts.Key
 	choice         placement.Choice
-	// carry is how long the link of the source probably carries what is fetched.
+	// linkTime is how long the source's link is expected to take for the fetched parts.
 	linkTime time.Duration
-	// intake is how many tokens the engine's memory takes in.
+	// memoryTokens is the number of tokens that the request adds to the engine's memory.
 	memoryTokens int
-	// expected is the time to the first event at an engine of ordinary pace.
+	// expectedFirstEvent is the time to the first event at an engine of normal pace.
 	expectedFirstEvent time.Duration
-	// standing is what was held against the request when the target was chosen, and trial
-	// is set when the send is the only one of it that may run.
+	// quarantineStatus is the request's status when the target was chosen. probation is set
+	// if the send is a probation run.
 	quarantineStatus quarantine.Standing
 	probation        bool
-	// probed is set when sidecars were asked, coming when an engine among theirs reads
-	// what the prompt lacks.
+	// probed is set if the target was chosen by probes, inProgress if a probed engine is
+	// computing parts that the chosen one lacks.
 	probed, inProgress bool
-	// asked is how many sidecars were, word what the chosen engine's answered.
+	// probeCount is the number of engines probed, probeAnswer the answer of the chosen one.
 	probeCount  int
 	probeAnswer probe.Answer
-	// first is the family's first engine, whose sidecar knows where its parts are read;
-	// firstNumber is the send's number there, zero when it was not told.
+	// familyFirst is the best ranked engine of the prompt's family, whose sidecar tracks
+	// where the family's parts are computed. familyFirstSendID is the ID of the send at
+	// that sidecar; zero if the send was not reported to it.
 	familyFirst       netip.AddrPort
 	familyFirstSendID uint32
-	// slower is by how much the engine is slower than expected; at least 1.
+	// slowdown is the factor by which the engine is slower than predicted; at least 1.
 	slowdown float64
-	// number is the send's, among those that the engine's sidecar was told of.
+	// sendID identifies the send at the engine's sidecar.
 	sendID uint32
-	// patience is how long the first byte is awaited; zero until the deadline.
+	// maxWait is how long to wait for the first byte; zero means until the deadline.
 	maxWait time.Duration
 }
 
-// sendRecord is what the log tells of the last send.
+// sendRecord is what is logged of the last send.
 type sendRecord struct {
 	incarnation fleet.Life
 	status      int
 }
 
-// verdict is what became of a send.
+// sendResult is the result of a send.
 type sendResult struct {
-	// end is set when no further send may follow.
+	// final is set if the request must not be sent again.
 	final bool
-	// refusal is what the caller would be told; nil with end means that it has
-	// the answer.
+	// refusal is the error for the caller if there is no further send. It is nil if final
+	// is set and the response was relayed.
 	refusal *errkind.Error
-	// notRun is set when the target certainly did not run the request.
+	// notRun is set if the target certainly did not run the request.
 	notRun bool
 }
 
-// tellFrom is the reading from which other entries are told at once of a prompt.
-// Engines read prompts one after the other: a small one that is sent behind a
-// long one, of which its entry has not heard yet, waits for all of it.
+// announcePrefill is the prefill time from which a prompt is announced to the other entries
+// at once. An entry that doesn't know of a long prefill could queue a short prompt behind
+// it.
 const announcePrefill = 60 * time.Millisecond
 
-// gaveUp reports whether the send was given up, and not the request.
+// abandoned reports whether only the send was cancelled, not the whole request.
 func abandoned(ctx context.Context) bool {
 	cause := context.Cause(ctx)
 	return errors.Is(cause, errMaxWait) || errors.Is(cause, errUnresponsive) || errors.Is(cause, errCrashedElsewhere)
 }
 
-// errImpatient is the cause of sends that were given up for another target.
-var errMaxWait = errors.New("no answer in the time set for one target")
+// errMaxWait is the cause of sends that were cancelled to try another target.
+var errMaxWait = errors.New("no response within the maximum wait for one target")
 
-// send makes one send and passes on what comes.
+// send makes one send and relays the response.
 func (fl *flow) send(ctx context.Context, dst *destination) sendResult {
 	fl.sends++
-	// The following are taken back when they turn out not to be so.
+	// Both are decremented again if the send did not reach the target or did not run.
 	fl.delivered++
 	fl.runs++
 	fl.lastSend = sendRecord{incarnation: dst.target.Life}
@@ -150,15 +151,14 @@
 	return fl.relayWhole(ctx, dst, resp)
 }
 
-// beginFetch counts what the send fetches against its source's link, so that others do
-// not all wait for the same one.
+// beginFetch adds the fetch to the work of the source's link, so that other prompts take
+// its queue into account.
 func (fl *flow) beginFetch(dst *destination) *ledger.Item {
 	return fl.Ledger.Begin(linkID(dst.fetchFrom), ledger.Work{Reading: ledger.Lane(0, dst.linkTime)}, fl.linkQueue(dst.fetchFrom), fl.Now())
 }
 
-// noteParts notes that the engine, and the store that it saves to, read the
-// prompt's parts or have read them.
-// It reports whether the other entries should hear of it.
+// recordParts records that the engine, and the store that it offloads to, has the prompt's
+// parts or is computing them. It reports whether the other entries should be told.
 func (fl *flow) recordParts(dst *destination, done bool) bool {
 	updated := fl.Parts.Note(dst.target.ID, dst.partKeys, done, fl.Now())
 	if dst.offloadTo != "" {
@@ -195,19 +195,18 @@
 }
 
 const (
-	// ranks is how many ranks requests that can be in time have; as many follow for
-	// those that cannot.
+	// onTimePriorities is the number of priorities for requests that can be answered in
+	// time; as many follow for late ones.
 	onTimePriorities = ledger.Urgencies / 2
-	// routeStep is by how much a workspace's priority outweighs a route's.
+	// workspaceStep is the weight of a workspace's priority relative to a route's.
 	workspaceStep = 2
 )
 
-// urgency ranks the request at an engine: those that can be in time come first, among
-// them the workspace's priority decides, and within one workspace the route's.
+// priority returns the request's rank at an engine, 0 first. Requests that can be in time
+// precede late ones; within both, the workspace's priority decides before the route's.
 //
-// The load pattern that it answers: more prompts come than the engines can read, short
-// ones of an urgent route and long ones of another. Ranked alike, or last once they are
-// late, the short ones wait for all long ones until their callers leave.
+// When prompts exceed the engines' prefill capacity, short prompts of an urgent route thus
+// don't queue behind long prompts of another one, even if they are late.
 func (fl *flow) priority(late bool) int {
 	rank := max(fl.route.Priority, 0)
 	if fl.workspace != nil && fl.workspace.HasPriority {
@@ -220,7 +219,7 @@
 	return rank
 }
 
-// failedSend judges a send that brought no answer.
+// handleFailedSend handles a send that got no response.
 func (fl *flow) handleFailedSend(ctx context.Context, dst *destination, err error) sendResult {
 	if ctx.Err() != nil && !abandoned(ctx) {
 		return sendResult{final: true, refusal: fl.contextRefusal(ctx)}
@@ -239,8 +238,8 @@
 	return sendResult{refusal: errkind.New(errkind.TargetFailed, "%v", err)}
 }
 
-// judgeBroken takes in that a send brought no answer, or half of one. A send that was
-// given up for the sake of another target says nothing of its own.
+// recordBroken records the outcome of a send with no response or a truncated one. A send
+// that was cancelled because of another target's crash says nothing about its target.
 func (fl *flow) recordBroken(ctx context.Context, dst *destination, err error) {
 	if errors.Is(context.Cause(ctx), errCrashedElsewhere) {
 		fl.CrashDetector.GivenUp(fl.suspectedCrash(dst))
@@ -250,7 +249,7 @@
 	fl.attributeCrash(ctx, dst, err)
 }
 
-// notRunBy judges a target's word that it did not run the request.
+// handleNotRun handles a target's statement that it did not run the request.
 func (fl *flow) handleNotRun(dst *destination, resp *upstream.Response, reply wire.Reply) sendResult {
 	fl.runs--
 	fl.excluded[dst.target.Life] = true
@@ -265,19 +264,19 @@
 	return sendResult{notRun: true, refusal: refusal}
 }
 
-// maxDrain bounds what is read of an answer that nobody wants, to keep its
-// connection.
+// maxDrain limits how much of a discarded response is read to keep its connection.
 const maxDrain = 16 << 10
 
 func drain(resp *upstream.Response) { _, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDrain)) }
 
-// unusable sorts out answers that must not reach the caller as they are.
+// checkResponse reports whether a response may be relayed to the caller, and returns the
+// result of the send if not.
 func (fl *flow) checkResponse(ctx context.Context, dst *destination, resp *upstream.Response, reply wire.Reply) (sendResult, bool) {
 	success := resp.Status < http.StatusMultipleChoices
 	if reply.Encoded || success && (!reply.Sealed || reply.ID != fl.request.ID) {
 		fl.recordOutcome(dst, health.Broken)
 		fl.excluded[dst.target.Life] = true
-		return sendResult{refusal: errkind.New(errkind.TargetFailed, "the target's answer is not sealed or encoded")}, false
+		return sendResult{refusal: errkind.New(errkind.TargetFailed, "the target's response is not sealed or is encoded")}, false
 	}
 	if resp.Status >= http.StatusInternalServerError {
 		fl.recordOutcome(dst, health.Failed)
@@ -289,7 +288,7 @@
 	}
 	if fl.responseStarted && !success {
 		fl.excluded[dst.target.Life] = true
-		return sendResult{refusal: errkind.New(errkind.StreamBroken, "continuing gave status %d", resp.Status)}, false
+		return sendResult{refusal: errkind.New(errkind.StreamBroken, "resuming the stream failed with status %d", resp.Status)}, false
 	}
 	return sendResult{}, true
 }
--- a/internal/gateway/forward/sources.go
+++ b/internal/gateway/forward/sources.go
@@ -12,12 +12,13 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/placement"
 )
 
-// scopeAt is the cache scope of the request at weights of a version.
+// cacheScopeAt returns the cache scope of the request for a version of the weights.
 func (fl *flow) cacheScopeAt(version int64) string {
 	return parts.Scope(fl.request.Model, version, fl.isolatedWorkspace())
 }
 
-// isolated is the request's workspace, where that shares no part with others.
+// isolatedWorkspace returns the name of the request's workspace if that shares no parts
+// with others, else "".
 func (fl *flow) isolatedWorkspace() string {
 	if fl.workspace != nil && fl.workspace.Isolated {
 		return fl.workspace.Name
@@ -25,40 +26,42 @@
 	return ""
 }
 
-// prompt is what is believed of a prompt's shared parts at weights of one version.
+// promptLocations is where the shared parts of a prompt are cached, for one version of the
+// weights.
 type promptLocations struct {
-	// held is how many tokens of its beginning each target holds.
+	// cached is how many tokens of the prompt's prefix each target has cached.
 	cached map[fleet.ID]int
-	// shared is how many tokens they have.
+	// sharedTokens is the number of tokens in the shared parts.
 	sharedTokens int
-	// sources are where an engine that lacks some can fetch them from.
+	// sources are where an engine can fetch missing parts from.
 	sources []source
 }
 
-// source is a place other than an engine itself that holds the beginning of a prompt.
+// source is an engine or a store from which other engines can fetch the prefix of a prompt.
 type source struct {
 	id      fleet.ID
 	address netip.AddrPort
 	zone    string
-	// peer sources are engines: they have faster links than stores, and are many.
+	// peer is set if the source is an engine; engines are preferred to stores because their
+	// links are faster and more numerous.
 	peer   bool
 	tokens int
-	// unknown sources may hold more than is known: the prompt's store, while nobody
-	// tells of it.
+	// unknown is set if the source may have more tokens cached than is known. This applies
+	// to the prompt's store while nothing is known of its content.
 	unknown bool
-	// rate is how many tokens its link carries in a millisecond.
+	// rate is the number of tokens that its link transfers per millisecond.
 	rate float64
 }
 
-// prompts holds the prompt at each version of the weights that some engine has.
+// versionLocations looks up the locations of a prompt once per version of the weights.
 type versionLocations struct {
 	fl        *flow
 	retention time.Duration
 	byVersion map[int64]*promptLocations
 }
 
-// promptsByVersion looks the prompt up once for each version; kept is for how long
-// engines keep parts that are not used.
+// locationsByVersion returns an empty set of lookups. Engines keep unused parts for the
+// given retention.
 func (fl *flow) locationsByVersion(retention time.Duration) *versionLocations {
 	return &versionLocations{fl: fl, retention: retention, byVersion: map[int64]*promptLocations{}}
 }
@@ -72,7 +75,7 @@
 	return found
 }
 
-// keysAt are the keys of the prompt's shared parts at weights of a version.
+// partKeysAt returns the keys of the prompt's shared parts for a version of the weights.
 func (fl *flow) partKeysAt(version int64) []parts.Key {
 	return parts.Keys(fl.cacheScopeAt(version), fl.request.Parts)
 }
@@ -91,8 +94,8 @@
 	return p
 }
 
-// addStores adds the stores of cached parts. The prompt's own is a source also when it
-// is not known to hold any of it: asking for a part that it lacks costs a millisecond.
+// addStores adds the stores that have some of the prompt cached. The prompt's own store is
+// added even if it is not known to have any: a miss costs only a millisecond.
 func (p *promptLocations) addStores(fl *flow, keys []parts.Key) {
 	own := fl.storeOf(keys)
 	for _, s := range fl.view.Estate.Stores() {
@@ -107,7 +110,7 @@
 	}
 }
 
-// addPeers adds the engines that hold some of the prompt.
+// addPeers adds the engines that have some of the prompt cached.
 func (p *promptLocations) addPeers(fl *flow, version int64) {
 	targets := fl.view.Targets[fl.service.Name]
 	for i := range targets {
@@ -122,26 +125,27 @@
 	}
 }
 
-// linkID names the link of a source among the targets at which work is counted.
+// linkID returns the ID under which the work of a source's link is counted.
 func linkID(address netip.AddrPort) fleet.ID { return fleet.IDOf("link " + address.String()) }
 
-// fullLink is the queue from which a store of which nothing is known is not asked: what
-// it may have would come later than it is read.
+// maxLinkQueue is the queue from which a store of unknown content is not asked: computing
+// the parts would be faster.
 const maxLinkQueue = 150 * time.Millisecond
 
-// linkQueue is the time until a link has carried what prompts of all entries wait for.
+// linkQueue returns the time that a link needs for the fetches that all entries have
+// queued.
 func (fl *flow) linkQueue(address netip.AddrPort) time.Duration {
 	work := fl.totalWork[linkID(address)]
 	return work.Reading.All()
 }
 
-// linkRate is how many of the service's tokens a link carries in a millisecond.
+// linkRate returns how many of the service's tokens a link transfers per millisecond.
 func (fl *flow) linkRate(mbps float64) float64 {
 	return mbps * 1e6 / 8 / 1000 / max(float64(fl.service.Engine.TokenBytes), 1)
 }
 
-// addTo fills in what a candidate holds of the prompt, and from where it best fetches
-// the rest: from where most of it is, near by, and from an engine before a store.
+// fillCandidate sets how much of the prompt a candidate has cached, and its best source for
+// the rest.
 func (p *promptLocations) fillCandidate(c *placement.Candidate, t *fleet.Target) {
 	c.Held = p.cached[t.ID]
 	best := -1
@@ -158,11 +162,11 @@
 	c.Fetchable = s.tokens
 }
 
-// probableShare is the share of a prompt that a store of which nothing is known counts
-// as holding: it has room for most of what is shared.
+// unknownStoreShare is the share of a prompt that a store of unknown content is expected to
+// have.
 const unknownStoreShare = 0.6
 
-// probable is how many tokens a source probably has of the prompt.
+// expectedTokens returns how many tokens of the prompt a source is expected to have.
 func (p *promptLocations) expectedTokens(s *source) int {
 	if s.unknown {
 		return max(s.tokens, int(unknownStoreShare*float64(p.sharedTokens)))
@@ -170,11 +174,13 @@
 	return s.tokens
 }
 
-// betterThan compares two sources for an engine in a zone.
+// betterThan reports whether s is a better source than other for an engine in a zone: the
+// one with more of the prompt, then the one in the same zone, then an engine before a
+// store.
 //
-// The failure guarded against: all processes have started again, and know of engines
-// that hold the part that all prompts begin with. Fetched from there, the rest is read
-// again although the store holds all of it.
+// The expected tokens of a store of unknown content matter after a restart of all
+// processes: engines that are known to have just the first part must not win over a store
+// that probably has all parts.
 func (p *promptLocations) betterThan(s, other *source, zone string) bool {
 	if a, b := p.expectedTokens(s), p.expectedTokens(other); a != b {
 		return a > b
@@ -185,8 +191,8 @@
 	return s.peer && !other.peer
 }
 
-// storeOf returns the store of a prompt's parts, or nil. Where there are several
-// each has its share of the families, so that together they hold more.
+// storeOf returns the store of a prompt's parts, or nil. Families are distributed over the
+// stores by rendezvous hashing.
 func (fl *flow) storeOf(keys []parts.Key) *estate.Service {
 	if len(keys) == 0 {
 		return nil
@@ -202,17 +208,17 @@
 	return best
 }
 
-// minSharedShare is the least share of a saved prompt that others use too. The
-// prompt's own part is sent with the rest and drives out what others need.
+// minSharedShare is the least share of shared tokens in a prompt that is offloaded. The
+// prompt's own part is offloaded with the rest and evicts parts that others use.
 const minSharedShare = 0.4
 
-// saved reports whether prompts like this one are saved to stores.
+// shouldOffload reports whether a prompt is worth offloading to a store.
 func shouldOffload(in *placement.Question) bool {
 	return float64(in.Shared) >= minSharedShare*float64(in.Shared+in.Own)
 }
 
-// saveTo returns the store that the prompt's parts are to be sent to: one that
-// neither holds them nor is about to. Saving them again would fill its link.
+// offloadTo returns the address of the store to offload the prompt's parts to, or "" if the
+// store has them or is receiving them.
 func (fl *flow) offloadTo(keys []parts.Key, in *placement.Question) string {
 	if len(keys) == 0 || !shouldOffload(in) {
 		return ""
@@ -228,5 +234,5 @@
 	return s.Store.Address.String()
 }
 
-// storeID names a store of cached parts among targets.
+// storeID returns the ID of a store among the targets.
 func storeID(address string) fleet.ID { return fleet.IDOf(address) }
--- a/internal/gateway/forward/unresponsive.go
+++ b/internal/gateway/forward/unresponsive.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// darkCheck is the silence of an engine after which its sidecar is asked about it, and
-	// the time between two such questions. An engine under load pauses for half a second.
+	// silenceCheckInterval is how long an engine may be silent before its sidecar is asked
+	// about it, and the time between two such checks. Engines under load pause for half a
+	// second.
 	silenceCheckInterval = time.Second
-	// darkChecks is how many times in a row the sidecar must say that the engine does not
-	// answer it: an engine that lists its cache is held up for a moment too.
+	// unresponsiveChecks is how many consecutive times the sidecar must report the engine
+	// unresponsive: listing its cache also blocks an engine for a moment.
 	unresponsiveChecks = 2
 )
 
-// errDark is the cause of sends that were given up because their engine went dark.
-var errUnresponsive = errors.New("the engine does not answer its own sidecar")
+// errUnresponsive is the cause of sends that were cancelled because the engine became
+// unresponsive.
+var errUnresponsive = errors.New("engine does not respond to its sidecar")
 
-// darkWatch ends a send whose engine has gone dark.
+// engineWatch cancels a send whose engine has become unresponsive.
 //
-// The failure guarded against: an engine stops part way through an answer, and its
-// connection stays open because its host lives. The caller sees nothing come, not even a
-// failure, until it gives up. Its engine's silence alone is no reason to end an answer:
-// only its own sidecar can tell an engine that is busy from one that is gone.
+// An engine that hangs on a live host leaves its connection open: without the watch the
+// caller would wait until its deadline. Silence alone doesn't cancel a send, because the
+// engine may just be busy; its sidecar can tell the difference.
 type engineWatch struct {
 	fl     *flow
 	ctx    context.Context
@@ -43,7 +44,7 @@
 	stopped           bool
 }
 
-// watchDark begins to watch the engine of a send. It returns nil for targets that have no
+// watchEngine starts to watch the engine of a send. It returns nil for targets that have no
 // sidecar.
 func (fl *flow) watchEngine(ctx context.Context, dst *destination, cancel context.CancelCauseFunc) *engineWatch {
 	if fl.service.Engine == nil {
@@ -56,7 +57,7 @@
 	return w
 }
 
-// heard notes that something came from the engine.
+// received records that the engine sent something. It may be called on a nil watch.
 func (w *engineWatch) received() {
 	if w == nil {
 		return
@@ -76,7 +77,8 @@
 	w.timer.Stop()
 }
 
-// check asks after the engine when it has been silent for darkCheck.
+// check asks the sidecar about an engine that has been silent for silenceCheckInterval, and
+// cancels the send when the sidecar has reported it unresponsive often enough.
 func (w *engineWatch) check() {
 	if wait := w.untilCheck(); wait > 0 {
 		w.reschedule(wait)
@@ -98,7 +100,7 @@
 	w.cancel(errUnresponsive)
 }
 
-// untilCheck is how long the engine's silence must last until it is asked after.
+// untilCheck returns the time until the next check is due.
 func (w *engineWatch) untilCheck() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// isDark reports whether an engine's sidecar says that the engine does not answer it.
+// isUnresponsive reports whether the engine does not respond to its own sidecar.
 func (fl *flow) isUnresponsive(ctx context.Context, dst *destination) bool {
 	if v, ok := fl.View(); ok && v.Silent[dst.target.Address] {
 		return true
