--- a/internal/gateway/forward/earlyresponse_test.go
+++ b/internal/gateway/forward/earlyresponse_test.go
@@ -13,8 +13,8 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire/wiretest"
 )
 
-// earlyTarget answers a request when it has its head, keeps the connection and
-// reads the body later. mixed counts bodies in which another request began.
+// earlyResponder responds as soon as it has the request head, keeps the connection open and
+// reads the body afterwards. misread counts requests found within a body.
 type earlyResponder struct {
 	address netip.AddrPort
 	misread atomic.Int32
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -14,10 +14,9 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire/wiretest"
 )
 
-// A trader files a renewal. The target runs it and the connection breaks before
-// the answer. The trader must not be billed twice, and must not read that it
-// did not run.
-func TestLostAnswerOfACallThatRunsOnceIsNotRepeated(t *testing.T) {
+// A connection breaks after a non-idempotent request was sent. The request must not be sent
+// again, and must not be reported as not run.
+func TestNonIdempotentRequestIsNotRetriedAfterLostResponse(t *testing.T) {
 	broken := func(w io.Writer, r *http.Request, body string) bool { return false }
 	a, b := startTarget(t, "a", broken), startTarget(t, "b", broken)
 	env := newTestEnv(t, a, b)
@@ -26,16 +25,16 @@
 		t.Fatal(err)
 	}
 	if runs := a.runs.Load() + b.runs.Load(); runs != 1 {
-		t.Errorf("the call was sent %d times", runs)
+		t.Errorf("the request was sent %d times", runs)
 	}
 	if resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("status %d; 429 and 503 would say that it did not run", resp.StatusCode)
+		t.Errorf("status %d, want 502; 429 and 503 mean that the request did not run", resp.StatusCode)
 	}
 }
 
-// The first target is full and says that it did not run the call. Another one
-// takes it; the caller sees one answer.
-func TestRefusedCallGoesToAnotherTarget(t *testing.T) {
+// A target states that it did not run a non-idempotent request. The request must be sent to
+// another target.
+func TestRefusedRequestGoesToAnotherTarget(t *testing.T) {
 	var a, b *fakeTarget
 	refuseFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
@@ -52,13 +51,13 @@
 		t.Fatalf("status %v, body %q, error %v", resp, body, err)
 	}
 	if a.runs.Load() != 1 || b.runs.Load() != 1 {
-		t.Errorf("sends: %d and %d", a.runs.Load(), b.runs.Load())
+		t.Errorf("sends: %d and %d, want 1 and 1", a.runs.Load(), b.runs.Load())
 	}
 }
 
-// All targets are full. The caller reads that the call did not run, and when to
-// come back; nothing is held until the deadline.
-func TestFullTargetsAreToldAtOnce(t *testing.T) {
+// If all targets refuse, the caller must get a retryable error at once, not at the
+// deadline.
+func TestFullTargetsAreRefusedAtOnce(t *testing.T) {
 	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		return a.writeNotRun(w, r, http.StatusServiceUnavailable)
@@ -73,13 +72,12 @@
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if took := time.Since(start); took > time.Second {
-		t.Errorf("held for %v", took)
+		t.Errorf("refused after %v", took)
 	}
 }
 
-// A target answers a question with an error of its own, which may be a passing
-// one. A question may be asked again; the caller gets the good answer.
-func TestFailedQuestionIsAskedElsewhere(t *testing.T) {
+// An idempotent request that failed with 500 is retried at another target.
+func TestFailedIdempotentRequestIsRetried(t *testing.T) {
 	var a, b *fakeTarget
 	failFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
@@ -97,9 +95,9 @@
 	}
 }
 
-// The last target that may be tried fails. Its own answer is passed on as it
-// is, with its seal: an own failure with its seal would be a forgery.
-func TestLastFailureIsTheTargetsOwn(t *testing.T) {
+// A failure of the last target to be tried must be relayed with its seal, not replaced by
+// the entry's own error.
+func TestLastFailureIsRelayedUnchanged(t *testing.T) {
 	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		return a.writeSealed(w, r, http.StatusInternalServerError, "broken")
@@ -111,11 +109,11 @@
 	}
 }
 
-// A faulty target spoils answers: without its seal, with another request's id,
-// compressed, or cut short. None may reach the caller as a success.
-func TestSpoiledAnswersAreNoSuccess(t *testing.T) {
+// Responses without a seal, with another request's ID, with a content encoding or truncated
+// must not be relayed as a success.
+func TestInvalidResponsesAreNotRelayed(t *testing.T) {
 	id := func(r *http.Request) string { return r.Header.Get(wiretest.ID) }
-	spoiled := map[string]func(w io.Writer, r *http.Request, body string) bool{
+	responses := map[string]func(w io.Writer, r *http.Request, body string) bool{
 		"no seal": func(w io.Writer, r *http.Request, body string) bool {
 			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok", wiretest.ID, id(r))
 			return true
@@ -137,9 +135,9 @@
 			return false
 		},
 	}
-	for name, answer := range spoiled {
+	for name, handle := range responses {
 		t.Run(name, func(t *testing.T) {
-			a := startTarget(t, "a", answer)
+			a := startTarget(t, "a", handle)
 			env := newTestEnv(t, a)
 			resp, body, err := env.post(t, "/once/x", "")
 			if err != nil || resp.StatusCode != http.StatusBadGateway {
@@ -149,9 +147,9 @@
 	}
 }
 
-// A target sends a second answer to a request, late: it lies on the kept
-// connection when the next request comes. Each caller gets its own answer.
-func TestLateSecondAnswerReachesNobody(t *testing.T) {
+// A target sends a second response on a kept-alive connection. The next request must not
+// get it.
+func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		if a.runs.Load() == 2 {
@@ -168,9 +166,8 @@
 	}
 }
 
-// An answer without a length ends with its connection. Closed in order it is
-// whole.
-func TestAnswerWithoutALengthIsWholeWhenItsConnectionCloses(t *testing.T) {
+// A response without a length is complete when its connection is closed in order.
+func TestResponseWithoutLengthEndsWithItsConnection(t *testing.T) {
 	a := startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\n\r\nunframed", wiretest.ID, r.Header.Get(wiretest.ID), wiretest.Seal)
 		return false
@@ -182,17 +179,16 @@
 	}
 }
 
-// An engine breaks off in the middle of an event. The stream may be resumed: it
-// goes on at another engine after the last whole event, and the reader sees
-// each event once and in order, under the first engine's head.
-func TestStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
+// An engine fails in the middle of an event on a resumable route. The stream must continue
+// at another engine, with each event relayed once and in order.
+func TestStreamResumesAfterLastWholeEvent(t *testing.T) {
 	var a, b *fakeTarget
 	serve := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			(*self).writeStreamHead(w, r)
 			if last := r.Header.Get(wiretest.LastEvent); last != "" {
 				if last != "2" {
-					t.Errorf("the rest was asked for after event %s", last)
+					t.Errorf("resumed after event %s, want 2", last)
 				}
 				writeChunk(w, event(3)+event(4))
 				io.WriteString(w, "0\r\n\r\n")
@@ -210,18 +206,18 @@
 		t.Fatal(err)
 	}
 	if want := event(1) + event(2) + event(3) + event(4); body != want {
-		t.Errorf("the reader got %q", body)
+		t.Errorf("got %q", body)
 	}
 	if a.runs.Load() != 1 || b.runs.Load() != 1 {
-		t.Errorf("sends: %d and %d", a.runs.Load(), b.runs.Load())
+		t.Errorf("sends: %d and %d, want 1 and 1", a.runs.Load(), b.runs.Load())
 	}
 	if resp.Header.Get(wiretest.Seal) == "" {
 		t.Error("the head has no seal")
 	}
 }
 
-// The same on a route that may not be resumed: the rest is not asked for, and
-// the answer does not look complete.
+// On a route that is not resumable, a broken stream is not sent again and must not look
+// complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	var a, b *fakeTarget
 	serve := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
@@ -235,15 +231,15 @@
 	env := newTestEnv(t, a, b)
 	_, body, err := env.post(t, "/stream/x", "")
 	if err == nil {
-		t.Errorf("the answer looks complete: %q", body)
+		t.Errorf("the response looks complete: %q", body)
 	}
 	if runs := a.runs.Load() + b.runs.Load(); runs != 1 {
 		t.Errorf("the stream was sent %d times", runs)
 	}
 }
 
-// Events reach the caller as they come, not at the stream's end.
-func TestEventsArePassedOnAsTheyCome(t *testing.T) {
+// Events must not be buffered until the end of the stream.
+func TestEventsAreRelayedImmediately(t *testing.T) {
 	proceed := make(chan struct{})
 	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
@@ -267,18 +263,17 @@
 	defer resp.Body.Close()
 	first := make([]byte, len(event(1)))
 	if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != event(1) {
-		t.Fatalf("%q, %v", first, err)
+		t.Fatalf("first event %q, error %v", first, err)
 	}
 	close(proceed)
 	rest, err := io.ReadAll(resp.Body)
 	if err != nil || string(rest) != event(2) {
-		t.Errorf("%q, %v", rest, err)
+		t.Errorf("second event %q, error %v", rest, err)
 	}
 }
 
-// The caller goes away in the middle of a stream. The engine must not work on:
-// its connection is closed.
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+// When the caller disconnects from a stream, the connection to the engine must be closed.
+func TestDisconnectedCallerCancelsRequest(t *testing.T) {
 	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		a.writeStreamHead(w, r)
@@ -294,7 +289,7 @@
 		}
 	})
 	env := newTestEnv(t, a)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, env.server.URL+"/stream/x", nil)
 	req.Host = host
 	req.Header.Set(wiretest.ID, "r1")
@@ -306,17 +301,17 @@
 	}
 	first := make([]byte, len(event(1)))
 	_, _ = io.ReadFull(resp.Body, first)
-	leave()
+	disconnect()
 	resp.Body.Close()
-	waitFor(t, "the forwarder has let go of the request", func() bool { return env.InFlight() == 0 })
+	waitFor(t, "the request has ended", func() bool { return env.InFlight() == 0 })
 	if got := env.Ledger.Own(time.Now()); len(got) != 0 {
-		t.Errorf("work is still counted: %v", got)
+		t.Errorf("work is still in the ledger: %v", got)
 	}
 }
 
-// A target hangs. The caller gets its final answer at the route's time, not
-// later, and it does not say that the call did not run.
-func TestFinalAnswerComesAtTheRoutesTime(t *testing.T) {
+// If a target hangs, the caller must get 504 at its deadline, and not a status that says
+// the request did not run.
+func TestDeadlineEndsRequest(t *testing.T) {
 	release := make(chan struct{})
 	a := startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool { <-release; return false })
 	defer close(release)
@@ -331,9 +326,9 @@
 	}
 }
 
-// A question that one target leaves unanswered is asked elsewhere while there
-// is time.
-func TestQuestionThatHangsIsAskedElsewhere(t *testing.T) {
+// If a target does not respond to an idempotent request, another one must be tried before
+// the deadline.
+func TestHangingIdempotentRequestIsRetried(t *testing.T) {
 	release := make(chan struct{})
 	var a, b *fakeTarget
 	hangFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
@@ -354,9 +349,9 @@
 	}
 }
 
-// A long body is refused by an engine before it is in. The rest of the body
-// must not be read as the next request: the connection is not used again.
-func TestEarlyAnswerToALongBodyEndsItsConnection(t *testing.T) {
+// A target responds before it has read the whole body. The rest of the body must not be
+// read as the next request: the connection is not reused.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		return a.writeSealed(w, r, http.StatusOK, fmt.Sprint(len(body)))
@@ -376,12 +371,11 @@
 		_, _, _ = env.post(t, "/once/x", "next")
 	}
 	if n := early.misread.Load(); n != 0 {
-		t.Errorf("%d requests came where the rest of a body was due", n)
+		t.Errorf("%d requests were sent into an unfinished body", n)
 	}
 }
 
-// Requests without a route, without a key, with a wrong key or too large a body
-// are refused with what is wrong, and reach no target.
+// Invalid requests must be refused with the right status and reach no target.
 func TestRefusalsBeforeASend(t *testing.T) {
 	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool { return a.writeSealed(w, r, http.StatusOK, "") })
@@ -415,16 +409,14 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 		<-time.After(2 * time.Millisecond)
 	}
 }
 
-// The links of an entry's host fail while callers still reach it. Each request
-// tried four engines and waited a quarter of a second for each before it was
-// refused. Once one connection has failed and no process is heard, the refusal
-// comes at once, and sends the caller to another entry.
+// An entry that is cut off from all engines must refuse at once, and close the connection
+// so that the caller retries at another entry.
 func TestEntryThatIsCutOffRefusesAtOnce(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	env := newTestEnv(t, tg)
@@ -435,38 +427,36 @@
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "cut_off") {
-		t.Errorf("%d %s", resp.StatusCode, body)
+		t.Errorf("status %d, body %s", resp.StatusCode, body)
 	}
 	if !resp.Close || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("close %v, headers %v", resp.Close, resp.Header)
 	}
 	if n := tg.runs.Load(); n != 0 {
-		t.Errorf("%d sends", n)
+		t.Errorf("%d sends, want none", n)
 	}
 }
 
-// A stopping entry takes a review that lasts longer than the entry has left. The
-// stream was cut off in the middle. What will have ended in time is still served:
-// other entries may be stopping too.
-func TestStoppingEntryTakesOnlyWhatWillEnd(t *testing.T) {
+// A stopping entry must refuse a request that would outlast it, and still serve shorter
+// ones.
+func TestStoppingEntryRefusesLongRequests(t *testing.T) {
 	var tg *fakeTarget
 	tg = startTarget(t, "i1", func(w io.Writer, r *http.Request, _ string) bool { return tg.writeSealed(w, r, 200, "answer") })
 	env := newTestEnv(t, tg)
 	env.view.Stopping, env.view.PicksFrom, env.view.EndsAt = true, time.Now(), time.Now().Add(time.Second)
 	resp, body, err := env.post(t, "/again/x", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "stopping") {
-		t.Errorf("a request of two seconds: %v %s %v", resp, body, err)
+		t.Errorf("a request of 2 s: response %v, body %s, error %v", resp, body, err)
 	}
 	resp, body, err = env.post(t, "/again/x", "", wiretest.TimeLeft, "300ms")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "answer" || !resp.Close {
-		t.Errorf("a request of 0.3 seconds: %v %s %v", resp, body, err)
+		t.Errorf("a request of 300 ms: response %v, body %s, error %v", resp, body, err)
 	}
 }
 
-// Engines are so full that the first event would come after the caller has left,
-// long before its deadline. The prompt was sent all the same, read, and thrown
-// away. It is refused at once, with the time to come back.
-func TestPromptWhoseCallerWouldLeaveIsRefused(t *testing.T) {
+// A prompt whose first event is expected after the caller's first-event timeout must be
+// refused without being sent.
+func TestPromptBeyondFirstEventTimeoutIsRefused(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	env := newTestEnv(t, tg)
 	env.view.Estate.Match(host, "/prompt/").Patience = 300 * time.Millisecond
@@ -474,9 +464,9 @@
 	defer busy.End()
 	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "deadline_unmeetable") || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("%v %s %v", resp, body, err)
+		t.Errorf("response %v, body %s, error %v", resp, body, err)
 	}
 	if n := tg.runs.Load(); n != 0 {
-		t.Errorf("%d sends", n)
+		t.Errorf("%d sends, want none", n)
 	}
 }
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -57,16 +57,15 @@
 func (noObserver) Evicted(*quarantine.Record)        {}
 func (noObserver) Probation(*quarantine.Record)      {}
 
-// target is a target whose answers a test writes byte by byte.
+// fakeTarget is a target whose responses a test writes byte by byte.
 type fakeTarget struct {
 	listener net.Listener
 	instance string
-	// answer writes to the connection what comes for a request, and reports
-	// whether the connection stays open.
+	// handle writes the response and reports whether the connection stays open.
 	handle func(w io.Writer, r *http.Request, body string) bool
-	// runs counts the requests that reached answer.
+	// runs counts the requests passed to handle.
 	runs atomic.Int32
-	// gone counts connections that the other end closed.
+	// disconnects counts the connections closed by the other end.
 	disconnects atomic.Int32
 	tasks       sync.WaitGroup
 }
@@ -117,20 +116,20 @@
 	}
 }
 
-// whole writes a sealed answer.
+// writeSealed writes a complete response with a seal.
 func (tg *fakeTarget) writeSealed(w io.Writer, r *http.Request, status int, body string) bool {
 	fmt.Fprintf(w, "HTTP/1.1 %d X\r\n%s: %s\r\n%s: by-%s\r\nContent-Length: %d\r\n\r\n%s",
 		status, wiretest.ID, r.Header.Get(wiretest.ID), wiretest.Seal, tg.instance, len(body), body)
 	return true
 }
 
-// refused writes that the request was not run.
+// writeNotRun writes a response stating that the request was not run.
 func (tg *fakeTarget) writeNotRun(w io.Writer, r *http.Request, status int) bool {
 	fmt.Fprintf(w, "HTTP/1.1 %d X\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", status, wiretest.ID, r.Header.Get(wiretest.ID), wiretest.NotRun)
 	return true
 }
 
-// streamHead begins a sealed stream.
+// writeStreamHead writes the head of a sealed stream.
 func (tg *fakeTarget) writeStreamHead(w io.Writer, r *http.Request) {
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: by-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		wiretest.ID, r.Header.Get(wiretest.ID), wiretest.Seal, tg.instance)
@@ -140,7 +139,7 @@
 
 func event(n int) string { return fmt.Sprintf("id: %d\ndata: piece-%d\n\n", n, n) }
 
-// world is a forwarder with its surroundings.
+// testEnv is a Forwarder with its dependencies, behind an HTTP server.
 type testEnv struct {
 	*Forwarder
 	view   *view.View
@@ -153,8 +152,8 @@
 	model = "m"
 )
 
-// startWorld serves four routes over the given targets: /once/ runs at most
-// once, /again/ may be repeated, /stream/ may not be resumed, /resume/ may.
+// newTestEnv serves the given targets: routes under /once/ are not idempotent, under
+// /again/ idempotent, under /stream/ not resumable, and under /resume/ resumable.
 func newTestEnv(t *testing.T, targets ...*fakeTarget) *testEnv {
 	t.Helper()
 	routes := []estate.Route{
@@ -177,11 +176,11 @@
 		{Name: "kept", Store: &estate.KVStore{Address: netip.MustParseAddrPort("127.0.0.1:9"), Zone: "a"}},
 	}
 	workspaces := []estate.Workspace{{Name: "town", Keys: []string{"town-key"}}, {Name: "fort", Keys: []string{"fort-key"}, Isolated: true}}
-	e, err := estate.New(1, routes, services, workspaces, estate.Limits{BodyBytes: 1 << 20})
+	cfg, err := estate.New(1, routes, services, workspaces, estate.Limits{BodyBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := &testEnv{view: &view.View{Estate: e, Targets: map[string][]fleet.Target{}, Entries: 1}}
+	env := &testEnv{view: &view.View{Estate: cfg, Targets: map[string][]fleet.Target{}, Entries: 1}}
 	directory := fleet.NewDirectory()
 	for _, tg := range targets {
 		address := netip.MustParseAddrPort(tg.listener.Addr().String())
@@ -204,7 +203,7 @@
 	return env
 }
 
-// ask sends a request and returns status, body and the error of reading it.
+// post sends a request and returns the response, its body and any error.
 func (env *testEnv) post(t *testing.T, path, body string, header ...string) (*http.Response, string, error) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, env.server.URL+path, strings.NewReader(body))
--- a/internal/gateway/forward/limited_test.go
+++ b/internal/gateway/forward/limited_test.go
@@ -14,7 +14,7 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire/wiretest"
 )
 
-// fixedLimits admit or refuse everything, and count what is asked of them.
+// fixedLimits admits or refuses all requests and sums up their costs.
 type fixedLimits struct {
 	mu                          sync.Mutex
 	refuse                      bool
@@ -40,8 +40,8 @@
 	l.charged += r.Cost
 }
 
-// startLimited serves targets to the workspace "town", which has a limit of one thousand
-// tokens a second and counts 200 for a request that states no size.
+// newLimitedEnv limits the workspace "town" to 1000 tokens per second. Requests without a
+// size cost 200.
 func newLimitedEnv(t *testing.T, limits *fixedLimits, targets ...*fakeTarget) *testEnv {
 	env := newTestEnv(t, targets...)
 	env.Limits = limits
@@ -49,9 +49,9 @@
 	return env
 }
 
-// A workspace has used up its limit. Its caller is told so with 429 and when to come back,
-// before the body has come in, and no target sees the request. Another workspace is served.
-func TestBeyondTheLimitIsRefusedBeforeTheBody(t *testing.T) {
+// A request over its workspace's limit gets 429 with Retry-After before its body arrives,
+// and reaches no target. Other workspaces are served.
+func TestRateLimitedRequestIsRefusedBeforeItsBody(t *testing.T) {
 	tg := startTarget(t, "t", nil)
 	tg.handle = func(w io.Writer, r *http.Request, _ string) bool { return tg.writeSealed(w, r, http.StatusOK, "fine") }
 	env := newLimitedEnv(t, &fixedLimits{refuse: true}, tg)
@@ -70,19 +70,18 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusTooManyRequests || resp.Header.Get("Retry-After") == "" || !strings.Contains(string(text), "rate_limited") {
-		t.Errorf("%v, %v, %q, %v", resp.StatusCode, resp.Header, text, err)
+		t.Errorf("status %v, header %v, body %q, error %v", resp.StatusCode, resp.Header, text, err)
 	}
 	if n := tg.runs.Load(); n != 0 {
-		t.Errorf("%d runs", n)
+		t.Errorf("the target ran %d requests; want none", n)
 	}
 	if resp, _, err := env.post(t, "/again/x", "body", wiretest.Key, "fort-key"); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("another workspace: %v, %v", resp, err)
+		t.Errorf("another workspace: response %v, error %v", resp, err)
 	}
 }
 
-// What a request takes of the limit depends on what becomes of it: nothing where no target
-// ran it, and once more for each run after the first.
-func TestWhatARequestTakesOfTheLimit(t *testing.T) {
+// A request that no target ran must cost nothing, and each run after the first costs again.
+func TestRateLimitChargesOnlyRuns(t *testing.T) {
 	failing := func(n int) func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool {
 			return func(w io.Writer, r *http.Request, _ string) bool {
@@ -94,23 +93,23 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		answer   func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool
+		handle   func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool
 		used     float64
 		leaving  bool
 		expected int
 	}{
-		"served":    {answer: failing(0), used: 200, expected: http.StatusOK},
-		"no target": {answer: failing(0), leaving: true, used: 0, expected: http.StatusServiceUnavailable},
-		"refused by targets": {answer: func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool {
+		"served":    {handle: failing(0), used: 200, expected: http.StatusOK},
+		"no target": {handle: failing(0), leaving: true, used: 0, expected: http.StatusServiceUnavailable},
+		"refused by targets": {handle: func(tg *fakeTarget) func(io.Writer, *http.Request, string) bool {
 			return func(w io.Writer, r *http.Request, _ string) bool { return tg.writeNotRun(w, r, 503) }
 		}, used: 0, expected: http.StatusServiceUnavailable},
-		"broken off and done": {answer: failing(1), used: 400, expected: http.StatusOK},
+		"retried after a failure": {handle: failing(1), used: 400, expected: http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, second := startTarget(t, "t1", nil), startTarget(t, "t2", nil)
-			first.handle, second.handle = c.answer(first), failing(0)(second)
+			first.handle, second.handle = c.handle(first), failing(0)(second)
 			if name == "refused by targets" {
-				second.handle = c.answer(second)
+				second.handle = c.handle(second)
 			}
 			limits := &fixedLimits{}
 			env := newLimitedEnv(t, limits, first, second)
@@ -119,24 +118,24 @@
 					list[i].Leaving = c.leaving
 				}
 			}
-			// Either target may be chosen first: where the failing one is not, there is one run.
+			// Either target may be chosen first; if the failing one isn't, there is only one run.
 			resp, body, err := env.post(t, "/again/x", "body")
 			if err != nil || resp.StatusCode != c.expected {
-				t.Fatalf("%v, %q, %v", resp, body, err)
+				t.Fatalf("response %v, body %q, error %v", resp, body, err)
 			}
 			limits.mu.Lock()
 			defer limits.mu.Unlock()
 			used := limits.admitted - limits.refunded + limits.charged
-			if want := c.used; used != want && !(name == "broken off and done" && first.runs.Load() == 0 && used == 200) {
-				t.Errorf("%.0f tokens used, %.0f expected", used, want)
+			if want := c.used; used != want && !(name == "retried after a failure" && first.runs.Load() == 0 && used == 200) {
+				t.Errorf("%.0f tokens used, want %.0f", used, want)
 			}
 		})
 	}
 }
 
-// Requests count by their tokens where the workspace is limited in tokens, those that state
-// no size by the operators' figure, and one each where it is limited in requests.
-func TestCostOfARequest(t *testing.T) {
+// The cost is the request's tokens, the configured default if they are not stated, or one
+// if the limit counts requests.
+func TestRateLimitCost(t *testing.T) {
 	tokens := ratelimit.Terms{Unit: ratelimit.Tokens, Unstated: 200}
 	for _, c := range []struct {
 		terms          ratelimit.Terms
@@ -151,16 +150,16 @@
 		{ratelimit.Terms{Unit: ratelimit.Requests, Unstated: 200}, true, 1460, 80, 1},
 	} {
 		if got := c.terms.Cost(c.stated, c.prompt, c.answer); got != c.cost {
-			t.Errorf("%+v: %.0f", c, got)
+			t.Errorf("%+v: cost %.0f", c, got)
 		}
 	}
 }
 
-// Operators declare a limit below zero by mistake: the version is refused whole.
-func TestLimitBelowZeroIsRefused(t *testing.T) {
+// A configuration with a negative rate limit must be rejected.
+func TestNegativeRateLimitIsRejected(t *testing.T) {
 	for _, terms := range []ratelimit.Terms{{Limit: ratelimit.Limit{PerSecond: -1}}, {Limit: ratelimit.Limit{Burst: -1}}, {Unstated: -1}} {
 		if _, err := estate.New(1, nil, nil, []estate.Workspace{{Name: "town", Rate: terms}}, estate.Limits{}); err == nil {
-			t.Errorf("%+v is taken", terms)
+			t.Errorf("%+v was accepted", terms)
 		}
 	}
 }
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -107,7 +107,7 @@
 	return false
 }
 
-// choose chooses a target for the request as it stands now.
+// choose chooses a target from the current view, without waiting.
 func (fl *flow) choose(ctx context.Context) (*destination, *errkind.Error) {
 	if fl.service.Engine != nil && fl.Reach.CutOff(fl.Now()) {
 		return nil, errkind.After(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine or sidecar has responded recently")
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -18,14 +18,14 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire/wiretest"
 )
 
-// fakeSidecars answers for engines by their address, and keeps what it is told.
+// fakeSidecars answers probes by engine address and records what is reported.
 type fakeSidecars struct {
 	mu       sync.Mutex
 	answers  map[netip.AddrPort]probe.Answer
 	probes   int
 	sends    map[netip.AddrPort][]probe.Send
 	progress map[netip.AddrPort][]probe.Progress
-	// onSent is called with the lock held when a prompt was sent.
+	// onSent is called with the lock held when a send is reported.
 	onSent func()
 }
 
@@ -66,7 +66,8 @@
 	s.answers[engine] = a
 }
 
-// probedWorld is a world in a large fleet; each target is an engine that serves.
+// newProbedEnv returns an environment in a large fleet, where each target is an engine with
+// a sidecar that answers probes.
 func newProbedEnv(t *testing.T, targets ...*fakeTarget) (*testEnv, *fakeSidecars) {
 	t.Helper()
 	env := newTestEnv(t, targets...)
@@ -75,7 +76,7 @@
 	for i := range env.view.Targets["engines"] {
 		tg := &env.view.Targets["engines"][i]
 		sidecars.answers[tg.Address] = probe.Answer{Life: tg.Life, Weights: map[string]int64{model: 3}, Pace: 1}
-		// All engines serve the family of the tests.
+		// All engines rank equally for the tests' family.
 		tg.Hash = 0
 	}
 	return env, sidecars
@@ -85,7 +86,7 @@
 	return netip.MustParseAddrPort(tg.listener.Addr().String())
 }
 
-// streamOf answers with a stream of two events.
+// startStreamTarget starts a target that responds with a stream of two events.
 func startStreamTarget(t *testing.T, instance string) *fakeTarget {
 	t.Helper()
 	var tg *fakeTarget
@@ -98,8 +99,8 @@
 	return tg
 }
 
-// streamKeepingHeader answers with a stream of one event, and keeps the header of the last
-// request.
+// startHeaderRecorder starts a target that responds with a stream of one event. The
+// returned header is updated with each request.
 func startHeaderRecorder(t *testing.T, instance string) (*fakeTarget, http.Header) {
 	t.Helper()
 	got := http.Header{}
@@ -124,10 +125,10 @@
 	return resp
 }
 
-// Another entry has filled an engine with work a moment ago. This entry has sent it
-// nothing, and would take it for idle; its sidecar knows, and the prompt goes to the
-// other engine, which is told of the prompt, of its first event and of its end.
-func TestPromptGoesWhereSidecarsSayThatThereIsRoom(t *testing.T) {
+// An engine that is busy with other entries' prompts must not be mistaken for idle. The
+// prompt goes to the other engine, whose sidecar is notified of the send, its prefill and
+// its end.
+func TestProbesFindIdleEngine(t *testing.T) {
 	busy, idle := startStreamTarget(t, "busy"), startStreamTarget(t, "idle")
 	env, sidecars := newProbedEnv(t, busy, idle)
 	a := sidecars.answers[addressOf(busy)]
@@ -137,35 +138,33 @@
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	if busy.runs.Load() != 0 || idle.runs.Load() != 1 {
-		t.Errorf("%d runs at the busy engine, %d at the idle one", busy.runs.Load(), idle.runs.Load())
+		t.Errorf("%d runs at the busy engine, %d at the idle one; want 0 and 1", busy.runs.Load(), idle.runs.Load())
 	}
 	env.server.Close()
 	sidecars.mu.Lock()
 	defer sidecars.mu.Unlock()
 	if sends := sidecars.sends[addressOf(idle)]; len(sends) != 1 || sends[0].Weights != 3 || len(sends[0].Prompt.Parts) != 2 {
-		t.Errorf("its sidecar was told of %+v", sends)
+		t.Errorf("reported sends: %+v", sends)
 	}
 	progress := sidecars.progress[addressOf(idle)]
 	if len(progress) != 2 || !progress[0].Read || !progress[1].Ended || progress[1].Outcome != health.Good {
-		t.Errorf("and of %+v", progress)
+		t.Errorf("reported progress: %+v", progress)
 	}
 }
 
-// An engine has started again under a new name, with new weights, and the list shows the
-// earlier life for a second or two. The request names the life that the sidecar knows,
-// and demands the weights that it has.
-func TestSidecarsWordOfLifeAndWeightsGoesBeforeTheList(t *testing.T) {
+// The target list still shows an engine's previous incarnation after a restart. The request
+// must name the incarnation and weights that the sidecar reports.
+func TestProbeAnswerOverridesTargetList(t *testing.T) {
 	tg, got := startHeaderRecorder(t, "old")
 	env, sidecars := newProbedEnv(t, tg)
 	sidecars.setAnswer(addressOf(tg), probe.Answer{Life: fleet.Life{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
 	postPrompt(t, env)
 	if got.Get(wiretest.Instance) != "new" || got.Get(wiretest.Weights) != "4" {
-		t.Errorf("asked for %q with weights %q", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
+		t.Errorf("request for instance %q with weights %q; want new and 4", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
 	}
 }
 
-// No sidecar answers: they are gone, or cut off from this entry. Engines are used all the
-// same, by the list.
+// If no sidecar answers, engines are chosen from the target list.
 func TestEnginesAreUsedWithoutSidecars(t *testing.T) {
 	tg := startStreamTarget(t, "e")
 	env, sidecars := newProbedEnv(t, tg)
@@ -175,12 +174,12 @@
 	}
 }
 
-// One engine of two loads weights, the other does not answer its sidecar. Neither takes
-// the prompt: it is refused, and not sent to be given back.
-func TestLoadingAndSilentEnginesTakeNothing(t *testing.T) {
-	loading, silent := startStreamTarget(t, "loading"), startStreamTarget(t, "silent")
-	env, sidecars := newProbedEnv(t, loading, silent)
-	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, silent: weights.Silent} {
+// A prompt must not be sent to an engine that is loading weights or does not respond to its
+// sidecar.
+func TestLoadingAndUnresponsiveEnginesAreNotUsed(t *testing.T) {
+	loading, unresponsive := startStreamTarget(t, "loading"), startStreamTarget(t, "silent")
+	env, sidecars := newProbedEnv(t, loading, unresponsive)
+	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, unresponsive: weights.Silent} {
 		a := sidecars.answers[addressOf(tg)]
 		a.Phase = phase
 		sidecars.setAnswer(addressOf(tg), a)
@@ -188,21 +187,21 @@
 	if resp := postPrompt(t, env); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if loading.runs.Load()+silent.runs.Load() != 0 {
+	if loading.runs.Load()+unresponsive.runs.Load() != 0 {
 		t.Error("a prompt was sent")
 	}
 }
 
-// The family's first engine is too busy, but knows that another one has the prompt's
-// parts. They are fetched from there, and neither read again nor saved again.
-func TestPartsAreFetchedFromWhereTheFirstEngineKnowsThem(t *testing.T) {
+// If the family's first engine reports another engine as holder of the parts, they are
+// fetched from there and not offloaded again.
+func TestPartsAreFetchedFromReportedHolder(t *testing.T) {
 	tg, got := startHeaderRecorder(t, "e")
 	env, sidecars := newProbedEnv(t, tg)
 	holder := netip.MustParseAddrPort("127.0.0.2:7")
 	listing := env.view.Targets["engines"][0].Listing
 	listing.Life, listing.Address = fleet.Life{Instance: "holder"}, holder
 	other := fleet.NewTarget(listing)
-	other.Leaving = true // not asked itself
+	other.Leaving = true // not probed itself
 	env.view.Targets["engines"] = append(env.view.Targets["engines"], other)
 	a := sidecars.answers[addressOf(tg)]
 	a.Holder, a.Saved = holder, true
@@ -212,14 +211,13 @@
 		t.Errorf("fetched from %q", got.Get(wiretest.Fetch))
 	}
 	if got.Get(wiretest.Save) != "" {
-		t.Error("saved again")
+		t.Error("the parts were offloaded again")
 	}
 }
 
-// An engine goes dark in the middle of a stream. Its host lives, so that the connection
-// stays open and nothing comes. The caller must see an end, long before its deadline, and
-// not one that looks complete.
-func TestStreamOfADarkEngineEnds(t *testing.T) {
+// An engine hangs in the middle of a stream while its connection stays open. The stream
+// must be aborted long before the deadline, and must not look complete.
+func TestStreamOfUnresponsiveEngineEnds(t *testing.T) {
 	var tg *fakeTarget
 	release := make(chan struct{})
 	tg = startTarget(t, "e", func(w io.Writer, r *http.Request, _ string) bool {
@@ -238,13 +236,12 @@
 		t.Errorf("the stream looks complete: %q", body)
 	}
 	if took := time.Since(start); took > 20*time.Second {
-		t.Errorf("it ended after %v", took)
+		t.Errorf("the stream ended after %v", took)
 	}
 }
 
-// An engine is busy and says nothing for three seconds, and its sidecar hears it. Its
-// answer must not be ended sooner.
-func TestSilenceOfABusyEngineEndsNothing(t *testing.T) {
+// A send must not be cancelled while the sidecar reports that its silent engine responds.
+func TestBusyEngineIsNotAbandoned(t *testing.T) {
 	tg := startStreamTarget(t, "e")
 	env, _ := newProbedEnv(t, tg)
 	fl := &flow{Forwarder: env.Forwarder, service: env.view.Estate.Service("engines")}
@@ -257,6 +254,6 @@
 		watch.check()
 	}
 	if ctx.Err() != nil {
-		t.Errorf("given up: %v", context.Cause(ctx))
+		t.Errorf("the send was cancelled: %v", context.Cause(ctx))
 	}
 }
--- a/internal/gateway/forward/quarantined_test.go
+++ b/internal/gateway/forward/quarantined_test.go
@@ -11,7 +11,7 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire/wiretest"
 )
 
-// fragileTargets start targets that end when they run the body "fatal".
+// startCrashingTargets starts targets that stop listening when they run the body "fatal".
 func startCrashingTargets(t *testing.T, n int) []*fakeTarget {
 	var all []*fakeTarget
 	for i := range n {
@@ -36,40 +36,38 @@
 	return n
 }
 
-// A trader's renewal ends the target that files it. It is not sent again by itself, and
-// the trader, who is told each time that it may have run, files it anew. From the fourth
-// time on it is not sent, first held for a moment and then refused: this filing has not run.
-func TestSubmissionThatEndsTargetsIsRefusedAfterThree(t *testing.T) {
+// A non-idempotent request that crashes its target is not retried. After three crashes,
+// further attempts by the caller must be refused without being run.
+func TestRequestThatCrashesTargetsIsQuarantined(t *testing.T) {
 	targets := startCrashingTargets(t, 6)
 	env := newTestEnv(t, targets...)
 	for n := 1; n <= 3; n++ {
 		resp, _, err := env.post(t, "/once/x", "fatal")
 		if err != nil || resp.StatusCode != http.StatusBadGateway {
-			t.Fatalf("filing %d: %v, %v", n, resp, err)
+			t.Fatalf("attempt %d: response %v, error %v", n, resp, err)
 		}
 		if runs := totalRuns(targets); runs != n {
-			t.Fatalf("after filing %d: %d runs", n, runs)
+			t.Fatalf("after attempt %d: %d runs", n, runs)
 		}
 	}
-	settled := false
+	quarantined := false
 	for n := 4; n <= 7; n++ {
 		resp, body, err := env.post(t, "/once/x", "fatal", wiretest.ID, fmt.Sprintf("r%d", n))
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-			t.Errorf("filing %d after the third end: %v, %q, %v", n, resp, body, err)
+			t.Errorf("attempt %d, after the third crash: response %v, body %q, error %v", n, resp, body, err)
 		}
-		settled = strings.Contains(body, "quarantined")
+		quarantined = strings.Contains(body, "quarantined")
 	}
-	if !settled {
-		t.Error("it is never told why")
+	if !quarantined {
+		t.Error("no refusal names the quarantine")
 	}
 	if runs := totalRuns(targets); runs != 3 {
-		t.Errorf("%d runs; allowed are 3", runs)
+		t.Errorf("%d runs; want 3", runs)
 	}
 }
 
-// What is refused is that request, and no other: the same body on another path, of another
-// workspace, or another body on the same path is sent to a target.
-func TestOnlyTheSameRequestIsRefused(t *testing.T) {
+// Requests that differ in path, body or workspace from a quarantined one must be run.
+func TestQuarantineMatchesOnlyTheSameRequest(t *testing.T) {
 	targets := startCrashingTargets(t, 24)
 	env := newTestEnv(t, targets...)
 	for range 4 {
@@ -78,50 +76,49 @@
 		}
 	}
 	if runs := totalRuns(targets); runs != 3 {
-		t.Fatalf("%d runs of one request; allowed are 3", runs)
+		t.Fatalf("%d runs of the request; want 3", runs)
 	}
 	if resp, body, err := env.post(t, "/again/x", "another"); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("another body: %v, %q, %v", resp, body, err)
+		t.Errorf("another body: response %v, body %q, error %v", resp, body, err)
 	}
-	for n, ask := range [][]string{{"/again/y"}, {"/again/x?y"}, {"/again/x", wiretest.Key, "fort-key"}} {
-		before := totalRuns(targets)
-		if _, _, err := env.post(t, ask[0], "fatal", ask[1:]...); err != nil {
+	for n, request := range [][]string{{"/again/y"}, {"/again/x?y"}, {"/again/x", wiretest.Key, "fort-key"}} {
+		runs := totalRuns(targets)
+		if _, _, err := env.post(t, request[0], "fatal", request[1:]...); err != nil {
 			t.Fatal(err)
 		}
-		if totalRuns(targets) == before {
-			t.Errorf("request %d was refused for another one's ends", n)
+		if totalRuns(targets) == runs {
+			t.Errorf("request %d was refused because of another request's crashes", n)
 		}
 	}
 }
 
-// A target resets connections and sends nonsense, but lives. Its requests are tried
-// elsewhere as before, and nothing is held against them.
-func TestATargetThatOnlyBreaksOffBlamesNobody(t *testing.T) {
+// A target that breaks connections but does not crash must not affect the status of its
+// requests.
+func TestBrokenConnectionIsNotAttributed(t *testing.T) {
 	broken := func(w io.Writer, r *http.Request, _ string) bool { return false }
 	a, b := startTarget(t, "a", broken), startTarget(t, "b", broken)
 	env := newTestEnv(t, a, b)
 	for n := range 6 {
 		resp, body, err := env.post(t, "/again/x", "question", wiretest.ID, fmt.Sprintf("r%d", n))
 		if err != nil || resp.StatusCode != http.StatusBadGateway {
-			t.Errorf("try %d: %v, %q, %v", n, resp, body, err)
+			t.Errorf("attempt %d: response %v, body %q, error %v", n, resp, body, err)
 		}
 	}
 	if listed := env.Quarantine.List(env.Now()); len(listed) != 0 {
-		t.Errorf("held against requests: %+v", listed)
+		t.Errorf("crashes were attributed: %+v", listed)
 	}
 }
 
-// A question is asked all the time, and a target crashes now and then: it is under way each
-// time, and no other request is there to end with it. It is served some forty times between
-// two crashes, and never refused.
-func TestAQuestionThatIsAskedAllTheTimeIsNotRefused(t *testing.T) {
-	const between, crashes = 40, 5
+// A request that is running whenever some target crashes must not be quarantined if it is
+// served between the crashes.
+func TestFrequentRequestIsNotQuarantined(t *testing.T) {
+	const interval, crashes = 40, 5
 	var targets []*fakeTarget
 	var runs atomic.Int32
 	for i := range 24 {
 		var tg *fakeTarget
 		tg = startTarget(t, fmt.Sprintf("t%d", i), func(w io.Writer, r *http.Request, _ string) bool {
-			if runs.Add(1)%between == 0 {
+			if runs.Add(1)%interval == 0 {
 				tg.listener.Close()
 				return false
 			}
@@ -131,16 +128,16 @@
 	}
 	env := newTestEnv(t, targets...)
 	failed := 0
-	for n := range between * crashes {
+	for n := range interval * crashes {
 		resp, body, err := env.post(t, "/again/x", "question")
 		if err != nil || resp.StatusCode == http.StatusServiceUnavailable {
-			t.Fatalf("question %d: %v, %q, %v", n, resp, body, err)
+			t.Fatalf("request %d: response %v, body %q, error %v", n, resp, body, err)
 		}
 		if resp.StatusCode != http.StatusOK {
 			failed++
 		}
 	}
 	if failed > crashes {
-		t.Errorf("%d questions were not answered", failed)
+		t.Errorf("%d requests failed", failed)
 	}
 }
--- a/internal/gateway/forward/sources_test.go
+++ b/internal/gateway/forward/sources_test.go
@@ -7,37 +7,37 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/placement"
 )
 
-// All processes have started again. Engines have told of the part that all prompts begin
-// with, and nobody yet of the store. The rest is asked of the store, which probably has
-// it; once the store is known not to, it is asked of the engine.
-func TestStoreOfWhichNothingIsKnownIsAsked(t *testing.T) {
+// A store of unknown content is preferred to an engine that has only a small part of the
+// prompt. Once its content is known, the source with more tokens wins, and an engine wins a
+// tie.
+func TestStoreOfUnknownContentIsAsked(t *testing.T) {
 	store := source{id: 1, zone: "a", unknown: true}
 	engine := source{id: 2, zone: "a", peer: true, tokens: 500}
 	target := &fleet.Target{ID: 3, Listing: fleet.Listing{Zone: "a"}}
 	choose := func(sources ...source) (c placement.Candidate) {
 		p := &promptLocations{sharedTokens: 6000, cached: map[fleet.ID]int{}, sources: sources}
 		for i := range p.sources {
-			p.sources[i].rate = 100 + float64(p.sources[i].id) // tells which was chosen
+			p.sources[i].rate = 100 + float64(p.sources[i].id) // identifies the chosen source
 		}
 		p.fillCandidate(&c, target)
 		return c
 	}
 	if got := choose(store, engine); got.Source.Rate != 101 || got.Fetchable != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("chosen source: %+v", got)
 	}
 	store.unknown = false
 	if got := choose(store, engine); got.Source.Rate != 102 || got.Fetchable != 500 {
-		t.Errorf("%+v", got)
+		t.Errorf("chosen source: %+v", got)
 	}
 	store.tokens = 6000
 	if got := choose(engine, store); got.Source.Rate != 101 || got.Fetchable != 6000 {
-		t.Errorf("%+v", got)
+		t.Errorf("chosen source: %+v", got)
 	}
 	engine.tokens = 6000
 	if got := choose(store, engine); got.Source.Rate != 102 {
-		t.Errorf("an engine that holds as much: %+v", got)
+		t.Errorf("an engine with as many tokens: %+v", got)
 	}
 	if got := choose(store, source{id: 3, tokens: 6000, zone: "a", peer: true}); got.Source.Rate != 101 {
-		t.Errorf("the engine itself is its source: %+v", got)
+		t.Errorf("the engine is its own source: %+v", got)
 	}
 }
