--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Responses without a seal, with another request's ID, with a content encoding or truncated
+// Responses without a seal, with another request's ID, encoded, truncated or malformed
 // must not be relayed as a success.
 func TestInvalidResponsesAreNotRelayed(t *testing.T) {
 	id := func(r *http.Request) string { return r.Header.Get(wiretest.ID) }
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -119,8 +119,9 @@
 	}
 }
 
-// attributeCrash attributes a broken connection to the request if the target crashed. It
-// must be called before the next send is placed, which depends on the request's status.
+// attributeCrash attributes a broken connection to the request if the target has crashed
+// and did not just close the connection. It must be called before the next send is placed,
+// which depends on the request's status.
 func (fl *flow) attributeCrash(ctx context.Context, dst *destination, err error) {
 	if ctx.Err() != nil || !isDisconnect(err) {
 		return
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -96,7 +96,7 @@
 // send makes one send and relays the response.
 func (fl *flow) send(ctx context.Context, dst *destination) sendResult {
 	fl.sends++
-	// Both are decremented again if the send did not reach the target or did not run.
+	// delivered and runs are corrected if the request did not reach the target or was not run.
 	fl.delivered++
 	fl.runs++
 	fl.lastSend = sendRecord{incarnation: dst.target.Life}
@@ -205,8 +205,8 @@
 // priority returns the request's rank at an engine, 0 first. Requests that can be in time
 // precede late ones; within both, the workspace's priority decides before the route's.
 //
-// When prompts exceed the engines' prefill capacity, short prompts of an urgent route thus
-// don't queue behind long prompts of another one, even if they are late.
+// When prompts exceed the engines' prefill capacity, this keeps short prompts of an urgent
+// route from queuing behind long prompts of another one.
 func (fl *flow) priority(late bool) int {
 	rank := max(fl.route.Priority, 0)
 	if fl.workspace != nil && fl.workspace.HasPriority {
