--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -14,108 +14,106 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire/wiretest"
 )
 
-// A trader files a renewal. The target runs it and the connection breaks before
-// the answer. The trader must not be billed twice, and must not read that it
-// did not run.
-func TestLostAnswerOfACallThatRunsOnceIsNotRepeated(t *testing.T) {
+// A connection breaks after a non-idempotent request was sent. The request must not be sent
+// again, and must not be reported as not run.
+func TestNonIdempotentRequestIsNotRetriedAfterLostResponse(t *testing.T) {
 	broken := func(w io.Writer, r *http.Request, body string) bool { return false }
 	a, b := startTarget(t, "a", broken), startTarget(t, "b", broken)
-	w := startWorld(t, a, b)
-	resp, _, err := w.ask(t, "/once/x", "file")
+	env := newTestEnv(t, a, b)
+	resp, _, err := env.post(t, "/once/x", "file")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if runs := a.runs.Load() + b.runs.Load(); runs != 1 {
-		t.Errorf("the call was sent %d times", runs)
+		t.Errorf("the request was sent %d times", runs)
 	}
 	if resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("status %d; 429 and 503 would say that it did not run", resp.StatusCode)
+		t.Errorf("status %d, want 502; 429 and 503 mean that the request did not run", resp.StatusCode)
 	}
 }
 
-// The first target is full and says that it did not run the call. Another one
-// takes it; the caller sees one answer.
-func TestRefusedCallGoesToAnotherTarget(t *testing.T) {
-	var a, b *target
-	refuseFirst := func(self **target) func(io.Writer, *http.Request, string) bool {
+// A target states that it did not run a non-idempotent request. The request must be sent to
+// another target.
+func TestRefusedRequestGoesToAnotherTarget(t *testing.T) {
+	var a, b *fakeTarget
+	refuseFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			if a.runs.Load()+b.runs.Load() == 1 {
-				return (*self).refused(w, r, http.StatusServiceUnavailable)
+				return (*self).writeNotRun(w, r, http.StatusServiceUnavailable)
 			}
-			return (*self).whole(w, r, http.StatusOK, "filed")
+			return (*self).writeSealed(w, r, http.StatusOK, "filed")
 		}
 	}
 	a, b = startTarget(t, "a", refuseFirst(&a)), startTarget(t, "b", refuseFirst(&b))
-	w := startWorld(t, a, b)
-	resp, body, err := w.ask(t, "/once/x", "file")
+	env := newTestEnv(t, a, b)
+	resp, body, err := env.post(t, "/once/x", "file")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "filed" {
 		t.Fatalf("status %v, body %q, error %v", resp, body, err)
 	}
 	if a.runs.Load() != 1 || b.runs.Load() != 1 {
-		t.Errorf("sends: %d and %d", a.runs.Load(), b.runs.Load())
+		t.Errorf("sends: %d and %d, want 1 and 1", a.runs.Load(), b.runs.Load())
 	}
 }
 
-// All targets are full. The caller reads that the call did not run, and when to
-// come back; nothing is held until the deadline.
-func TestFullTargetsAreToldAtOnce(t *testing.T) {
-	var a *target
+// If all targets refuse, the caller must get a retryable error at once, not at the
+// deadline.
+func TestFullTargetsAreRefusedAtOnce(t *testing.T) {
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		return a.refused(w, r, http.StatusServiceUnavailable)
+		return a.writeNotRun(w, r, http.StatusServiceUnavailable)
 	})
-	w := startWorld(t, a)
-	began := time.Now()
-	resp, _, err := w.ask(t, "/once/x", "file", wiretest.TimeLeft, "30s")
+	env := newTestEnv(t, a)
+	start := time.Now()
+	resp, _, err := env.post(t, "/once/x", "file", wiretest.TimeLeft, "30s")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusTooManyRequests && resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("held for %v", took)
+	if took := time.Since(start); took > time.Second {
+		t.Errorf("refused after %v", took)
 	}
 }
 
-// A target answers a question with an error of its own, which may be a passing
-// one. A question may be asked again; the caller gets the good answer.
-func TestFailedQuestionIsAskedElsewhere(t *testing.T) {
-	var a, b *target
-	failFirst := func(self **target) func(io.Writer, *http.Request, string) bool {
+// An idempotent request that failed with 500 is retried at another target.
+func TestFailedIdempotentRequestIsRetried(t *testing.T) {
+	var a, b *fakeTarget
+	failFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			if a.runs.Load()+b.runs.Load() == 1 {
-				return (*self).whole(w, r, http.StatusInternalServerError, "failed")
+				return (*self).writeSealed(w, r, http.StatusInternalServerError, "failed")
 			}
-			return (*self).whole(w, r, http.StatusOK, "fine")
+			return (*self).writeSealed(w, r, http.StatusOK, "fine")
 		}
 	}
 	a, b = startTarget(t, "a", failFirst(&a)), startTarget(t, "b", failFirst(&b))
-	w := startWorld(t, a, b)
-	resp, body, err := w.ask(t, "/again/x", "")
+	env := newTestEnv(t, a, b)
+	resp, body, err := env.post(t, "/again/x", "")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "fine" {
 		t.Fatalf("status %v, body %q, error %v", resp, body, err)
 	}
 }
 
-// The last target that may be tried fails. Its own answer is passed on as it
-// is, with its seal: an own failure with its seal would be a forgery.
-func TestLastFailureIsTheTargetsOwn(t *testing.T) {
-	var a *target
+// A failure of the last target to be tried must be relayed with its seal, not replaced by
+// the entry's own error.
+func TestLastFailureIsRelayedUnchanged(t *testing.T) {
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		return a.whole(w, r, http.StatusInternalServerError, "broken")
+		return a.writeSealed(w, r, http.StatusInternalServerError, "broken")
 	})
-	w := startWorld(t, a)
-	resp, body, err := w.ask(t, "/once/x", "")
+	env := newTestEnv(t, a)
+	resp, body, err := env.post(t, "/once/x", "")
 	if err != nil || resp.StatusCode != http.StatusInternalServerError || body != "broken" || resp.Header.Get(wiretest.Seal) != "by-a" {
 		t.Fatalf("response %v, body %q, error %v", resp, body, err)
 	}
 }
 
-// A faulty target spoils answers: without its seal, with another request's id,
-// compressed, or cut short. None may reach the caller as a success.
-func TestSpoiledAnswersAreNoSuccess(t *testing.T) {
+// Responses without a seal, with another request's ID, encoded, truncated or malformed
+// must not be relayed as a success.
+func TestInvalidResponsesAreNotRelayed(t *testing.T) {
 	id := func(r *http.Request) string { return r.Header.Get(wiretest.ID) }
-	spoiled := map[string]func(w io.Writer, r *http.Request, body string) bool{
+	responses := map[string]func(w io.Writer, r *http.Request, body string) bool{
 		"no seal": func(w io.Writer, r *http.Request, body string) bool {
 			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 2\r\n\r\nok", wiretest.ID, id(r))
 			return true
@@ -137,11 +135,11 @@
 			return false
 		},
 	}
-	for name, answer := range spoiled {
+	for name, handle := range responses {
 		t.Run(name, func(t *testing.T) {
-			a := startTarget(t, "a", answer)
-			w := startWorld(t, a)
-			resp, body, err := w.ask(t, "/once/x", "")
+			a := startTarget(t, "a", handle)
+			env := newTestEnv(t, a)
+			resp, body, err := env.post(t, "/once/x", "")
 			if err != nil || resp.StatusCode != http.StatusBadGateway {
 				t.Errorf("response %v, body %q, error %v", resp, body, err)
 			}
@@ -149,113 +147,111 @@
 	}
 }
 
-// A target sends a second answer to a request, late: it lies on the kept
-// connection when the next request comes. Each caller gets its own answer.
-func TestLateSecondAnswerReachesNobody(t *testing.T) {
-	var a *target
+// A target sends a second response on a kept-alive connection. The next request must not
+// get it.
+func TestLateSecondResponseIsDiscarded(t *testing.T) {
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		if a.runs.Load() == 2 {
 			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: r1\r\n%s: by-a\r\nContent-Length: 5\r\n\r\nagain", wiretest.ID, wiretest.Seal)
 		}
-		return a.whole(w, r, http.StatusOK, "for "+r.Header.Get(wiretest.ID))
+		return a.writeSealed(w, r, http.StatusOK, "for "+r.Header.Get(wiretest.ID))
 	})
-	w := startWorld(t, a)
+	env := newTestEnv(t, a)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		resp, body, err := w.ask(t, "/once/x", "", wiretest.ID, id)
+		resp, body, err := env.post(t, "/once/x", "", wiretest.ID, id)
 		if err != nil || resp.StatusCode != http.StatusOK || body != "for "+id {
 			t.Errorf("%s: response %v, body %q, error %v", id, resp, body, err)
 		}
 	}
 }
 
-// An answer without a length ends with its connection. Closed in order it is
-// whole.
-func TestAnswerWithoutALengthIsWholeWhenItsConnectionCloses(t *testing.T) {
+// A response without a length is complete when its connection is closed in order.
+func TestResponseWithoutLengthEndsWithItsConnection(t *testing.T) {
 	a := startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\n\r\nunframed", wiretest.ID, r.Header.Get(wiretest.ID), wiretest.Seal)
 		return false
 	})
-	w := startWorld(t, a)
-	resp, body, err := w.ask(t, "/once/x", "")
+	env := newTestEnv(t, a)
+	resp, body, err := env.post(t, "/once/x", "")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "unframed" {
 		t.Errorf("response %v, body %q, error %v", resp, body, err)
 	}
 }
 
-// An engine breaks off in the middle of an event. The stream may be resumed: it
-// goes on at another engine after the last whole event, and the reader sees
-// each event once and in order, under the first engine's head.
-func TestStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
-	var a, b *target
-	serve := func(self **target) func(io.Writer, *http.Request, string) bool {
+// An engine fails in the middle of an event on a resumable route. The stream must continue
+// at another engine, with each event relayed once and in order.
+func TestStreamResumesAfterLastWholeEvent(t *testing.T) {
+	var a, b *fakeTarget
+	serve := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
-			(*self).streamHead(w, r)
+			(*self).writeStreamHead(w, r)
 			if last := r.Header.Get(wiretest.LastEvent); last != "" {
 				if last != "2" {
-					t.Errorf("the rest was asked for after event %s", last)
+					t.Errorf("resumed after event %s, want 2", last)
 				}
-				chunk(w, event(3)+event(4))
+				writeChunk(w, event(3)+event(4))
 				io.WriteString(w, "0\r\n\r\n")
 				return true
 			}
-			chunk(w, event(1))
-			chunk(w, event(2)+"id: 3\ndata: pie")
+			writeChunk(w, event(1))
+			writeChunk(w, event(2)+"id: 3\ndata: pie")
 			return false
 		}
 	}
 	a, b = startTarget(t, "a", serve(&a)), startTarget(t, "b", serve(&b))
-	w := startWorld(t, a, b)
-	resp, body, err := w.ask(t, "/resume/x", "")
+	env := newTestEnv(t, a, b)
+	resp, body, err := env.post(t, "/resume/x", "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := event(1) + event(2) + event(3) + event(4); body != want {
-		t.Errorf("the reader got %q", body)
+		t.Errorf("got %q", body)
 	}
 	if a.runs.Load() != 1 || b.runs.Load() != 1 {
-		t.Errorf("sends: %d and %d", a.runs.Load(), b.runs.Load())
+		t.Errorf("sends: %d and %d, want 1 and 1", a.runs.Load(), b.runs.Load())
 	}
 	if resp.Header.Get(wiretest.Seal) == "" {
 		t.Error("the head has no seal")
 	}
 }
 
-// The same on a route that may not be resumed: the rest is not asked for, and
-// the answer does not look complete.
+// On a route that is not resumable, a broken stream is not sent again and must not look
+// complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
-	var a, b *target
-	serve := func(self **target) func(io.Writer, *http.Request, string) bool {
+	var a, b *fakeTarget
+	serve := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
-			(*self).streamHead(w, r)
-			chunk(w, event(1))
+			(*self).writeStreamHead(w, r)
+			writeChunk(w, event(1))
 			return false
 		}
 	}
 	a, b = startTarget(t, "a", serve(&a)), startTarget(t, "b", serve(&b))
-	w := startWorld(t, a, b)
-	_, body, err := w.ask(t, "/stream/x", "")
+	env := newTestEnv(t, a, b)
+	_, body, err := env.post(t, "/stream/x", "")
 	if err == nil {
-		t.Errorf("the answer looks complete: %q", body)
+		t.Errorf("the response looks complete: %q", body)
 	}
 	if runs := a.runs.Load() + b.runs.Load(); runs != 1 {
 		t.Errorf("the stream was sent %d times", runs)
 	}
 }
 
-// Events reach the caller as they come, not at the stream's end.
-func TestEventsArePassedOnAsTheyCome(t *testing.T) {
+// Events must not be buffered until the end of the stream.
+func TestEventsAreRelayedImmediately(t *testing.T) {
 	proceed := make(chan struct{})
-	var a *target
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		a.streamHead(w, r)
-		chunk(w, event(1))
+		a.writeStreamHead(w, r)
+		writeChunk(w, event(1))
 		<-proceed
-		chunk(w, event(2))
+		writeChunk(w, event(2))
 		io.WriteString(w, "0\r\n\r\n")
 		return true
 	})
-	w := startWorld(t, a)
-	req, _ := http.NewRequest(http.MethodPost, w.server.URL+"/stream/x", nil)
+	env := newTestEnv(t, a)
+	req, _ := http.NewRequest(http.MethodPost, env.server.URL+"/stream/x", nil)
 	req.Host = host
 	req.Header.Set(wiretest.ID, "r1")
 	req.Header.Set(wiretest.Key, "town-key")
@@ -267,21 +263,20 @@
 	defer resp.Body.Close()
 	first := make([]byte, len(event(1)))
 	if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != event(1) {
-		t.Fatalf("%q, %v", first, err)
+		t.Fatalf("first event %q, error %v", first, err)
 	}
 	close(proceed)
 	rest, err := io.ReadAll(resp.Body)
 	if err != nil || string(rest) != event(2) {
-		t.Errorf("%q, %v", rest, err)
+		t.Errorf("second event %q, error %v", rest, err)
 	}
 }
 
-// The caller goes away in the middle of a stream. The engine must not work on:
-// its connection is closed.
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
-	var a *target
+// When the caller disconnects from a stream, the connection to the engine must be closed.
+func TestDisconnectedCallerCancelsRequest(t *testing.T) {
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		a.streamHead(w, r)
+		a.writeStreamHead(w, r)
 		for n := 1; ; n++ {
 			if _, err := io.WriteString(w, fmt.Sprintf("%x\r\n%s\r\n", len(event(n)), event(n))); err != nil {
 				return false
@@ -293,9 +288,9 @@
 			}
 		}
 	})
-	w := startWorld(t, a)
-	ctx, leave := context.WithCancel(t.Context())
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, w.server.URL+"/stream/x", nil)
+	env := newTestEnv(t, a)
+	ctx, disconnect := context.WithCancel(t.Context())
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, env.server.URL+"/stream/x", nil)
 	req.Host = host
 	req.Header.Set(wiretest.ID, "r1")
 	req.Header.Set(wiretest.Key, "town-key")
@@ -306,66 +301,66 @@
 	}
 	first := make([]byte, len(event(1)))
 	_, _ = io.ReadFull(resp.Body, first)
-	leave()
+	disconnect()
 	resp.Body.Close()
-	waitFor(t, "the forwarder has let go of the request", func() bool { return w.InFlight() == 0 })
-	if got := w.Ledger.Own(time.Now()); len(got) != 0 {
-		t.Errorf("work is still counted: %v", got)
+	waitFor(t, "the request has ended", func() bool { return env.InFlight() == 0 })
+	if got := env.Ledger.Own(time.Now()); len(got) != 0 {
+		t.Errorf("work is still in the ledger: %v", got)
 	}
 }
 
-// A target hangs. The caller gets its final answer at the route's time, not
-// later, and it does not say that the call did not run.
-func TestFinalAnswerComesAtTheRoutesTime(t *testing.T) {
+// If a target hangs, the caller must get 504 at its deadline, and not a status that says
+// the request did not run.
+func TestDeadlineEndsRequest(t *testing.T) {
 	release := make(chan struct{})
 	a := startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool { <-release; return false })
 	defer close(release)
-	w := startWorld(t, a)
-	began := time.Now()
-	resp, _, err := w.ask(t, "/once/x", "file", wiretest.TimeLeft, "150ms")
+	env := newTestEnv(t, a)
+	start := time.Now()
+	resp, _, err := env.post(t, "/once/x", "file", wiretest.TimeLeft, "150ms")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); resp.StatusCode != http.StatusGatewayTimeout || took > 600*time.Millisecond {
+	if took := time.Since(start); resp.StatusCode != http.StatusGatewayTimeout || took > 600*time.Millisecond {
 		t.Errorf("status %d after %v", resp.StatusCode, took)
 	}
 }
 
-// A question that one target leaves unanswered is asked elsewhere while there
-// is time.
-func TestQuestionThatHangsIsAskedElsewhere(t *testing.T) {
+// If a target does not respond to an idempotent request, another one must be tried before
+// the deadline.
+func TestHangingIdempotentRequestIsRetried(t *testing.T) {
 	release := make(chan struct{})
-	var a, b *target
-	hangFirst := func(self **target) func(io.Writer, *http.Request, string) bool {
+	var a, b *fakeTarget
+	hangFirst := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			if a.runs.Load()+b.runs.Load() == 1 {
 				<-release
 				return false
 			}
-			return (*self).whole(w, r, http.StatusOK, "fine")
+			return (*self).writeSealed(w, r, http.StatusOK, "fine")
 		}
 	}
 	a, b = startTarget(t, "a", hangFirst(&a)), startTarget(t, "b", hangFirst(&b))
 	defer close(release)
-	w := startWorld(t, a, b)
-	resp, body, err := w.ask(t, "/again/x", "", wiretest.TimeLeft, "600ms")
+	env := newTestEnv(t, a, b)
+	resp, body, err := env.post(t, "/again/x", "", wiretest.TimeLeft, "600ms")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "fine" {
 		t.Errorf("response %v, body %q, error %v", resp, body, err)
 	}
 }
 
-// A long body is refused by an engine before it is in. The rest of the body
-// must not be read as the next request: the connection is not used again.
-func TestEarlyAnswerToALongBodyEndsItsConnection(t *testing.T) {
-	var a *target
+// A target responds before it has read the whole body. The rest of the body must not be
+// read as the next request: the connection is not reused.
+func TestEarlyResponseClosesConnection(t *testing.T) {
+	var a *fakeTarget
 	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool {
-		return a.whole(w, r, http.StatusOK, fmt.Sprint(len(body)))
+		return a.writeSealed(w, r, http.StatusOK, fmt.Sprint(len(body)))
 	})
-	early := startEarlyTarget(t)
-	w := startWorld(t, a)
-	w.view.Targets["plain"][0].Address = early.address
+	early := startEarlyResponder(t)
+	env := newTestEnv(t, a)
+	env.view.Targets["plain"][0].Address = early.address
 	long := strings.Repeat("x", 1<<19)
-	resp, _, err := w.ask(t, "/once/x", long)
+	resp, _, err := env.post(t, "/once/x", long)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -373,19 +368,18 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	for range 3 {
-		_, _, _ = w.ask(t, "/once/x", "next")
+		_, _, _ = env.post(t, "/once/x", "next")
 	}
-	if n := early.mixed.Load(); n != 0 {
-		t.Errorf("%d requests came where the rest of a body was due", n)
+	if n := early.misread.Load(); n != 0 {
+		t.Errorf("%d requests were sent into an unfinished body", n)
 	}
 }
 
-// Requests without a route, without a key, with a wrong key or too large a body
-// are refused with what is wrong, and reach no target.
+// Invalid requests must be refused with the right status and reach no target.
 func TestRefusalsBeforeASend(t *testing.T) {
-	var a *target
-	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool { return a.whole(w, r, http.StatusOK, "") })
-	w := startWorld(t, a)
+	var a *fakeTarget
+	a = startTarget(t, "a", func(w io.Writer, r *http.Request, body string) bool { return a.writeSealed(w, r, http.StatusOK, "") })
+	env := newTestEnv(t, a)
 	cases := []struct {
 		name, path, body, key string
 		status                int
@@ -397,7 +391,7 @@
 		{"too large", "/once/x", strings.Repeat("x", 1<<20+1), "town-key", http.StatusRequestEntityTooLarge},
 	}
 	for _, c := range cases {
-		resp, _, err := w.ask(t, c.path, c.body, wiretest.Key, c.key)
+		resp, _, err := env.post(t, c.path, c.body, wiretest.Key, c.key)
 		if err != nil || resp.StatusCode != c.status {
 			t.Errorf("%s: response %v, error %v, want status %d", c.name, resp, err, c.status)
 		}
@@ -405,7 +399,7 @@
 	if a.runs.Load() != 0 {
 		t.Errorf("%d requests reached the target", a.runs.Load())
 	}
-	if resp, _, err := w.ask(t, "/public/x", "", wiretest.Key, ""); err != nil || resp.StatusCode != http.StatusOK {
+	if resp, _, err := env.post(t, "/public/x", "", wiretest.Key, ""); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("public route: response %v, error %v", resp, err)
 	}
 }
@@ -415,68 +409,64 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 		<-time.After(2 * time.Millisecond)
 	}
 }
 
-// The links of an entry's host fail while callers still reach it. Each request
-// tried four engines and waited a quarter of a second for each before it was
-// refused. Once one connection has failed and no process is heard, the refusal
-// comes at once, and sends the caller to another entry.
+// An entry that is cut off from all engines must refuse at once, and close the connection
+// so that the caller retries at another entry.
 func TestEntryThatIsCutOffRefusesAtOnce(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
-	w := startWorld(t, tg)
-	w.Reach.Heard(time.Now().Add(-time.Second))
-	w.Reach.Failed(time.Now())
-	resp, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
+	env := newTestEnv(t, tg)
+	env.Reach.Heard(time.Now().Add(-time.Second))
+	env.Reach.Failed(time.Now())
+	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "cut_off") {
-		t.Errorf("%d %s", resp.StatusCode, body)
+		t.Errorf("status %d, body %s", resp.StatusCode, body)
 	}
 	if !resp.Close || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("close %v, headers %v", resp.Close, resp.Header)
 	}
 	if n := tg.runs.Load(); n != 0 {
-		t.Errorf("%d sends", n)
+		t.Errorf("%d sends, want none", n)
 	}
 }
 
-// A stopping entry takes a review that lasts longer than the entry has left. The
-// stream was cut off in the middle. What will have ended in time is still served:
-// other entries may be stopping too.
-func TestStoppingEntryTakesOnlyWhatWillEnd(t *testing.T) {
-	var tg *target
-	tg = startTarget(t, "i1", func(w io.Writer, r *http.Request, _ string) bool { return tg.whole(w, r, 200, "answer") })
-	w := startWorld(t, tg)
-	w.view.Stopping, w.view.PicksFrom, w.view.EndsAt = true, time.Now(), time.Now().Add(time.Second)
-	resp, body, err := w.ask(t, "/again/x", "")
+// A stopping entry must refuse a request that would outlast it, and still serve shorter
+// ones.
+func TestStoppingEntryRefusesLongRequests(t *testing.T) {
+	var tg *fakeTarget
+	tg = startTarget(t, "i1", func(w io.Writer, r *http.Request, _ string) bool { return tg.writeSealed(w, r, 200, "answer") })
+	env := newTestEnv(t, tg)
+	env.view.Stopping, env.view.PicksFrom, env.view.EndsAt = true, time.Now(), time.Now().Add(time.Second)
+	resp, body, err := env.post(t, "/again/x", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "stopping") {
-		t.Errorf("a request of two seconds: %v %s %v", resp, body, err)
+		t.Errorf("a request of 2 s: response %v, body %s, error %v", resp, body, err)
 	}
-	resp, body, err = w.ask(t, "/again/x", "", wiretest.TimeLeft, "300ms")
+	resp, body, err = env.post(t, "/again/x", "", wiretest.TimeLeft, "300ms")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "answer" || !resp.Close {
-		t.Errorf("a request of 0.3 seconds: %v %s %v", resp, body, err)
+		t.Errorf("a request of 300 ms: response %v, body %s, error %v", resp, body, err)
 	}
 }
 
-// Engines are so full that the first event would come after the caller has left,
-// long before its deadline. The prompt was sent all the same, read, and thrown
-// away. It is refused at once, with the time to come back.
-func TestPromptWhoseCallerWouldLeaveIsRefused(t *testing.T) {
+// A prompt whose first event is expected after the caller's first-event timeout must be
+// refused without being sent.
+func TestPromptBeyondFirstEventTimeoutIsRefused(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
-	w := startWorld(t, tg)
-	w.view.Estate.Match(host, "/prompt/").Patience = 300 * time.Millisecond
-	busy := w.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Reading: ledger.Lane(0, 2*time.Second)}, time.Hour, time.Now())
+	env := newTestEnv(t, tg)
+	env.view.Estate.Match(host, "/prompt/").Patience = 300 * time.Millisecond
+	busy := env.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Reading: ledger.Lane(0, 2*time.Second)}, time.Hour, time.Now())
 	defer busy.End()
-	resp, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
+	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "deadline_unmeetable") || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("%v %s %v", resp, body, err)
+		t.Errorf("response %v, body %s, error %v", resp, body, err)
 	}
 	if n := tg.runs.Load(); n != 0 {
-		t.Errorf("%d sends", n)
+		t.Errorf("%d sends, want none", n)
 	}
 }
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -18,25 +18,25 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire/wiretest"
 )
 
-// fakeSidecars answers for engines by their address, and keeps what it is told.
+// fakeSidecars answers probes by engine address and records what is reported.
 type fakeSidecars struct {
-	mu      sync.Mutex
-	answers map[netip.AddrPort]probe.Answer
-	asked   int
-	sends   map[netip.AddrPort][]probe.Send
-	told    map[netip.AddrPort][]probe.Progress
-	// onSent is called with the lock held when a prompt was sent.
+	mu       sync.Mutex
+	answers  map[netip.AddrPort]probe.Answer
+	probes   int
+	sends    map[netip.AddrPort][]probe.Send
+	progress map[netip.AddrPort][]probe.Progress
+	// onSent is called with the lock held when a send is reported.
 	onSent func()
 }
 
 func newFakeSidecars() *fakeSidecars {
-	return &fakeSidecars{answers: map[netip.AddrPort]probe.Answer{}, sends: map[netip.AddrPort][]probe.Send{}, told: map[netip.AddrPort][]probe.Progress{}}
+	return &fakeSidecars{answers: map[netip.AddrPort]probe.Answer{}, sends: map[netip.AddrPort][]probe.Send{}, progress: map[netip.AddrPort][]probe.Progress{}}
 }
 
 func (s *fakeSidecars) Ask(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Answer, []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.probes++
 	answers, known := make([]probe.Answer, len(engines)), make([]bool, len(engines))
 	for i, engine := range engines {
 		answers[i], known[i] = s.answers[engine]
@@ -57,206 +57,203 @@
 func (s *fakeSidecars) Progressed(engine netip.AddrPort, _ uint32, p probe.Progress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told[engine] = append(s.told[engine], p)
+	s.progress[engine] = append(s.progress[engine], p)
 }
 
-func (s *fakeSidecars) say(engine netip.AddrPort, a probe.Answer) {
+func (s *fakeSidecars) setAnswer(engine netip.AddrPort, a probe.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers[engine] = a
 }
 
-// probedWorld is a world in a large fleet; each target is an engine that serves.
-func probedWorld(t *testing.T, targets ...*target) (*world, *fakeSidecars) {
+// newProbedEnv returns an environment in a large fleet, where each target is an engine with
+// a sidecar that answers probes.
+func newProbedEnv(t *testing.T, targets ...*fakeTarget) (*testEnv, *fakeSidecars) {
 	t.Helper()
-	w := startWorld(t, targets...)
+	env := newTestEnv(t, targets...)
 	sidecars := newFakeSidecars()
-	w.view.Large, w.Forwarder.Sidecars = true, sidecars
-	for i := range w.view.Targets["engines"] {
-		tg := &w.view.Targets["engines"][i]
+	env.view.Large, env.Forwarder.Sidecars = true, sidecars
+	for i := range env.view.Targets["engines"] {
+		tg := &env.view.Targets["engines"][i]
 		sidecars.answers[tg.Address] = probe.Answer{Life: tg.Life, Weights: map[string]int64{model: 3}, Pace: 1}
-		// All engines serve the family of the tests.
+		// All engines rank equally for the tests' family.
 		tg.Hash = 0
 	}
-	return w, sidecars
+	return env, sidecars
 }
 
-func addressOf(tg *target) netip.AddrPort {
+func addressOf(tg *fakeTarget) netip.AddrPort {
 	return netip.MustParseAddrPort(tg.listener.Addr().String())
 }
 
-// streamOf answers with a stream of two events.
-func streamOf(t *testing.T, instance string) *target {
+// startStreamTarget starts a target that responds with a stream of two events.
+func startStreamTarget(t *testing.T, instance string) *fakeTarget {
 	t.Helper()
-	var tg *target
+	var tg *fakeTarget
 	tg = startTarget(t, instance, func(w io.Writer, r *http.Request, _ string) bool {
-		tg.streamHead(w, r)
-		chunk(w, event(1)+event(2))
-		chunk(w, "")
+		tg.writeStreamHead(w, r)
+		writeChunk(w, event(1)+event(2))
+		writeChunk(w, "")
 		return true
 	})
 	return tg
 }
 
-// streamKeepingHeader answers with a stream of one event, and keeps the header of the last
-// request.
-func streamKeepingHeader(t *testing.T, instance string) (*target, http.Header) {
+// startHeaderRecorder starts a target that responds with a stream of one event. The
+// returned header is updated with each request.
+func startHeaderRecorder(t *testing.T, instance string) (*fakeTarget, http.Header) {
 	t.Helper()
 	got := http.Header{}
-	var tg *target
+	var tg *fakeTarget
 	tg = startTarget(t, instance, func(w io.Writer, r *http.Request, _ string) bool {
 		clear(got)
 		maps.Copy(got, r.Header)
-		tg.streamHead(w, r)
-		chunk(w, event(1))
-		chunk(w, "")
+		tg.writeStreamHead(w, r)
+		writeChunk(w, event(1))
+		writeChunk(w, "")
 		return true
 	})
 	return tg, got
 }
 
-func askPrompt(t *testing.T, w *world) *http.Response {
+func postPrompt(t *testing.T, env *testEnv) *http.Response {
 	t.Helper()
-	resp, _, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
+	resp, _, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return resp
 }
 
-// Another entry has filled an engine with work a moment ago. This entry has sent it
-// nothing, and would take it for idle; its sidecar knows, and the prompt goes to the
-// other engine, which is told of the prompt, of its first event and of its end.
-func TestPromptGoesWhereSidecarsSayThatThereIsRoom(t *testing.T) {
-	busy, idle := streamOf(t, "busy"), streamOf(t, "idle")
-	w, sidecars := probedWorld(t, busy, idle)
+// An engine that is busy with other entries' prompts must not be mistaken for idle. The
+// prompt goes to the other engine, whose sidecar is notified of the send, its prefill and
+// its end.
+func TestProbesFindIdleEngine(t *testing.T) {
+	busy, idle := startStreamTarget(t, "busy"), startStreamTarget(t, "idle")
+	env, sidecars := newProbedEnv(t, busy, idle)
 	a := sidecars.answers[addressOf(busy)]
 	a.Work = ledger.Work{Running: 30, Reading: ledger.Lane(0, 3*time.Second)}
-	sidecars.say(addressOf(busy), a)
-	if resp := askPrompt(t, w); resp.StatusCode != http.StatusOK {
+	sidecars.setAnswer(addressOf(busy), a)
+	if resp := postPrompt(t, env); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	if busy.runs.Load() != 0 || idle.runs.Load() != 1 {
-		t.Errorf("%d runs at the busy engine, %d at the idle one", busy.runs.Load(), idle.runs.Load())
+		t.Errorf("%d runs at the busy engine, %d at the idle one; want 0 and 1", busy.runs.Load(), idle.runs.Load())
 	}
-	w.server.Close()
+	env.server.Close()
 	sidecars.mu.Lock()
 	defer sidecars.mu.Unlock()
 	if sends := sidecars.sends[addressOf(idle)]; len(sends) != 1 || sends[0].Weights != 3 || len(sends[0].Prompt.Parts) != 2 {
-		t.Errorf("its sidecar was told of %+v", sends)
+		t.Errorf("reported sends: %+v", sends)
 	}
-	told := sidecars.told[addressOf(idle)]
-	if len(told) != 2 || !told[0].Read || !told[1].Ended || told[1].Outcome != health.Good {
-		t.Errorf("and of %+v", told)
+	progress := sidecars.progress[addressOf(idle)]
+	if len(progress) != 2 || !progress[0].Read || !progress[1].Ended || progress[1].Outcome != health.Good {
+		t.Errorf("reported progress: %+v", progress)
 	}
 }
 
-// An engine has started again under a new name, with new weights, and the list shows the
-// earlier life for a second or two. The request names the life that the sidecar knows,
-// and demands the weights that it has.
-func TestSidecarsWordOfLifeAndWeightsGoesBeforeTheList(t *testing.T) {
-	tg, got := streamKeepingHeader(t, "old")
-	w, sidecars := probedWorld(t, tg)
-	sidecars.say(addressOf(tg), probe.Answer{Life: fleet.Life{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
-	askPrompt(t, w)
+// The target list still shows an engine's previous incarnation after a restart. The request
+// must name the incarnation and weights that the sidecar reports.
+func TestProbeAnswerOverridesTargetList(t *testing.T) {
+	tg, got := startHeaderRecorder(t, "old")
+	env, sidecars := newProbedEnv(t, tg)
+	sidecars.setAnswer(addressOf(tg), probe.Answer{Life: fleet.Life{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
+	postPrompt(t, env)
 	if got.Get(wiretest.Instance) != "new" || got.Get(wiretest.Weights) != "4" {
-		t.Errorf("asked for %q with weights %q", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
+		t.Errorf("request for instance %q with weights %q; want new and 4", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
 	}
 }
 
-// No sidecar answers: they are gone, or cut off from this entry. Engines are used all the
-// same, by the list.
+// If no sidecar answers, engines are chosen from the target list.
 func TestEnginesAreUsedWithoutSidecars(t *testing.T) {
-	tg := streamOf(t, "e")
-	w, sidecars := probedWorld(t, tg)
+	tg := startStreamTarget(t, "e")
+	env, sidecars := newProbedEnv(t, tg)
 	clear(sidecars.answers)
-	if resp := askPrompt(t, w); resp.StatusCode != http.StatusOK || tg.runs.Load() != 1 {
+	if resp := postPrompt(t, env); resp.StatusCode != http.StatusOK || tg.runs.Load() != 1 {
 		t.Errorf("status %d, %d runs", resp.StatusCode, tg.runs.Load())
 	}
 }
 
-// One engine of two loads weights, the other does not answer its sidecar. Neither takes
-// the prompt: it is refused, and not sent to be given back.
-func TestLoadingAndSilentEnginesTakeNothing(t *testing.T) {
-	loading, silent := streamOf(t, "loading"), streamOf(t, "silent")
-	w, sidecars := probedWorld(t, loading, silent)
-	for tg, phase := range map[*target]weights.Phase{loading: weights.Loading, silent: weights.Silent} {
+// A prompt must not be sent to an engine that is loading weights or does not respond to its
+// sidecar.
+func TestLoadingAndUnresponsiveEnginesAreNotUsed(t *testing.T) {
+	loading, unresponsive := startStreamTarget(t, "loading"), startStreamTarget(t, "silent")
+	env, sidecars := newProbedEnv(t, loading, unresponsive)
+	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, unresponsive: weights.Silent} {
 		a := sidecars.answers[addressOf(tg)]
 		a.Phase = phase
-		sidecars.say(addressOf(tg), a)
+		sidecars.setAnswer(addressOf(tg), a)
 	}
-	if resp := askPrompt(t, w); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+	if resp := postPrompt(t, env); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	if loading.runs.Load()+silent.runs.Load() != 0 {
+	if loading.runs.Load()+unresponsive.runs.Load() != 0 {
 		t.Error("a prompt was sent")
 	}
 }
 
-// The family's first engine is too busy, but knows that another one has the prompt's
-// parts. They are fetched from there, and neither read again nor saved again.
-func TestPartsAreFetchedFromWhereTheFirstEngineKnowsThem(t *testing.T) {
-	tg, got := streamKeepingHeader(t, "e")
-	w, sidecars := probedWorld(t, tg)
+// If the family's first engine reports another engine as holder of the parts, they are
+// fetched from there and not offloaded again.
+func TestPartsAreFetchedFromReportedHolder(t *testing.T) {
+	tg, got := startHeaderRecorder(t, "e")
+	env, sidecars := newProbedEnv(t, tg)
 	holder := netip.MustParseAddrPort("127.0.0.2:7")
-	listing := w.view.Targets["engines"][0].Listing
+	listing := env.view.Targets["engines"][0].Listing
 	listing.Life, listing.Address = fleet.Life{Instance: "holder"}, holder
 	other := fleet.NewTarget(listing)
-	other.Leaving = true // not asked itself
-	w.view.Targets["engines"] = append(w.view.Targets["engines"], other)
+	other.Leaving = true // not probed itself
+	env.view.Targets["engines"] = append(env.view.Targets["engines"], other)
 	a := sidecars.answers[addressOf(tg)]
 	a.Holder, a.Saved = holder, true
-	sidecars.say(addressOf(tg), a)
-	askPrompt(t, w)
+	sidecars.setAnswer(addressOf(tg), a)
+	postPrompt(t, env)
 	if got.Get(wiretest.Fetch) != holder.String() {
 		t.Errorf("fetched from %q", got.Get(wiretest.Fetch))
 	}
 	if got.Get(wiretest.Save) != "" {
-		t.Error("saved again")
+		t.Error("the parts were offloaded again")
 	}
 }
 
-// An engine goes dark in the middle of a stream. Its host lives, so that the connection
-// stays open and nothing comes. The caller must see an end, long before its deadline, and
-// not one that looks complete.
-func TestStreamOfADarkEngineEnds(t *testing.T) {
-	var tg *target
-	dark := make(chan struct{})
+// An engine hangs in the middle of a stream while its connection stays open. The stream
+// must be aborted long before the deadline, and must not look complete.
+func TestStreamOfUnresponsiveEngineEnds(t *testing.T) {
+	var tg *fakeTarget
+	release := make(chan struct{})
 	tg = startTarget(t, "e", func(w io.Writer, r *http.Request, _ string) bool {
-		tg.streamHead(w, r)
-		chunk(w, event(1))
-		<-dark
+		tg.writeStreamHead(w, r)
+		writeChunk(w, event(1))
+		<-release
 		return false
 	})
-	defer close(dark)
-	w, sidecars := probedWorld(t, tg)
-	w.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
+	defer close(release)
+	env, sidecars := newProbedEnv(t, tg)
+	env.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
 	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Answer{Phase: weights.Silent} }
-	began := time.Now()
-	_, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
+	start := time.Now()
+	_, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err == nil {
 		t.Errorf("the stream looks complete: %q", body)
 	}
-	if took := time.Since(began); took > 20*time.Second {
-		t.Errorf("it ended after %v", took)
+	if took := time.Since(start); took > 20*time.Second {
+		t.Errorf("the stream ended after %v", took)
 	}
 }
 
-// An engine is busy and says nothing for three seconds, and its sidecar hears it. Its
-// answer must not be ended sooner.
-func TestSilenceOfABusyEngineEndsNothing(t *testing.T) {
-	tg := streamOf(t, "e")
-	w, _ := probedWorld(t, tg)
-	fl := &flow{Forwarder: w.Forwarder, service: w.view.Estate.Service("engines")}
+// A send must not be cancelled while the sidecar reports that its silent engine responds.
+func TestBusyEngineIsNotAbandoned(t *testing.T) {
+	tg := startStreamTarget(t, "e")
+	env, _ := newProbedEnv(t, tg)
+	fl := &flow{Forwarder: env.Forwarder, service: env.view.Estate.Service("engines")}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	watch := fl.watchDark(ctx, &destination{target: w.view.Targets["engines"][0], probed: true}, cancel)
+	watch := fl.watchEngine(ctx, &destination{target: env.view.Targets["engines"][0], probed: true}, cancel)
 	defer watch.stop()
-	watch.heardAt = time.Now().Add(-time.Minute)
-	for range 2 * darkChecks {
+	watch.lastReceived = time.Now().Add(-time.Minute)
+	for range 2 * unresponsiveChecks {
 		watch.check()
 	}
 	if ctx.Err() != nil {
-		t.Errorf("given up: %v", context.Cause(ctx))
+		t.Errorf("the send was cancelled: %v", context.Cause(ctx))
 	}
 }
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -14,136 +14,140 @@
 )
 
 const (
-	// aloneWait is how long a request waits for its turn to run alone, or until it is settled
-	// what ended its targets, and aloneShare the most of its time left: a run that ends its
-	// engine takes a few hundred milliseconds, and a caller who is refused needs the rest to
-	// come back.
-	aloneWait  = time.Second
-	aloneShare = 0.5
-	// longestHold bounds the time to come back that callers of a refused request are told:
-	// an operator may let it go before it would be forgotten.
-	longestHold = time.Hour
+	// probationWait is how long a request waits for its probation run, or until it is known
+	// whether a crash is attributed to it; probationWaitShare limits the wait to a share of
+	// the remaining time, since a refused caller needs the rest to retry. A run that
+	// crashes its engine takes a few hundred milliseconds.
+	probationWait      = time.Second
+	probationWaitShare = 0.5
+	// maxHoldRetryAfter limits the retry delay for callers of a quarantined request, which
+	// an operator may release earlier.
+	maxHoldRetryAfter = time.Hour
 )
 
-// errApart is the cause of sends that were given up because another target has ended under
-// the same request.
-var errApart = errors.New("another target has ended under the same request")
+// errCrashedElsewhere is the cause of sends that were cancelled because another target
+// crashed while it ran the same request.
+var errCrashedElsewhere = errors.New("another target crashed while it ran the same request")
 
-// mayRun looks up what is held against the request, and refuses one that has ended enough
-// targets. It is refused at once: it waits for no place, and takes nothing of the retry
+// checkQuarantine updates the request's quarantine status, and refuses a request that has
+// crashed too many targets. The refusal neither waits for a target nor uses the retry
 // budget.
-func (fl *flow) mayRun() *errkind.Error {
-	fl.standing = fl.Quarantine.Standing(fl.print, fl.Now())
-	if fl.standing.Verdict != quarantine.Refused {
+func (fl *flow) checkQuarantine() *errkind.Error {
+	fl.quarantineStatus = fl.Quarantine.Standing(fl.fingerprint, fl.Now())
+	if fl.quarantineStatus.Verdict != quarantine.Refused {
 		return nil
 	}
-	hold := min(fl.standing.Until.Sub(fl.Now()), longestHold)
-	return errkind.After(errkind.Quarantined, fl.comeBack(hold), "%d targets ended under request %s; it is held until %s", fl.standing.Ends, fl.print, hold.Round(time.Second))
+	hold := min(fl.quarantineStatus.Until.Sub(fl.Now()), maxHoldRetryAfter)
+	return errkind.After(errkind.Quarantined, fl.jitter(hold), "%d targets crashed while they ran request %s; it is quarantined for %s", fl.quarantineStatus.Ends, fl.fingerprint, hold.Round(time.Second))
 }
 
-// apartKey ranks the targets for a request that is kept apart; zero for all others.
-func (fl *flow) apartKey() uint64 {
-	if fl.standing.Verdict == quarantine.Free {
+// suspectKey returns the key that ranks the targets for a suspect, so that all its runs go
+// to the same few targets; zero for other requests.
+func (fl *flow) suspectKey() uint64 {
+	if fl.quarantineStatus.Verdict == quarantine.Free {
 		return 0
 	}
-	return uint64(fl.print)
+	return uint64(fl.fingerprint)
 }
 
-// mustAvoid reports whether another suspect runs at a target to which this one may not go
-// at the same time: if the target ended, neither could be told from the other.
+// mustAvoid reports whether a target is running another suspect. If it crashed, the crash
+// could not be attributed to either of them.
 func (fl *flow) mustAvoid(t *fleet.Target) bool {
-	return fl.standing.Verdict == quarantine.Alone && fl.Quarantine.Occupied(t.ID, fl.print, fl.Now())
+	return fl.quarantineStatus.Verdict == quarantine.Alone && fl.Quarantine.Occupied(t.ID, fl.fingerprint, fl.Now())
 }
 
-// chooseForStanding chooses a target by what is held against the request now, and begins
-// the trial of one that may only run alone.
-func (fl *flow) chooseForStanding(ctx context.Context) (*destination, *errkind.Error) {
-	if refusal := fl.mayRun(); refusal != nil {
+// chooseForStatus chooses a target according to the request's quarantine status. It starts
+// the probation run of a request that may run only one at a time.
+func (fl *flow) chooseForStatus(ctx context.Context) (*destination, *errkind.Error) {
+	if refusal := fl.checkQuarantine(); refusal != nil {
 		return nil, refusal
 	}
-	if fl.standing.Verdict == quarantine.Held {
-		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%d targets ended under the request: it is held for a moment", fl.standing.Ends)
+	if fl.quarantineStatus.Verdict == quarantine.Held {
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request; it is on hold until the crashes are attributed", fl.quarantineStatus.Ends)
 	}
-	to, refusal := fl.choose(ctx)
-	if refusal != nil || fl.standing.Verdict != quarantine.Alone {
-		return to, refusal
+	dst, refusal := fl.choose(ctx)
+	if refusal != nil || fl.quarantineStatus.Verdict != quarantine.Alone {
+		return dst, refusal
 	}
-	if !fl.Quarantine.Begin(fl.print, to.target.ID, fl.Now()) {
-		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%d targets ended under the request, and another try of it runs", fl.standing.Ends)
+	if !fl.Quarantine.Begin(fl.fingerprint, dst.target.ID, fl.Now()) {
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request, and another run of it is in progress", fl.quarantineStatus.Ends)
 	}
-	to.trial = true
-	return to, nil
+	dst.probation = true
+	return dst, nil
 }
 
-// startRun notes the send, so that it can be given up when another target ends under the
-// same request. One that runs at most once is kept: it may have begun.
-func (fl *flow) startRun(to *destination, cancel context.CancelCauseFunc) *quarantine.Run {
-	var giveUp func()
+// startRun registers the send, so that it can be cancelled when another target crashes
+// while it runs the same request. A request that may run only once is not cancelled, since
+// it may have started.
+func (fl *flow) startRun(dst *destination, cancel context.CancelCauseFunc) *quarantine.Run {
+	var abandonSend func()
 	if fl.route.Repeatable() {
-		giveUp = func() { cancel(errApart) }
+		abandonSend = func() { cancel(errCrashedElsewhere) }
 	}
-	return fl.Quarantine.Start(fl.print, to.target.ID, giveUp)
+	return fl.Quarantine.Start(fl.fingerprint, dst.target.ID, abandonSend)
 }
 
-// endRun notes that the send has ended.
-func (fl *flow) endRun(to *destination, run *quarantine.Run) {
+// endRun unregisters the send.
+func (fl *flow) endRun(dst *destination, run *quarantine.Run) {
 	fl.Quarantine.Done(run)
-	fl.endTrial(to)
+	fl.endProbation(dst)
 }
 
-func (fl *flow) endTrial(to *destination) {
-	if to.trial {
-		fl.Quarantine.End(fl.print, to.target.ID)
+func (fl *flow) endProbation(dst *destination) {
+	if dst.probation {
+		fl.Quarantine.End(fl.fingerprint, dst.target.ID)
 	}
 }
 
-// served notes that a target answered the request whole, and lives. It is counted for
-// requests that may run anywhere, too: one that is asked for all the time would otherwise
-// be refused after its third crash within the hour, whatever it was served between.
-func (fl *flow) served() { fl.Quarantine.Served(fl.print) }
+// recordServed records that a target answered the request completely and survived. It is
+// recorded for all requests: one that is always running would otherwise be quarantined
+// after its third unrelated crash within the hour.
+func (fl *flow) recordServed() { fl.Quarantine.Served(fl.fingerprint) }
 
-// brokeOff reports whether an error is how the end of a target's process shows: its host
-// closes or resets the connection. A host that is dark or cut off answers nothing at all.
-func brokeOff(err error) bool {
+// isDisconnect reports whether an error is a connection closed or reset by the target's
+// host, as when the target's process ends. An unresponsive or unreachable host closes
+// nothing.
+func isDisconnect(err error) bool {
 	return errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE)
 }
 
-// doubt is that the target has ended under the request now.
-func (fl *flow) doubt(to *destination) quarantine.Doubt {
+// suspectedCrash describes a possible crash of the target while it ran the request.
+func (fl *flow) suspectedCrash(dst *destination) quarantine.Doubt {
 	return quarantine.Doubt{
-		Print: fl.print, Who: quarantine.Who{Workspace: fl.workspaceName(), Route: fl.routeName()},
-		Target: to.target, Unlisted: !quarantine.Lists(fl.view, &to.target), Step: to.standing.Step, At: fl.Now(), Ran: time.Since(fl.sentAt), RequestID: fl.request.ID,
+		Print: fl.fingerprint, Who: quarantine.Who{Workspace: fl.workspaceName(), Route: fl.routeName()},
+		Target: dst.target, Unlisted: !quarantine.Lists(fl.view, &dst.target), Step: dst.quarantineStatus.Step, At: fl.Now(), Ran: time.Since(fl.sentAt), RequestID: fl.request.ID,
 	}
 }
 
-// blame holds it against the request if its target has ended and did not only break the
-// connection off. It is called before the next send is placed, which goes by it.
-func (fl *flow) blame(ctx context.Context, to *destination, err error) {
-	if ctx.Err() != nil || !brokeOff(err) {
+// attributeCrash attributes a broken connection to the request if the target has crashed
+// and did not just close the connection. It must be called before the next send is placed,
+// which depends on the request's status.
+func (fl *flow) attributeCrash(ctx context.Context, dst *destination, err error) {
+	if ctx.Err() != nil || !isDisconnect(err) {
 		return
 	}
 	v, ok := fl.View()
 	if !ok {
 		return
 	}
-	d := fl.doubt(to)
-	evidence := fl.Endings.Ended(ctx, v, d)
-	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.print, "target", to.target.Life, "evidence", string(evidence),
-		"list_age", fl.since(v.ListedAt), "step", d.Step, "ran", tenth(time.Since(fl.sentAt)))
+	d := fl.suspectedCrash(dst)
+	evidence := fl.CrashDetector.Ended(ctx, v, d)
+	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.fingerprint, "target", dst.target.Life, "evidence", string(evidence),
+		"list_age", fl.age(v.ListedAt), "step", d.Step, "ran", roundForLog(time.Since(fl.sentAt)))
 	if evidence != quarantine.NoEvidence {
 		fl.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
 	}
 }
 
-// Settle looks again at requests whose targets may have ended, by the newest view, and at
-// those that are held.
-func (f *Forwarder) Settle() {
+// RecheckCrashes checks suspected crashes against the current view, and updates the
+// requests that are on hold. Call it when the view has changed.
+func (f *Forwarder) RecheckCrashes() {
 	defer func() { f.Quarantine.Settle(f.Now()) }()
 	v, ok := f.View()
 	if !ok {
 		return
 	}
-	doubts, evidence := f.Endings.Settle(v, f.Now())
+	doubts, evidence := f.CrashDetector.Settle(v, f.Now())
 	for i, d := range doubts {
 		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Print, "target", d.Target.Life, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
 		f.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
--- a/internal/gateway/forward/answer.go
+++ b/internal/gateway/forward/refusal.go
@@ -7,7 +7,7 @@
 	"github.com/toucanwell/toucanwell/internal/errkind"
 )
 
-// problem is the body of an own refusal.
+// problem is the body of a refusal that the entry itself makes (RFC 9457).
 type problem struct {
 	Type         string `json:"type"`
 	Title        string `json:"title"`
@@ -17,10 +17,10 @@
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 }
 
-// refuse answers with a refusal. Nothing of another answer has been written.
+// refuse answers the request with an error. No byte of a response may have been written.
 func (fl *flow) refuse(e *errkind.Error) {
 	row := e.Kind.Row()
-	fl.failed(e)
+	fl.recordFailure(e)
 	if e.Kind == errkind.Cancelled {
 		panic(http.ErrAbortHandler)
 	}
@@ -29,7 +29,7 @@
 	if e.RetryAfter > 0 {
 		fl.Protocol.WriteRetryAfter(header, e.RetryAfter)
 	}
-	fl.sendElsewhere(header)
+	fl.setConnectionClose(header)
 	body, err := json.Marshal(problem{
 		Type: "urn:toucanwell:error:" + row.Name, Title: row.Title, Status: row.Status, Detail: e.Detail,
 		RequestID: fl.request.ID, RetryAfterMs: e.RetryAfter.Milliseconds(),
@@ -38,20 +38,20 @@
 		fl.Logger.Error(err, "encode_problem", "request_id", fl.request.ID)
 	}
 	fl.w.WriteHeader(row.Status)
-	_, _ = fl.w.Write(body) // a caller that has gone needs no refusal
+	_, _ = fl.w.Write(body) // the caller may have gone
 }
 
-// breakOff ends an answer that cannot be completed, so that it does not look
-// complete: the connection is closed without the mark of the answer's end.
-func (fl *flow) breakOff(e *errkind.Error) {
-	fl.failed(e)
+// abort closes the connection without terminating the response body, so that the caller
+// can't take a truncated response for a complete one.
+func (fl *flow) abort(e *errkind.Error) {
+	fl.recordFailure(e)
 	panic(http.ErrAbortHandler)
 }
 
-// sendElsewhere asks the caller to use another connection next time, while this
-// entry stops or is cut off: a kept connection stays with its entry. The view is
-// read anew, because the process may have begun to stop since.
-func (fl *flow) sendElsewhere(header http.Header) {
+// setConnectionClose asks the caller to reconnect, while this entry is stopping or cut off,
+// so that a load balancer can choose another entry. It reads the current view, since the
+// process may have begun to stop while the request ran.
+func (fl *flow) setConnectionClose(header http.Header) {
 	if v, ok := fl.View(); ok && v.Stopping || fl.Reach.CutOff(fl.Now()) {
 		header.Set("Connection", "close")
 	}
