--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -65,8 +65,8 @@
 	Reach    *reach.Book
 	// Quarantine holds what is known of requests that were under way when targets ended,
 	// Endings tells such ends from others.
-	Quarantine *quarantine.Book
-	Endings    *quarantine.Endings
+	Quarantine *quarantine.Registry
+	Endings    *quarantine.CrashDetector
 	// Sidecars answer for engines in large fleets; nil where probes are off.
 	Sidecars Sidecars
 	// Limits keep workspaces within their rate limits; nil where there are none.
@@ -183,9 +183,9 @@
 	request   wire.Request
 	body      []byte
 	// print names the request across its caller's tries.
-	print quarantine.Print
+	print quarantine.Fingerprint
 	// standing is what was held against it at the last look.
-	standing quarantine.Standing
+	standing quarantine.Status
 	arrived  time.Time
 	deadline time.Time
 	retries  *retry.Budget
@@ -291,7 +291,7 @@
 	if refusal := fl.readBody(fl.view.Estate.Limits.BodyBytes); refusal != nil {
 		return refusal
 	}
-	fl.print = quarantine.PrintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
+	fl.print = quarantine.FingerprintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
 	return fl.mayRun()
 }
 
--- a/internal/gateway/quarantine/endings.go
+++ b/internal/gateway/quarantine/endings.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// askFor is how long a target that broke a connection off is waited for to say whether
+	// probeTimeout is how long a target that broke a connection off is waited for to say whether
 	// it still listens. A process that has ended refuses within a round trip.
-	askFor = 50 * time.Millisecond
-	// doubtFor is how long the end of a target may take to show in the list, or in its
+	probeTimeout = 50 * time.Millisecond
+	// suspicionTimeout is how long the end of a target may take to show in the list, or in its
 	// sidecar's word, when it could not be told at once: the list drops a target after
 	// three of its heartbeats.
-	doubtFor = 5 * time.Second
-	// silenceShows is within which time a sidecar tells of the end of its target: it asks ten
+	suspicionTimeout = 5 * time.Second
+	// sidecarReportDelay is within which time a sidecar tells of the end of its target: it asks ten
 	// times a second, and tells at once.
-	silenceShows = 300 * time.Millisecond
-	// askAgain is how long a target that was found to listen is believed to.
-	askAgain = 200 * time.Millisecond
-	// givenUpFor is the same for a target at which a send was given up: it may have begun to
+	sidecarReportDelay = 300 * time.Millisecond
+	// reprobeAfter is how long a target that was found to listen is believed to.
+	reprobeAfter = 200 * time.Millisecond
+	// cancelledTimeout is the same for a target at which a send was given up: it may have begun to
 	// run the request, and ends within some hundred milliseconds then.
-	givenUpFor = time.Second
-	// rememberFor is how long it is remembered that a target has ended. All that it worked
+	cancelledTimeout = time.Second
+	// probeRetention is how long it is remembered that a target has ended. All that it worked
 	// on breaks off within some milliseconds.
-	rememberFor = 10 * time.Second
+	probeRetention = 10 * time.Second
 )
 
 // Evidence is what says that a target has ended.
@@ -39,113 +39,113 @@
 	NoEvidence Evidence = ""
 	// RefusesConnections means that its host answers and no process listens.
 	RefusesConnections Evidence = "refuses connections"
-	// SilentToSidecar means that it does not answer its own sidecar.
-	SilentToSidecar Evidence = "silent to its sidecar"
-	// OtherLife means that another life is at its address.
-	OtherLife Evidence = "another life at its address"
+	// UnresponsiveToSidecar means that it does not answer its own sidecar.
+	UnresponsiveToSidecar Evidence = "silent to its sidecar"
+	// OtherIncarnation means that another life is at its address.
+	OtherIncarnation Evidence = "another life at its address"
 	// Unlisted means that it has left the list without a word of leaving.
 	Unlisted Evidence = "left the list"
 )
 
-// Endings tells targets that have ended from those that only broke a connection off.
+// CrashDetector tells targets that have ended from those that only broke a connection off.
 //
 // The failure guarded against: connections break for many reasons. A target that resets
 // some of them, a link that is cut, a target that leaves as planned say nothing of the
 // requests that it worked on.
-type Endings struct {
+type CrashDetector struct {
 	// refuses asks whether an address refuses connections.
 	refuses func(ctx context.Context, t *fleet.Target) bool
 
 	mu sync.Mutex
-	// asked are the lives that were asked, doubted the requests whose target may have
+	// probes are the lives that were probes, doubted the requests whose target may have
 	// ended.
-	asked   map[fleet.ID]*ending
-	doubted []Doubt
+	probes    map[fleet.ID]*refusalProbe
+	suspected []SuspectedCrash
 }
 
-type ending struct {
-	at      time.Time
-	known   chan struct{}
-	refuses bool
+type refusalProbe struct {
+	startedAt time.Time
+	done      chan struct{}
+	refuses   bool
 }
 
-// Doubt is a request whose target may have ended under it.
-type Doubt struct {
-	Print  Print
-	Who    Who
-	Target fleet.Target
+// SuspectedCrash is a request whose target may have ended under it.
+type SuspectedCrash struct {
+	Fingerprint Fingerprint
+	Caller      Caller
+	Target      fleet.Target
 	// Unlisted is set when the list had not shown the target yet when the request was sent:
 	// its sidecar had told of it.
 	Unlisted bool
 	Step     int
 	At       time.Time
-	// Ran is how long the request had been under way there.
-	Ran time.Duration
+	// Elapsed is how long the request had been under way there.
+	Elapsed time.Duration
 	// RequestID is that of the try, for the log.
 	RequestID string
-	// until is when the doubt is dropped.
-	until time.Time
+	// expiresAt is when the doubt is dropped.
+	expiresAt time.Time
 }
 
-// NewEndings returns one that asks by refuses.
-func NewEndings(refuses func(ctx context.Context, t *fleet.Target) bool) *Endings {
-	return &Endings{refuses: refuses, asked: map[fleet.ID]*ending{}}
+// NewCrashDetector returns one that asks by refuses.
+func NewCrashDetector(refuses func(ctx context.Context, t *fleet.Target) bool) *CrashDetector {
+	return &CrashDetector{refuses: refuses, probes: map[fleet.ID]*refusalProbe{}}
 }
 
-// Ended reports what says that a target which broke a request off has ended. Without
+// Detect reports what says that a target which broke a request off has ended. Without
 // evidence the doubt is kept, and looked at again by Settle.
-func (e *Endings) Ended(ctx context.Context, v *view.View, d Doubt) Evidence {
-	listed, known := find(v, &d.Target)
+func (e *CrashDetector) Detect(ctx context.Context, v *view.View, d SuspectedCrash) Evidence {
+	listed, known := findListed(v, &d.Target)
 	switch {
 	case known && listed.Leaving:
 		return NoEvidence
 	case v.Silent[d.Target.Address]:
-		return SilentToSidecar
+		return UnresponsiveToSidecar
 	case !known && !d.Unlisted && !replaced(v, &d.Target):
 		return NoEvidence // it was taken off the list before it ended: as planned
 	case !known && !d.Unlisted:
-		return OtherLife
-	case e.ask(ctx, &d.Target, d.At):
+		return OtherIncarnation
+	case e.probe(ctx, &d.Target, d.At):
 		return RefusesConnections
 	}
-	e.keep(d, doubtFor)
+	e.add(d, suspicionTimeout)
 	return NoEvidence
 }
 
-// GivenUp keeps the doubt of a send that was given up before its target answered.
+// AddCancelled keeps the doubt of a send that was given up before its target answered.
 //
 // The failure guarded against: the target had begun to run the request and ends under it,
 // while nobody waits for the answer. Its end would count as one without the request, and
 // speak for another cause than it.
-func (e *Endings) GivenUp(d Doubt) { e.keep(d, givenUpFor) }
+func (e *CrashDetector) AddCancelled(d SuspectedCrash) { e.add(d, cancelledTimeout) }
 
-func (e *Endings) keep(d Doubt, within time.Duration) {
-	d.until = d.At.Add(within)
+func (e *CrashDetector) add(d SuspectedCrash, within time.Duration) {
+	d.expiresAt = d.At.Add(within)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.doubted = append(e.doubted, d)
+	e.suspected = append(e.suspected, d)
 }
 
-// ask asks a target once for all requests that broke off with it.
-func (e *Endings) ask(ctx context.Context, t *fleet.Target, now time.Time) bool {
+// probe asks a target once for all requests that broke off with it.
+func (e *CrashDetector) probe(ctx context.Context, t *fleet.Target, now time.Time) bool {
 	e.mu.Lock()
-	a := e.asked[t.ID]
+	a := e.probes[t.ID]
 	first := a == nil || a.outdated(now)
 	if first {
-		a = &ending{at: now, known: make(chan struct{})}
-		e.asked[t.ID] = a
-		e.forget(now)
+		a = &refusalProbe{startedAt: now, done: make(chan struct{})}
+		e.probes[t.ID] = a
+		e.evictProbes(now)
 	}
 	e.mu.Unlock()
 	// The answer is for all requests of the target, not only for the first one's caller.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askFor)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	if first {
 		a.refuses = e.refuses(ctx, t)
-		close(a.known)
+		close(a.done)
 	}
 	select {
-	case <-a.known:
+	case <-a.done:
 		return a.refuses
 	case <-ctx.Done():
 		return false
@@ -153,70 +153,70 @@
 }
 
 // outdated reports whether a target that was found to listen may have ended since.
-func (a *ending) outdated(now time.Time) bool {
+func (a *refusalProbe) outdated(now time.Time) bool {
 	select {
-	case <-a.known:
-		return !a.refuses && now.Sub(a.at) > askAgain
+	case <-a.done:
+		return !a.refuses && now.Sub(a.startedAt) > reprobeAfter
 	default:
 		return false
 	}
 }
 
-// refused reports whether the target was found to refuse connections.
-func (a *ending) refused() bool {
+// foundRefusing reports whether the target was found to refuse connections.
+func (a *refusalProbe) foundRefusing() bool {
 	select {
-	case <-a.known:
+	case <-a.done:
 		return a.refuses
 	default:
 		return false
 	}
 }
 
-func (e *Endings) forget(now time.Time) {
-	for id, a := range e.asked {
-		if now.Sub(a.at) > rememberFor {
-			delete(e.asked, id)
+func (e *CrashDetector) evictProbes(now time.Time) {
+	for id, a := range e.probes {
+		if now.Sub(a.startedAt) > probeRetention {
+			delete(e.probes, id)
 		}
 	}
 }
 
-// Settle returns the doubts that the view settles, with the evidence. Those that it shows
+// Resolve returns the doubts that the view settles, with the evidence. Those that it shows
 // to have left as planned, or that are too old, are dropped.
-func (e *Endings) Settle(v *view.View, now time.Time) ([]Doubt, []Evidence) {
+func (e *CrashDetector) Resolve(v *view.View, now time.Time) ([]SuspectedCrash, []Evidence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var settled []Doubt
+	var settled []SuspectedCrash
 	var why []Evidence
-	left := e.doubted[:0]
-	for _, d := range e.doubted {
-		listed, known := find(v, &d.Target)
+	left := e.suspected[:0]
+	for _, d := range e.suspected {
+		listed, known := findListed(v, &d.Target)
 		d.Unlisted = d.Unlisted && !known
-		evidence := told(v, &d, known)
-		if a := e.asked[d.Target.ID]; a != nil && a.refused() {
+		evidence := viewEvidence(v, &d, known)
+		if a := e.probes[d.Target.ID]; a != nil && a.foundRefusing() {
 			evidence = RefusesConnections
 		}
 		switch {
-		case known && listed.Leaving || now.After(d.until):
+		case known && listed.Leaving || now.After(d.expiresAt):
 		case evidence != NoEvidence:
 			settled, why = append(settled, d), append(why, evidence)
 		default:
 			left = append(left, d)
 		}
 	}
-	e.doubted = left
+	e.suspected = left
 	return settled, why
 }
 
-// told is what the view says of the end of a doubt's target.
-func told(v *view.View, d *Doubt, known bool) Evidence {
+// viewEvidence is what the view says of the end of a doubt's target.
+func viewEvidence(v *view.View, d *SuspectedCrash, known bool) Evidence {
 	switch {
 	case v.Silent[d.Target.Address]:
-		return SilentToSidecar
+		return UnresponsiveToSidecar
 	case known || d.Unlisted:
 		return NoEvidence
 	case replaced(v, &d.Target):
-		return OtherLife
-	case v.Engines[d.Target.Life].HeardAt.Sub(d.At) > silenceShows:
+		return OtherIncarnation
+	case v.Engines[d.Target.Life].HeardAt.Sub(d.At) > sidecarReportDelay:
 		return NoEvidence // its sidecar still reports it: it has left and serves on
 	case v.ListedAt.After(d.At):
 		return Unlisted
@@ -237,14 +237,14 @@
 	return false
 }
 
-// Lists reports whether a view shows a life.
-func Lists(v *view.View, t *fleet.Target) bool {
-	_, known := find(v, t)
+// IsListed reports whether a view shows a life.
+func IsListed(v *view.View, t *fleet.Target) bool {
+	_, known := findListed(v, t)
 	return known
 }
 
-// find returns a life as the view lists it.
-func find(v *view.View, t *fleet.Target) (*fleet.Target, bool) {
+// findListed returns a life as the view lists it.
+func findListed(v *view.View, t *fleet.Target) (*fleet.Target, bool) {
 	list := v.Targets[t.Service]
 	for i := range list {
 		if list[i].Life.Same(t.Life) {
--- a/internal/gateway/quarantine/fleet_test.go
+++ b/internal/gateway/quarantine/fleet_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("seed %d: %d engines ended until the link was back, %d in all", seed, cut.endedBy[1], healed.endedBy[1])
 		}
 		for _, n := range healed.nodes {
-			if n.Standing(1, healed.clock()).Verdict != Refused {
+			if n.Status(1, healed.clock()).Verdict != Refused {
 				t.Errorf("seed %d: entry %d does not know of it", seed, n.id)
 			}
 		}
@@ -103,7 +103,7 @@
 		for seed := range uint64(2) {
 			s := play(allOfIt, load{entries: size.entries, engines: size.engines, fatal: 1, fatalEvery: 200 * time.Millisecond, perEngine: 3, loss: 0.01, for_: 90 * time.Second}, seed)
 			const underWay = 2
-			if n := s.endedBy[1]; n > 3+underWay+mostProbations {
+			if n := s.endedBy[1]; n > 3+underWay+maxProbations {
 				t.Errorf("%d entries, seed %d: %d engines ended", size.entries, seed, n)
 			}
 			// Users count what reaches engines later than some seconds after the third end.
--- a/internal/gateway/quarantine/probation.go
+++ b/internal/gateway/quarantine/probation.go
@@ -6,11 +6,11 @@
 	// probationAfter is how long no target must have ended before a refused request may run
 	// once, and probationGrowth by how much longer each time: one that ends its target again
 	// is tried ever more seldom.
-	probationAfter  = 10 * time.Second
-	probationGrowth = 6
-	// mostProbations is how often a request may run while it is refused, over all processes,
+	probationAfter   = 10 * time.Second
+	probationBackoff = 6
+	// maxProbations is how often a request may run while it is refused, over all processes,
 	// until one of these runs goes well: each may cost a target.
-	mostProbations = 2
+	maxProbations = 2
 )
 
 // Probation.
@@ -21,37 +21,37 @@
 // while, one run of it shows which it was: a run that goes well lets it back, alone at first,
 // and the next end refuses it again at once.
 
-// onProbation reports whether a refused request may run once now, as its only run.
-func (b *Book) onProbation(r *Record, now time.Time) bool {
+// probationDue reports whether a refused request may run once now, as its only run.
+func (b *Registry) probationDue(r *Record, now time.Time) bool {
 	at, ok := b.probationAt(r)
 	if !ok {
 		return false
 	}
-	if b.limits.Turn != nil {
-		at = at.Add(b.limits.Turn(r.Print))
+	if b.limits.ProbationDelay != nil {
+		at = at.Add(b.limits.ProbationDelay(r.Fingerprint))
 	}
 	return !now.Before(at)
 }
 
 // probationAt is from when on a refused request may run once; false for never.
-func (b *Book) probationAt(r *Record) (time.Time, bool) {
-	if r.Probations-r.Pardoned >= mostProbations || len(r.Ends) >= maxEnds {
+func (b *Registry) probationAt(r *Record) (time.Time, bool) {
+	if r.Probations-r.PardonedProbations >= maxProbations || len(r.Crashes) >= maxRecordedCrashes {
 		return time.Time{}, false
 	}
 	wait := probationAfter
 	for range r.Probations {
-		wait *= probationGrowth
+		wait *= probationBackoff
 	}
 	calm := r.ChangedAt()
-	if b.endedAt.After(calm) {
-		calm = b.endedAt
+	if b.lastCrashAt.After(calm) {
+		calm = b.lastCrashAt
 	}
-	return calm.Add(min(wait, b.limits.HoldFor)), true
+	return calm.Add(min(wait, b.limits.RefuseFor)), true
 }
 
-// heldUntil is when a refused request may run again.
-func (b *Book) heldUntil(r *Record) time.Time {
-	until := r.ChangedAt().Add(b.limits.HoldFor)
+// refusedUntil is when a refused request may run again.
+func (b *Registry) refusedUntil(r *Record) time.Time {
+	until := r.ChangedAt().Add(b.limits.RefuseFor)
 	if at, ok := b.probationAt(r); ok && at.Before(until) {
 		return at
 	}
@@ -60,18 +60,18 @@
 
 // pardon takes in that a run of a refused request went well, and reports whether it was on
 // probation: other runs had begun before it was refused.
-func (b *Book) pardon(r *Record) bool {
-	if r.Probations <= r.Pardoned || r.Trial.Target == 0 {
+func (b *Registry) pardon(r *Record) bool {
+	if r.Probations <= r.PardonedProbations || r.ProbationRun.Target == 0 {
 		return false
 	}
-	r.Pardoned, r.Forgiven = r.Probations, len(r.Ends)
-	b.touch(r.Print, true)
+	r.PardonedProbations, r.ForgivenCrashes = r.Probations, len(r.Crashes)
+	b.markChanged(r.Fingerprint, true)
 	return true
 }
 
-// noteEnd takes in when a target ended.
-func (b *Book) noteEnd(at time.Time) {
-	if at.After(b.endedAt) {
-		b.endedAt = at
+// noteCrash takes in when a target ended.
+func (b *Registry) noteCrash(at time.Time) {
+	if at.After(b.lastCrashAt) {
+		b.lastCrashAt = at
 	}
 }
--- a/internal/gateway/quarantine/runs.go
+++ b/internal/gateway/quarantine/runs.go
@@ -9,64 +9,64 @@
 
 // Run is one send of a request that is under way.
 type Run struct {
-	print  Print
-	target fleet.ID
-	// known is how many ends of the request were known when it was sent.
-	known int
-	// giveUp ends the send; nil for one that may not be made twice.
-	giveUp func()
+	fingerprint Fingerprint
+	target      fleet.ID
+	// knownCrashes is how many ends of the request were knownCrashes when it was sent.
+	knownCrashes int
+	// cancel ends the send; nil for one that may not be made twice.
+	cancel func()
 	// probation is set for the run of a refused request.
 	probation bool
-	// begun is set once its answer has begun: the target runs it, and to leave now saves
+	// responding is set once its answer has responding: the target runs it, and to leave now saves
 	// nothing.
-	begun bool
+	responding bool
 }
 
-// Start notes a send that begins. giveUp ends it when another target has ended under the
+// StartRun notes a send that begins. giveUp ends it when another target has ended under the
 // same request; nil keeps it.
-func (b *Book) Start(p Print, target fleet.ID, giveUp func()) *Run {
-	run := &Run{print: p, target: target, giveUp: giveUp}
+func (b *Registry) StartRun(p Fingerprint, target fleet.ID, giveUp func()) *Run {
+	run := &Run{fingerprint: p, target: target, cancel: giveUp}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[p]; r != nil {
-		run.known = len(r.Ends)
-		run.probation = b.found[p] == MustNotRun
+		run.knownCrashes = len(r.Crashes)
+		run.probation = b.findings[p] == MustNotRun
 	}
 	b.runs[p] = append(b.runs[p], run)
 	return run
 }
 
-// Begun notes that a send's answer has begun.
-func (b *Book) Begun(run *Run) {
+// MarkResponding notes that a send's answer has begun.
+func (b *Registry) MarkResponding(run *Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	run.begun = true
+	run.responding = true
 }
 
-// Done notes that a send has ended.
-func (b *Book) Done(run *Run) {
+// EndRun notes that a send has ended.
+func (b *Registry) EndRun(run *Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	left := slices.DeleteFunc(b.runs[run.print], func(o *Run) bool { return o == run })
+	left := slices.DeleteFunc(b.runs[run.fingerprint], func(o *Run) bool { return o == run })
 	if len(left) == 0 {
-		delete(b.runs, run.print)
+		delete(b.runs, run.fingerprint)
 		return
 	}
-	b.runs[run.print] = left
+	b.runs[run.fingerprint] = left
 }
 
-// giveUp ends the sends of a suspect that wait at other targets.
+// cancelRuns ends the sends of a suspect that wait at other targets.
 //
 // The failure guarded against: repeats that were sent before an end became known wait in
 // the queues of other targets, and end each of them when their turn comes. A trial goes
 // on: it was begun with all that was known, and is the one that tells.
-func (b *Book) giveUp(r *Record, now time.Time) {
-	for _, run := range b.runs[r.Print] {
-		trial := r.tried(now) && run.target == r.Trial.Target && (b.found[r.Print] == 0 || run.probation)
-		if run.giveUp == nil || run.begun || trial || run.known >= len(r.Ends) || r.end(run.target) {
+func (b *Registry) cancelRuns(r *Record, now time.Time) {
+	for _, run := range b.runs[r.Fingerprint] {
+		trial := r.probationRunActive(now) && run.target == r.ProbationRun.Target && (b.findings[r.Fingerprint] == 0 || run.probation)
+		if run.cancel == nil || run.responding || trial || run.knownCrashes >= len(r.Crashes) || r.hasCrash(run.target) {
 			continue
 		}
-		run.giveUp()
-		run.giveUp = nil
+		run.cancel()
+		run.cancel = nil
 	}
 }
--- a/internal/gateway/quarantine/settling.go
+++ b/internal/gateway/quarantine/settling.go
@@ -8,74 +8,74 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-func (b *Book) touch(p Print, own bool) {
-	b.touched[p] = true
-	b.ownChange = b.ownChange || own
+func (b *Registry) markChanged(p Fingerprint, own bool) {
+	b.changed[p] = true
+	b.localChange = b.localChange || own
 }
 
-// Settle finds out what follows from the changes since the last time.
-func (b *Book) Settle(now time.Time) {
+// Reevaluate finds out what follows from the changes since the last time.
+func (b *Registry) Reevaluate(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.settle(now)
+	b.reevaluate(now)
 }
 
-// settle judges anew, and gives up runs that suspects should not have made.
-func (b *Book) settle(now time.Time) {
-	due := !b.judgeAt.IsZero() && !now.Before(b.judgeAt)
-	if len(b.touched) == 0 && !due {
+// reevaluate judges anew, and gives up runs that suspects should not have made.
+func (b *Registry) reevaluate(now time.Time) {
+	due := !b.evaluateAt.IsZero() && !now.Before(b.evaluateAt)
+	if len(b.changed) == 0 && !due {
 		return
 	}
-	b.judge(!b.ownChange, now)
-	for _, p := range slices.Sorted(maps.Keys(b.touched)) {
-		if r := b.records[p]; r != nil && b.standing(r, now).Verdict != Free {
-			b.giveUp(r, now)
+	b.evaluate(!b.localChange, now)
+	for _, p := range slices.Sorted(maps.Keys(b.changed)) {
+		if r := b.records[p]; r != nil && b.status(r, now).Verdict != Free {
+			b.cancelRuns(r, now)
 		}
 	}
-	clear(b.touched)
-	b.ownChange = false
+	clear(b.changed)
+	b.localChange = false
 }
 
-func (b *Book) judge(told bool, now time.Time) {
+func (b *Registry) evaluate(told bool, now time.Time) {
 	all := make([]*Record, 0, len(b.records))
 	for _, r := range b.records {
 		all = append(all, r)
 	}
-	before := b.found
-	b.found = Judge(all, b.limits.Ends, now)
-	b.explained, b.judgeAt = map[fleet.ID]bool{}, time.Time{}
-	for p, f := range b.found {
+	before := b.findings
+	b.findings = Evaluate(all, b.limits.MaxCrashes, now)
+	b.explained, b.evaluateAt = map[fleet.ID]bool{}, time.Time{}
+	for p, f := range b.findings {
 		r := b.records[p]
 		if f == MustWait {
-			b.judgeBy(r.ChangedAt().Add(settleFor))
+			b.evaluateBy(r.ChangedAt().Add(decisionDelay))
 			continue
 		}
-		for _, e := range r.Ends {
+		for _, e := range r.Crashes {
 			b.explained[e.Target] = true
 		}
 	}
-	b.report(before, told)
+	b.notifyFindings(before, told)
 }
 
-// judgeBy judges anew at a time, or before.
-func (b *Book) judgeBy(at time.Time) {
-	if b.judgeAt.IsZero() || at.Before(b.judgeAt) {
-		b.judgeAt = at
+// evaluateBy judges anew at a time, or before.
+func (b *Registry) evaluateBy(at time.Time) {
+	if b.evaluateAt.IsZero() || at.Before(b.evaluateAt) {
+		b.evaluateAt = at
 	}
 }
 
-// report tells the observer what has changed.
-func (b *Book) report(before map[Print]Finding, told bool) {
-	changed := map[Print]bool{}
+// notifyFindings tells the observer what has changed.
+func (b *Registry) notifyFindings(before map[Fingerprint]Finding, told bool) {
+	changed := map[Fingerprint]bool{}
 	for p := range before {
-		changed[p] = b.found[p] != before[p]
+		changed[p] = b.findings[p] != before[p]
 	}
-	for p := range b.found {
-		changed[p] = b.found[p] != before[p]
+	for p := range b.findings {
+		changed[p] = b.findings[p] != before[p]
 	}
 	for _, p := range slices.Sorted(maps.Keys(changed)) {
 		if r := b.records[p]; r != nil && changed[p] {
-			b.observer.Judged(r, before[p], b.found[p], told)
+			b.observer.FindingChanged(r, before[p], b.findings[p], told)
 			b.signal()
 		}
 	}
