--- a/internal/gateway/quarantine/announce.go
+++ b/internal/gateway/quarantine/announce.go
@@ -5,112 +5,113 @@
 	"time"
 )
 
-// Updates yields when there is something to tell the other processes, or a finding changed.
-func (b *Registry) Updates() <-chan struct{} { return b.updates }
+// Updates returns a channel that receives a value when records are to be announced or a finding
+// has changed.
+func (q *Registry) Updates() <-chan struct{} { return q.updates }
 
-// Merge takes in what another process knows of a request, and reports whether it is news.
-// With passOn the others are told in turn. What follows from it is found out with the next
-// question, or by Settle: a datagram holds several records.
-func (b *Registry) Merge(o Record, passOn bool, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.expired(&o, now) {
+// Merge merges a record that another process announced, and reports whether it made a major
+// change. With rebroadcast the change is announced in turn. Findings are updated by the next
+// call of Status, List or Reevaluate, once for all records of a datagram.
+func (q *Registry) Merge(other Record, rebroadcast bool, now time.Time) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.expired(&other, now) {
 		return false
 	}
-	r := b.records[o.Fingerprint]
+	r := q.records[other.Fingerprint]
 	if r == nil {
-		if len(o.Crashes) == 0 && o.Generation == 0 {
+		if len(other.Crashes) == 0 && other.Generation == 0 {
 			return false
 		}
-		r = &Record{Fingerprint: o.Fingerprint}
-		b.records[o.Fingerprint] = r
+		r = &Record{Fingerprint: other.Fingerprint}
+		q.records[other.Fingerprint] = r
 	}
-	known, generation := len(r.Crashes), r.Generation
-	switch r.merge(&o) {
+	knownCrashes, generation := len(r.Crashes), r.Generation
+	switch r.merge(&other) {
 	case unchanged:
 		return false
 	case minorChange:
-		b.markChanged(o.Fingerprint, false)
+		q.markChanged(other.Fingerprint, false)
 		return false
 	}
 	if r.Generation != generation {
-		known = 0 // all its ends are news
+		knownCrashes = 0 // all crashes are new
 		if len(r.Crashes) == 0 {
-			b.observer.Released(r, true)
+			q.observer.Released(r, true)
 		}
 	}
-	for _, e := range r.Crashes[known:] {
-		b.observer.CrashAttributed(r, e, true)
-		b.noteCrash(e.At)
+	for _, c := range r.Crashes[knownCrashes:] {
+		q.observer.CrashAttributed(r, c, true)
+		q.noteCrash(c.At)
 	}
 	if r.ProbationRun.Target != 0 {
-		b.probationRuns[o.Fingerprint] = r
+		q.probationRuns[other.Fingerprint] = r
 	} else {
-		delete(b.probationRuns, o.Fingerprint)
+		delete(q.probationRuns, other.Fingerprint)
 	}
-	b.markChanged(o.Fingerprint, false)
-	if passOn {
-		b.queueUpdate(o.Fingerprint)
+	q.markChanged(other.Fingerprint, false)
+	if rebroadcast {
+		q.queueUpdate(other.Fingerprint)
 	}
-	b.evict()
+	q.evict()
 	return true
 }
 
-func (b *Registry) queueUpdate(p Fingerprint) {
-	if !slices.Contains(b.pendingUpdates, p) {
-		b.pendingUpdates = append(b.pendingUpdates, p)
+func (q *Registry) queueUpdate(fp Fingerprint) {
+	if !slices.Contains(q.pendingUpdates, fp) {
+		q.pendingUpdates = append(q.pendingUpdates, fp)
 	}
-	b.signal()
+	q.signal()
 }
 
-// signal says that there is news.
-func (b *Registry) signal() {
+// signal wakes the receiver of Updates.
+func (q *Registry) signal() {
 	select {
-	case b.updates <- struct{}{}:
-	default: // it is known already
+	case q.updates <- struct{}{}:
+	default: // a wake-up is pending already
 	}
 }
 
-// TakeUpdates returns up to n records of which the others are to be told at once.
-func (b *Registry) TakeUpdates(n int) []Record {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// TakeUpdates removes and returns up to n records from those to be announced at once.
+func (q *Registry) TakeUpdates(n int) []Record {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	var taken []Record
-	for len(taken) < n && len(b.pendingUpdates) > 0 {
-		p := b.pendingUpdates[0]
-		b.pendingUpdates = b.pendingUpdates[1:]
-		if r := b.records[p]; r != nil {
+	for len(taken) < n && len(q.pendingUpdates) > 0 {
+		fp := q.pendingUpdates[0]
+		q.pendingUpdates = q.pendingUpdates[1:]
+		if r := q.records[fp]; r != nil {
 			taken = append(taken, r.clone())
 		}
 	}
 	return taken
 }
 
-// announceFor is how long a request with one end is told again and again, for processes
-// that the first word did not reach. Its caller has come again by then; the others matter
-// for as long as they are kept.
+// announceFor is how long a request with a single crash is announced repeatedly, in case
+// datagrams were lost. Its caller has retried by then. Records with more crashes are announced
+// until they expire.
 const announceFor = 10 * time.Second
 
-// NextToAnnounce returns up to n of the records that the others should know, in turn.
-func (b *Registry) NextToAnnounce(n int, now time.Time) []Record {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var prints []Fingerprint
-	for p, r := range b.records {
-		if (len(r.Crashes) > 1 || r.Generation > 0 || now.Sub(r.ChangedAt()) < announceFor) && !b.expired(r, now) {
-			prints = append(prints, p)
+// NextToAnnounce returns up to n records to announce again, in round-robin order.
+func (q *Registry) NextToAnnounce(n int, now time.Time) []Record {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	var fingerprints []Fingerprint
+	for fp, r := range q.records {
+		if (len(r.Crashes) > 1 || r.Generation > 0 || now.Sub(r.ChangedAt()) < announceFor) && !q.expired(r, now) {
+			fingerprints = append(fingerprints, fp)
 		}
 	}
-	if len(prints) == 0 {
+	if len(fingerprints) == 0 {
 		return nil
 	}
-	slices.Sort(prints)
-	from, _ := slices.BinarySearch(prints, b.lastAnnounced+1)
+	slices.Sort(fingerprints)
+	from, _ := slices.BinarySearch(fingerprints, q.lastAnnounced+1)
 	var next []Record
-	for i := range min(n, len(prints)) {
-		p := prints[(from+i)%len(prints)]
-		next = append(next, b.records[p].clone())
-		b.lastAnnounced = p
+	for i := range min(n, len(fingerprints)) {
+		fp := fingerprints[(from+i)%len(fingerprints)]
+		next = append(next, q.records[fp].clone())
+		q.lastAnnounced = fp
 	}
 	return next
 }
--- a/internal/gateway/quarantine/crashdetector.go
+++ b/internal/gateway/quarantine/crashdetector.go
@@ -10,55 +10,50 @@
 )
 
 const (
-	// probeTimeout is how long a target that broke a connection off is waited for to say whether
-	// it still listens. A process that has ended refuses within a round trip.
+	// probeTimeout bounds the probe of a target that closed a connection. A host without a
+	// listening process refuses within a round trip.
 	probeTimeout = 50 * time.Millisecond
-	// suspicionTimeout is how long the end of a target may take to show in the list, or in its
-	// sidecar's word, when it could not be told at once: the list drops a target after
-	// three of its heartbeats.
+	// suspicionTimeout is how long a crash may take to show in the target list or in the
+	// sidecar's reports. The list drops a target after three missed heartbeats.
 	suspicionTimeout = 5 * time.Second
-	// sidecarReportDelay is within which time a sidecar tells of the end of its target: it asks ten
-	// times a second, and tells at once.
+	// sidecarReportDelay bounds the time until a sidecar reports that its target is
+	// unresponsive: it polls ten times a second.
 	sidecarReportDelay = 300 * time.Millisecond
-	// reprobeAfter is how long a target that was found to listen is believed to.
+	// reprobeAfter is how long a target that accepted a probe counts as alive.
 	reprobeAfter = 200 * time.Millisecond
-	// cancelledTimeout is the same for a target at which a send was given up: it may have begun to
-	// run the request, and ends within some hundred milliseconds then.
+	// cancelledTimeout replaces suspicionTimeout after a run was cancelled. The target may have
+	// started it and then crashes within a few hundred milliseconds.
 	cancelledTimeout = time.Second
-	// probeRetention is how long it is remembered that a target has ended. All that it worked
-	// on breaks off within some milliseconds.
+	// probeRetention is how long probe results are kept. All requests of a crashed target fail
+	// within milliseconds.
 	probeRetention = 10 * time.Second
 )
 
-// Evidence is what says that a target has ended.
+// Evidence is why a target is taken to have crashed.
 type Evidence string
 
-// The kinds of evidence; empty for none.
 const (
-	// NoEvidence means that the target lives, or that nobody knows.
+	// NoEvidence means that the target is alive or its state is unknown.
 	NoEvidence Evidence = ""
-	// RefusesConnections means that its host answers and no process listens.
+	// RefusesConnections means that its host is up but no process listens.
 	RefusesConnections Evidence = "refuses connections"
-	// UnresponsiveToSidecar means that it does not answer its own sidecar.
+	// UnresponsiveToSidecar means that the target's sidecar gets no response from it.
 	UnresponsiveToSidecar Evidence = "silent to its sidecar"
-	// OtherIncarnation means that another life is at its address.
+	// OtherIncarnation means that another incarnation is listed at its address.
 	OtherIncarnation Evidence = "another life at its address"
-	// Unlisted means that it has left the list without a word of leaving.
+	// Unlisted means that it has left the target list without draining.
 	Unlisted Evidence = "left the list"
 )
 
-// CrashDetector tells targets that have ended from those that only broke a connection off.
-//
-// The failure guarded against: connections break for many reasons. A target that resets
-// some of them, a link that is cut, a target that leaves as planned say nothing of the
-// requests that it worked on.
+// CrashDetector tells crashed targets from broken connections. Targets that reset connections,
+// network failures and planned shutdowns must not count against the requests in flight.
 type CrashDetector struct {
-	// refuses asks whether an address refuses connections.
+	// refuses reports whether a target's address refuses connections.
 	refuses func(ctx context.Context, t *fleet.Target) bool
 
 	mu sync.Mutex
-	// probes are the lives that were probes, doubted the requests whose target may have
-	// ended.
+	// probes holds the recent probe of each incarnation, suspected the crashes that are not
+	// confirmed yet.
 	probes    map[fleet.ID]*refusalProbe
 	suspected []SuspectedCrash
 }
@@ -69,163 +64,164 @@
 	refuses   bool
 }
 
-// SuspectedCrash is a request whose target may have ended under it.
+// SuspectedCrash is a request whose target may have crashed while running it.
 type SuspectedCrash struct {
 	Fingerprint Fingerprint
 	Caller      Caller
 	Target      fleet.Target
-	// Unlisted is set when the list had not shown the target yet when the request was sent:
-	// its sidecar had told of it.
+	// Unlisted is set if the target was not in the target list yet when the request was sent,
+	// only in its sidecar's reports.
 	Unlisted bool
 	Step     int
 	At       time.Time
-	// Elapsed is how long the request had been under way there.
+	// Elapsed is how long the request had been in flight on the target.
 	Elapsed time.Duration
-	// RequestID is that of the try, for the log.
+	// RequestID identifies the attempt in logs.
 	RequestID string
-	// expiresAt is when the doubt is dropped.
+	// expiresAt is when an unconfirmed crash is dropped.
 	expiresAt time.Time
 }
 
-// NewCrashDetector returns one that asks by refuses.
+// NewCrashDetector returns a detector that probes targets with refuses.
 func NewCrashDetector(refuses func(ctx context.Context, t *fleet.Target) bool) *CrashDetector {
 	return &CrashDetector{refuses: refuses, probes: map[fleet.ID]*refusalProbe{}}
 }
 
-// Detect reports what says that a target which broke a request off has ended. Without
-// evidence the doubt is kept, and looked at again by Settle.
-func (e *CrashDetector) Detect(ctx context.Context, v *view.View, d SuspectedCrash) Evidence {
-	listed, known := findListed(v, &d.Target)
+// Detect returns the evidence that a target which broke off a request has crashed. Without
+// evidence it keeps the suspected crash for Resolve.
+func (d *CrashDetector) Detect(ctx context.Context, v *view.View, s SuspectedCrash) Evidence {
+	listed, found := findListed(v, &s.Target)
 	switch {
-	case known && listed.Leaving:
+	case found && listed.Leaving:
 		return NoEvidence
-	case v.Silent[d.Target.Address]:
+	case v.Silent[s.Target.Address]:
 		return UnresponsiveToSidecar
-	case !known && !d.Unlisted && !replaced(v, &d.Target):
-		return NoEvidence // it was taken off the list before it ended: as planned
-	case !known && !d.Unlisted:
+	case !found && !s.Unlisted && !replaced(v, &s.Target):
+		return NoEvidence // unlisted before the crash: planned shutdown
+	case !found && !s.Unlisted:
 		return OtherIncarnation
-	case e.probe(ctx, &d.Target, d.At):
+	case d.probe(ctx, &s.Target, s.At):
 		return RefusesConnections
 	}
-	e.add(d, suspicionTimeout)
+	d.add(s, suspicionTimeout)
 	return NoEvidence
 }
 
-// AddCancelled keeps the doubt of a send that was given up before its target answered.
-//
-// The failure guarded against: the target had begun to run the request and ends under it,
-// while nobody waits for the answer. Its end would count as one without the request, and
-// speak for another cause than it.
-func (e *CrashDetector) AddCancelled(d SuspectedCrash) { e.add(d, cancelledTimeout) }
-
-func (e *CrashDetector) add(d SuspectedCrash, within time.Duration) {
-	d.expiresAt = d.At.Add(within)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.suspected = append(e.suspected, d)
+// AddCancelled keeps a suspected crash for a run that was cancelled before its target responded.
+// If the target had already started the run and crashes, the crash would otherwise count as one
+// without the request.
+func (d *CrashDetector) AddCancelled(s SuspectedCrash) { d.add(s, cancelledTimeout) }
+
+func (d *CrashDetector) add(s SuspectedCrash, timeout time.Duration) {
+	s.expiresAt = s.At.Add(timeout)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.suspected = append(d.suspected, s)
 }
 
-// probe asks a target once for all requests that broke off with it.
-func (e *CrashDetector) probe(ctx context.Context, t *fleet.Target, now time.Time) bool {
-	e.mu.Lock()
-	a := e.probes[t.ID]
-	first := a == nil || a.outdated(now)
+// probe reports whether a target refuses connections. Concurrent calls for the same target share
+// one probe.
+func (d *CrashDetector) probe(ctx context.Context, t *fleet.Target, now time.Time) bool {
+	d.mu.Lock()
+	p := d.probes[t.ID]
+	first := p == nil || p.outdated(now)
 	if first {
-		a = &refusalProbe{startedAt: now, done: make(chan struct{})}
-		e.probes[t.ID] = a
-		e.evictProbes(now)
+		p = &refusalProbe{startedAt: now, done: make(chan struct{})}
+		d.probes[t.ID] = p
+		d.evictProbes(now)
 	}
-	e.mu.Unlock()
-	// The answer is for all requests of the target, not only for the first one's caller.
+	d.mu.Unlock()
+	// The result serves all requests of the target, so the probe outlives the first caller's
+	// context.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	if first {
-		a.refuses = e.refuses(ctx, t)
-		close(a.done)
+		p.refuses = d.refuses(ctx, t)
+		close(p.done)
 	}
 	select {
-	case <-a.done:
-		return a.refuses
+	case <-p.done:
+		return p.refuses
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// outdated reports whether a target that was found to listen may have ended since.
-func (a *refusalProbe) outdated(now time.Time) bool {
+// outdated reports whether the target accepted the probe too long ago to rely on it.
+func (p *refusalProbe) outdated(now time.Time) bool {
 	select {
-	case <-a.done:
-		return !a.refuses && now.Sub(a.startedAt) > reprobeAfter
+	case <-p.done:
+		return !p.refuses && now.Sub(p.startedAt) > reprobeAfter
 	default:
 		return false
 	}
 }
 
-// foundRefusing reports whether the target was found to refuse connections.
-func (a *refusalProbe) foundRefusing() bool {
+// foundRefusing reports whether the probe has completed and was refused.
+func (p *refusalProbe) foundRefusing() bool {
 	select {
-	case <-a.done:
-		return a.refuses
+	case <-p.done:
+		return p.refuses
 	default:
 		return false
 	}
 }
 
-func (e *CrashDetector) evictProbes(now time.Time) {
-	for id, a := range e.probes {
-		if now.Sub(a.startedAt) > probeRetention {
-			delete(e.probes, id)
+func (d *CrashDetector) evictProbes(now time.Time) {
+	for id, p := range d.probes {
+		if now.Sub(p.startedAt) > probeRetention {
+			delete(d.probes, id)
 		}
 	}
 }
 
-// Resolve returns the doubts that the view settles, with the evidence. Those that it shows
-// to have left as planned, or that are too old, are dropped.
-func (e *CrashDetector) Resolve(v *view.View, now time.Time) ([]SuspectedCrash, []Evidence) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	var settled []SuspectedCrash
-	var why []Evidence
-	left := e.suspected[:0]
-	for _, d := range e.suspected {
-		listed, known := findListed(v, &d.Target)
-		d.Unlisted = d.Unlisted && !known
-		evidence := viewEvidence(v, &d, known)
-		if a := e.probes[d.Target.ID]; a != nil && a.foundRefusing() {
+// Resolve returns the suspected crashes that the view confirms, with the evidence. It drops
+// those whose target is draining and those that have expired.
+func (d *CrashDetector) Resolve(v *view.View, now time.Time) ([]SuspectedCrash, []Evidence) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var resolved []SuspectedCrash
+	var reasons []Evidence
+	remaining := d.suspected[:0]
+	for _, s := range d.suspected {
+		listed, found := findListed(v, &s.Target)
+		s.Unlisted = s.Unlisted && !found
+		evidence := viewEvidence(v, &s, found)
+		if p := d.probes[s.Target.ID]; p != nil && p.foundRefusing() {
 			evidence = RefusesConnections
 		}
 		switch {
-		case known && listed.Leaving || now.After(d.expiresAt):
+		case found && listed.Leaving || now.After(s.expiresAt):
 		case evidence != NoEvidence:
-			settled, why = append(settled, d), append(why, evidence)
+			resolved, reasons = append(resolved, s), append(reasons, evidence)
 		default:
-			left = append(left, d)
+			remaining = append(remaining, s)
 		}
 	}
-	e.suspected = left
-	return settled, why
+	d.suspected = remaining
+	return resolved, reasons
 }
 
-// viewEvidence is what the view says of the end of a doubt's target.
-func viewEvidence(v *view.View, d *SuspectedCrash, known bool) Evidence {
+// viewEvidence returns the view's evidence for a suspected crash. Found tells whether the view
+// lists the target.
+func viewEvidence(v *view.View, s *SuspectedCrash, found bool) Evidence {
 	switch {
-	case v.Silent[d.Target.Address]:
+	case v.Silent[s.Target.Address]:
 		return UnresponsiveToSidecar
-	case known || d.Unlisted:
+	case found || s.Unlisted:
 		return NoEvidence
-	case replaced(v, &d.Target):
+	case replaced(v, &s.Target):
 		return OtherIncarnation
-	case v.Engines[d.Target.Life].HeardAt.Sub(d.At) > sidecarReportDelay:
-		return NoEvidence // its sidecar still reports it: it has left and serves on
-	case v.ListedAt.After(d.At):
+	case v.Engines[s.Target.Life].HeardAt.Sub(s.At) > sidecarReportDelay:
+		return NoEvidence // its sidecar still reports it: unlisted but running
+	case v.ListedAt.After(s.At):
 		return Unlisted
 	default:
 		return NoEvidence
 	}
 }
 
-// replaced reports whether another life is at a target's address.
+// replaced reports whether another incarnation is listed at the target's address.
 func replaced(v *view.View, t *fleet.Target) bool {
 	for _, list := range v.Targets {
 		for i := range list {
@@ -237,13 +233,13 @@
 	return false
 }
 
-// IsListed reports whether a view shows a life.
+// IsListed reports whether the view lists the target's incarnation.
 func IsListed(v *view.View, t *fleet.Target) bool {
-	_, known := findListed(v, t)
-	return known
+	_, found := findListed(v, t)
+	return found
 }
 
-// findListed returns a life as the view lists it.
+// findListed returns the target as the view lists it.
 func findListed(v *view.View, t *fleet.Target) (*fleet.Target, bool) {
 	list := v.Targets[t.Service]
 	for i := range list {
--- a/internal/gateway/quarantine/evaluate.go
+++ b/internal/gateway/quarantine/evaluate.go
@@ -10,249 +10,240 @@
 )
 
 const (
-	// concurrentWindow is the time around a request's ends within which the end of a target that
-	// did not run it speaks for another cause: a loss of power, or a fault of the targets,
-	// ends several within a moment.
+	// concurrentWindow is how close in time to a request's crashes the crash of a target that
+	// did not run it points to another cause, such as a power failure.
 	concurrentWindow = time.Second
-	// backgroundWindow is the time before a request's first end over which it is counted how
-	// often targets end without it.
+	// backgroundWindow is how long before a request's first crash the crashes of other targets
+	// count toward the background crash rate.
 	backgroundWindow = 10 * time.Second
-	// extraCrashes is how many ends more it takes while as many targets end without a request as
-	// with it. Where every third run ends because targets crash by themselves, a request that
-	// is tried four times meets three ends now and then.
+	// extraCrashes is the number of additional crashes needed to refuse a request while at least
+	// as many targets crash without it.
 	extraCrashes = 2
-	// decisionDelay is how long after its last end a request is held, and not refused yet: more
-	// targets may end without it, and speak for another cause. The first three crashes of a
-	// storm meet one request now and then that is always under way, and look the same as if
-	// it were the cause until the next ones come.
+	// decisionDelay is how long a request is held after its last crash before it is refused.
+	// More targets may crash without it meanwhile: at the start of a series of unrelated
+	// crashes, a popular request looks like the cause.
 	decisionDelay = time.Second
 )
 
-// Finding is what Judge makes of a request; zero for one that may run.
+// Finding is the result of evaluating a request; zero if it may run.
 type Finding uint8
 
-// The findings.
 const (
-	// MustWait requests are not run for the moment: it is not settled yet what ended targets.
+	// MustWait requests may have caused their targets' crashes and wait for the decision.
 	MustWait Finding = iota + 1
-	// MustNotRun requests ended them.
+	// MustNotRun requests have caused their targets' crashes.
 	MustNotRun
 )
 
-// Evaluate names the requests that may not run now, among records of which none is older than
-// it may be. It goes by nothing else, so that all processes with the same records refuse
-// the same requests.
+// Evaluate returns the findings for a set of unexpired records. It depends on its arguments
+// only, so that all processes with the same records refuse the same requests.
 //
-// A request is refused when so many ends in a row came under it, each send being made
-// after the end before was known. When as many came at once, it is refused only if no
-// target ended near them in time without it. It takes moreEnds while targets end as often
-// without it. One that is served far more often than it ends its target is not refused.
+// A request is refused if maxCrashes targets crashed under it in as many steps. If they crashed
+// in fewer steps, it is refused only if no other target crashed at about the same time. It takes
+// extraCrashes more while targets crash as often without the request. A request that is served
+// far more often than its targets crash is not refused.
 //
-// Requests that stood beside the cause have some of its ends, the cause has all of them:
-// the one with most is judged first, and what it explains no longer counts against the
-// others. Two that cannot be told apart are both left: each runs alone next time, and only
-// one of them ends its target then.
-func Evaluate(records []*Record, ends int, now time.Time) map[Fingerprint]Finding {
-	j := evaluation{records: records, maxCrashes: ends, findings: map[Fingerprint]Finding{}, explained: map[fleet.ID]bool{}}
+// Requests that run beside the cause share some of its crashes, but the cause has all of them.
+// The request with the most crashes is therefore evaluated first, and crashes that it explains
+// no longer count against others. Two requests that can't be told apart are both left to run
+// alone, where only one of them crashes its target.
+func Evaluate(records []*Record, maxCrashes int, now time.Time) map[Fingerprint]Finding {
+	e := evaluation{records: records, maxCrashes: maxCrashes, findings: map[Fingerprint]Finding{}, explained: map[fleet.ID]bool{}}
 	for _, r := range records {
-		if len(r.Crashes) >= ends && len(r.Crashes) > r.ForgivenCrashes {
-			j.candidates = append(j.candidates, r)
+		if len(r.Crashes) >= maxCrashes && len(r.Crashes) > r.ForgivenCrashes {
+			e.candidates = append(e.candidates, r)
 		}
 	}
-	slices.SortFunc(j.candidates, func(a, b *Record) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
-	for r := j.takeMostSuspect(); r != nil; r = j.takeMostSuspect() {
-		if tied := j.tied(r); tied != nil {
-			j.drop(tied)
+	slices.SortFunc(e.candidates, func(a, b *Record) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	for r := e.takeMostSuspect(); r != nil; r = e.takeMostSuspect() {
+		if tied := e.tied(r); tied != nil {
+			e.drop(tied)
 			continue
 		}
 		if now.Before(r.ChangedAt().Add(decisionDelay)) {
-			j.findings[r.Fingerprint] = MustWait
+			e.findings[r.Fingerprint] = MustWait
 			continue
 		}
-		j.findings[r.Fingerprint] = MustNotRun
-		for _, e := range r.Crashes {
-			j.explained[e.Target] = true
+		e.findings[r.Fingerprint] = MustNotRun
+		for _, c := range r.Crashes {
+			e.explained[c.Target] = true
 		}
 	}
-	return j.findings
+	return e.findings
 }
 
-// evaluation is one call of Judge.
+// evaluation is the state of one call of Evaluate.
 type evaluation struct {
 	records    []*Record
 	maxCrashes int
 	findings   map[Fingerprint]Finding
-	// explained are the lives that refused requests have ended.
+	// explained holds the incarnations whose crash is attributed to a refused request.
 	explained map[fleet.ID]bool
-	// candidates are the requests with enough ends that were not looked at yet.
+	// candidates are the requests with enough crashes that are not evaluated yet.
 	candidates []*Record
-	// timeline holds all ends in the order of time, once it is asked for.
+	// timeline caches crashesByTime.
 	timeline []Crash
 }
 
-func (j *evaluation) isExplained(target fleet.ID) bool { return j.explained[target] }
+func (e *evaluation) isExplained(target fleet.ID) bool { return e.explained[target] }
 
-// takeMostSuspect takes the request with the most ends out of those that are left and guilty;
-// nil when there is none.
-func (j *evaluation) takeMostSuspect() *Record {
+// takeMostSuspect removes and returns the candidate with the most unexplained crashes among
+// those to refuse; nil if there is none.
+func (e *evaluation) takeMostSuspect() *Record {
 	var worst *Record
 	most := 0
-	for _, r := range j.candidates {
-		if n := r.unexplainedCrashes(j.isExplained); n > most && n >= j.maxCrashes && j.shouldRefuse(r) {
+	for _, r := range e.candidates {
+		if n := r.unexplainedCrashes(e.isExplained); n > most && n >= e.maxCrashes && e.shouldRefuse(r) {
 			worst, most = r, n
 		}
 	}
 	if worst != nil {
-		j.drop(worst)
+		e.drop(worst)
 	}
 	return worst
 }
 
-func (j *evaluation) drop(r *Record) {
-	j.candidates = slices.DeleteFunc(j.candidates, func(o *Record) bool { return o == r })
+func (e *evaluation) drop(r *Record) {
+	e.candidates = slices.DeleteFunc(e.candidates, func(other *Record) bool { return other == r })
 }
 
-// tied returns another request that may be refused for as many ends, and without whose ends
-// this one would not have enough.
-func (j *evaluation) tied(r *Record) *Record {
-	n := r.unexplainedCrashes(j.isExplained)
-	for _, o := range j.candidates {
-		if o.unexplainedCrashes(j.isExplained) != n || !j.shouldRefuse(o) {
+// tied returns another candidate with as many crashes that shares so many of them that r has too
+// few of its own; nil if there is none.
+func (e *evaluation) tied(r *Record) *Record {
+	n := r.unexplainedCrashes(e.isExplained)
+	for _, other := range e.candidates {
+		if other.unexplainedCrashes(e.isExplained) != n || !e.shouldRefuse(other) {
 			continue
 		}
-		if shared := j.sharedCrashes(r, o); shared > 0 && n-shared < j.maxCrashes {
-			return o
+		if shared := e.sharedCrashes(r, other); shared > 0 && n-shared < e.maxCrashes {
+			return other
 		}
 	}
 	return nil
 }
 
-// sharedCrashes counts the ends that two requests have in common.
-func (j *evaluation) sharedCrashes(a, b *Record) int {
+// sharedCrashes counts the unexplained crashes that two requests have in common.
+func (e *evaluation) sharedCrashes(a, b *Record) int {
 	n := 0
-	for _, e := range a.Crashes {
-		if !j.explained[e.Target] && b.hasCrash(e.Target) {
+	for _, c := range a.Crashes {
+		if !e.explained[c.Target] && b.hasCrash(c.Target) {
 			n++
 		}
 	}
 	return n
 }
 
-// shouldRefuse reports whether a request's own ends, of which there are enough, suffice to
-// refuse it.
-func (j *evaluation) shouldRefuse(r *Record) bool {
-	ends, need, perStep := r.unexplainedCrashes(j.isExplained), j.maxCrashes, exemptServedPerStep
-	others := j.crashesWithout(r, backgroundWindow)
-	if others > 0 {
+// shouldRefuse reports whether a candidate's unexplained crashes suffice to refuse it.
+func (e *evaluation) shouldRefuse(r *Record) bool {
+	crashes, need, perStep := r.unexplainedCrashes(e.isExplained), e.maxCrashes, exemptServedPerStep
+	otherCrashes := e.crashesWithout(r, backgroundWindow)
+	if otherCrashes > 0 {
 		perStep = exemptServedPerStepAmongCrashes
 	}
-	if others >= ends && !j.coincidenceUnlikely(r, others) || r.Served > 0 && j.coincidenceLikely(r, others) {
+	if otherCrashes >= crashes && !e.coincidenceUnlikely(r, otherCrashes) || r.Served > 0 && e.coincidenceLikely(r, otherCrashes) {
 		need += extraCrashes
 	}
-	// Runs are counted from the first end on: there is one step less than ends in them.
-	if r.Served >= perStep*max(r.unexplainedSteps(j.isExplained)-1, 1) {
+	// Served counts from the first crash on, which spans one step less.
+	if r.Served >= perStep*max(r.unexplainedSteps(e.isExplained)-1, 1) {
 		return false
 	}
-	return r.unexplainedSteps(j.isExplained) >= need || ends >= need && j.crashesWithout(r, concurrentWindow) == 0
+	return r.unexplainedSteps(e.isExplained) >= need || crashes >= need && e.crashesWithout(r, concurrentWindow) == 0
 }
 
-// The chance that a request which did nothing met all its ends, given how often targets ended
-// at that time: below unlikelyProbability it did not, above likelyProbability it may well have.
+// Bounds on the probability that all of a request's crashes are coincidences, given the crash
+// rate at the time: below the first they are not, above the second they may well be.
 const (
 	unlikelyProbability = 0.0001
 	likelyProbability   = 0.02
 )
 
-// coincidenceUnlikely reports whether it is known that a request which did nothing would not have
-// met all its ends, byChance whether it is known that it may have.
-//
-// The load patterns that they answer: some targets crash by themselves, seconds apart, and a
-// request ends three more, each within some milliseconds of its send; in a storm of crashes,
-// one in each run of an answer, a request that is always under way meets three in a row, and
-// is served now and then. One that is never served is given no such doubt.
-func (j *evaluation) coincidenceUnlikely(r *Record, others int) bool {
-	chance, known := j.coincidenceProbability(r, others)
-	return known && chance < unlikelyProbability
+// coincidenceUnlikely and coincidenceLikely report whether the request's crashes are known to be
+// no coincidence, or known to be a plausible one. The first matters if targets also crash on
+// their own while a request crashes its targets right after each send, the second in a series of
+// crashes that a popular request meets by chance.
+func (e *evaluation) coincidenceUnlikely(r *Record, otherCrashes int) bool {
+	probability, known := e.coincidenceProbability(r, otherCrashes)
+	return known && probability < unlikelyProbability
 }
 
-func (j *evaluation) coincidenceLikely(r *Record, others int) bool {
-	chance, known := j.coincidenceProbability(r, others)
-	return known && chance > likelyProbability
+func (e *evaluation) coincidenceLikely(r *Record, otherCrashes int) bool {
+	probability, known := e.coincidenceProbability(r, otherCrashes)
+	return known && probability > likelyProbability
 }
 
-// coincidenceProbability is the coincidenceProbability that ends as frequent as those around the request's would have met
-// each of its runs that ended, whichever their targets; false where it is not known for how
-// long it ran.
-func (j *evaluation) coincidenceProbability(r *Record, others int) (float64, bool) {
-	first, last := j.crashInterval(r, backgroundWindow)
+// coincidenceProbability returns the probability that a crash hits each of the request's crashed
+// runs by chance, at the crash rate around them. It returns false if the duration of a run is
+// unknown.
+func (e *evaluation) coincidenceProbability(r *Record, otherCrashes int) (float64, bool) {
+	first, last := e.crashInterval(r, backgroundWindow)
 	span := max(last.Sub(first), minCrashInterval)
-	perSecond := float64(others+r.unexplainedCrashes(j.isExplained)) / span.Seconds()
-	chance := 1.0
-	for _, e := range r.Crashes {
-		if j.explained[e.Target] {
+	crashRate := float64(otherCrashes+r.unexplainedCrashes(e.isExplained)) / span.Seconds()
+	probability := 1.0
+	for _, c := range r.Crashes {
+		if e.explained[c.Target] {
 			continue
 		}
-		if e.Elapsed == 0 {
+		if c.Elapsed == 0 {
 			return 0, false
 		}
-		chance *= 1 - math.Exp(-perSecond*e.Elapsed.Seconds())
+		probability *= 1 - math.Exp(-crashRate*c.Elapsed.Seconds())
 	}
-	return chance, true
+	return probability, true
 }
 
-// minCrashInterval is the least time over which ends are counted as a rate.
+// minCrashInterval is the shortest interval used to compute a crash rate.
 const minCrashInterval = 100 * time.Millisecond
 
-// crashInterval returns the first and the last end of any target from a time before the request's
-// first one until a moment after its last.
-func (j *evaluation) crashInterval(r *Record, before time.Duration) (first, last time.Time) {
+// crashInterval returns the times of the first and last crash of any target between margin
+// before the request's first crash and concurrentWindow after its last.
+func (e *evaluation) crashInterval(r *Record, margin time.Duration) (first, last time.Time) {
 	from, to := r.crashSpan()
-	for _, e := range j.crashesByTime() {
-		if e.At.Before(from.Add(-before)) || e.At.After(to.Add(concurrentWindow)) || j.explained[e.Target] {
+	for _, c := range e.crashesByTime() {
+		if c.At.Before(from.Add(-margin)) || c.At.After(to.Add(concurrentWindow)) || e.explained[c.Target] {
 			continue
 		}
 		if first.IsZero() {
-			first = e.At
+			first = c.At
 		}
-		last = e.At
+		last = c.At
 	}
 	return first, last
 }
 
-// crashesWithout counts the targets that ended without the request, from a time before its first
-// end until a moment after its last.
-func (j *evaluation) crashesWithout(r *Record, before time.Duration) int {
+// crashesWithout counts the crashes of other targets between margin before the request's first
+// crash and concurrentWindow after its last.
+func (e *evaluation) crashesWithout(r *Record, margin time.Duration) int {
 	first, last := r.crashSpan()
-	all := j.crashesByTime()
-	from, _ := slices.BinarySearchFunc(all, first.Add(-before), func(e Crash, t time.Time) int { return e.At.Compare(t) })
+	all := e.crashesByTime()
+	from, _ := slices.BinarySearchFunc(all, first.Add(-margin), func(c Crash, t time.Time) int { return c.At.Compare(t) })
 	n := 0
-	for _, e := range all[from:] {
-		if e.At.After(last.Add(concurrentWindow)) {
+	for _, c := range all[from:] {
+		if c.At.After(last.Add(concurrentWindow)) {
 			break
 		}
-		if !j.explained[e.Target] && !r.hasCrash(e.Target) {
+		if !e.explained[c.Target] && !r.hasCrash(c.Target) {
 			n++
 		}
 	}
 	return n
 }
 
-// crashesByTime returns the end of each life once, in the order of time.
-func (j *evaluation) crashesByTime() []Crash {
-	if j.timeline != nil {
-		return j.timeline
+// crashesByTime returns the crash of each incarnation once, ordered by time.
+func (e *evaluation) crashesByTime() []Crash {
+	if e.timeline != nil {
+		return e.timeline
 	}
-	seen := map[fleet.ID]time.Time{}
-	for _, r := range j.records {
-		for _, e := range r.Crashes {
-			if at, ok := seen[e.Target]; !ok || e.At.Before(at) {
-				seen[e.Target] = e.At
+	earliest := map[fleet.ID]time.Time{}
+	for _, r := range e.records {
+		for _, c := range r.Crashes {
+			if at, ok := earliest[c.Target]; !ok || c.At.Before(at) {
+				earliest[c.Target] = c.At
 			}
 		}
 	}
-	for target, at := range seen {
-		j.timeline = append(j.timeline, Crash{Target: target, At: at})
+	for target, at := range earliest {
+		e.timeline = append(e.timeline, Crash{Target: target, At: at})
 	}
-	slices.SortFunc(j.timeline, func(a, b Crash) int { return a.At.Compare(b.At) })
-	return j.timeline
+	slices.SortFunc(e.timeline, func(a, b Crash) int { return a.At.Compare(b.At) })
+	return e.timeline
 }
--- a/internal/gateway/quarantine/eviction.go
+++ b/internal/gateway/quarantine/eviction.go
@@ -5,59 +5,58 @@
 	"time"
 )
 
-func (b *Registry) expired(r *Record, now time.Time) bool {
-	keep := b.limits.SuspectFor
-	if len(r.Crashes) >= b.limits.MaxCrashes {
-		keep = b.limits.RefuseFor
+func (q *Registry) expired(r *Record, now time.Time) bool {
+	retention := q.limits.SuspectFor
+	if len(r.Crashes) >= q.limits.MaxCrashes {
+		retention = q.limits.RefuseFor
 	}
-	return now.Sub(r.ChangedAt()) > keep
+	return now.Sub(r.ChangedAt()) > retention
 }
 
-// sweepPeriod is how often old records are looked for.
 const sweepPeriod = 10 * time.Second
 
-// sweep drops what is too old.
-func (b *Registry) sweep(now time.Time) {
-	if now.Sub(b.sweptAt) < sweepPeriod {
+// sweep drops expired records.
+func (q *Registry) sweep(now time.Time) {
+	if now.Sub(q.sweptAt) < sweepPeriod {
 		return
 	}
-	b.sweptAt = now
-	for p, r := range b.records {
-		if b.expired(r, now) {
-			b.drop(p)
+	q.sweptAt = now
+	for fp, r := range q.records {
+		if q.expired(r, now) {
+			q.drop(fp)
 		}
 	}
 }
 
-func (b *Registry) drop(p Fingerprint) {
-	delete(b.records, p)
-	delete(b.probationRuns, p)
-	b.markChanged(p, false)
+func (q *Registry) drop(fp Fingerprint) {
+	delete(q.records, fp)
+	delete(q.probationRuns, fp)
+	q.markChanged(fp, false)
 }
 
-// evict drops the least suspected records beyond the limit: a flood of requests that
-// each end one target pushes out others like them, and not those that are refused.
-func (b *Registry) evict() {
-	for len(b.records) > b.limits.MaxRecords {
+// evict drops the least suspect records beyond the limit. Requests with a single crash are
+// evicted before refused ones, so that a flood of them can't displace these.
+func (q *Registry) evict() {
+	for len(q.records) > q.limits.MaxRecords {
 		var least *Record
-		for _, r := range b.records {
-			if least == nil || b.lessSuspect(r, least) {
+		for _, r := range q.records {
+			if least == nil || q.lessSuspect(r, least) {
 				least = r
 			}
 		}
-		b.drop(least.Fingerprint)
-		b.observer.Evicted(least)
+		q.drop(least.Fingerprint)
+		q.observer.Evicted(least)
 	}
 }
 
-func (b *Registry) lessSuspect(x, y *Record) bool {
-	weight := func(r *Record) int {
-		if b.findings[r.Fingerprint] == MustNotRun {
+func (q *Registry) lessSuspect(x, y *Record) bool {
+	suspicion := func(r *Record) int {
+		if q.findings[r.Fingerprint] == MustNotRun {
 			return maxRecordedCrashes + 1
 		}
 		return len(r.Crashes)
 	}
-	if c := cmp.Compare(weight(x), weight(y)); c != 0 {
+	if c := cmp.Compare(suspicion(x), suspicion(y)); c != 0 {
 		return c < 0
 	}
 	return x.ChangedAt().Before(y.ChangedAt())
--- a/internal/gateway/quarantine/fingerprint.go
+++ b/internal/gateway/quarantine/fingerprint.go
@@ -1,25 +1,8 @@
-// Package quarantine keeps a request that ends every target which runs it (a "query of
-// death") from ending one after the other.
-//
-// # What it guards against
-//
-// A target that ends takes everything with it that it works on. Its requests are sent
-// elsewhere, and their callers come again at other entries. If one of them is the cause,
-// each of these sends ends another target, until none is left.
-//
-// # Why it holds
-//
-// Entries keep a [Record] of each request that was under way at a target when it ended,
-// and tell it to each other. Records merge like sets: a fact that is lost, late, doubled or
-// out of order does no harm, and there is nothing to agree on. From its first end on a
-// request is sent only to the target that its [Fingerprint] ranks first, so that repeats which
-// several entries hold at the same time meet at one target. From its second on one of them
-// runs at a time, at a target where no other suspect runs. What has ended three targets is
-// held for a second, in which other ends may speak for another cause, and then refused.
-//
-// Requests that only stood beside the cause meet the same ends. They part from it at their
-// next send, because their prints rank other targets first, and the ends that a refused
-// request explains no longer count against them: see [Evaluate].
+// Package quarantine stops requests that crash every target they run on ("queries of death").
+// Entries record which requests were in flight on a target that crashed, and announce the
+// records to each other. A suspect runs first on a single target and then one run at a time, so
+// that it is told apart from requests that ran beside it. After a configured number of crashes
+// it is refused.
 package quarantine
 
 import (
@@ -29,25 +12,24 @@
 	"io"
 )
 
-// Fingerprint names a request by what stays the same when its caller sends it again: its path
-// with the query, its workspace and its body. Ids, keys, deadlines and other headers
-// differ between two tries. It shows nothing of the body, and who knows a workspace's
-// requests cannot make another one with the same print.
+// Fingerprint identifies a request across retries. It hashes the workspace, the path with the
+// query, and the body; headers differ between attempts. The hash is cryptographic, so that a
+// caller can't forge another request's fingerprint.
 type Fingerprint uint64
 
-// FingerprintOf returns the print of a request. The workspace is empty on routes that need no
-// key.
+// FingerprintOf returns the fingerprint of a request. The workspace is empty on routes without
+// authentication.
 func FingerprintOf(workspace, path string, body []byte) Fingerprint {
 	h := sha256.New()
-	for _, text := range []string{workspace, path} {
+	for _, field := range []string{workspace, path} {
 		var size [8]byte
-		binary.BigEndian.PutUint64(size[:], uint64(len(text)))
+		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
 		h.Write(size[:])
-		_, _ = io.WriteString(h, text) // a hash takes everything
+		_, _ = io.WriteString(h, field) // never fails on a hash
 	}
 	h.Write(body)
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// String returns the print as it stands in logs.
-func (p Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(p)) }
+// String returns the fingerprint as logs show it.
+func (fp Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(fp)) }
--- a/internal/gateway/quarantine/message.go
+++ b/internal/gateway/quarantine/message.go
@@ -7,15 +7,15 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// maxElapsed bounds how long a request is said to have been under way.
+// maxElapsed bounds the elapsed time of a run in a message.
 const maxElapsed = time.Hour
 
-// maxNameLength bounds the names of workspace and route in a message: records of several
-// requests fit into one datagram.
+// maxNameLength bounds the names of workspace and route in a message, so that several records
+// fit into a datagram.
 const maxNameLength = 48
 
-// ToMessage is a record as other processes are told it. Clocks of two processes differ, so
-// that it holds ages.
+// ToMessage encodes a record for other processes. Times are encoded as ages, because the
+// processes' clocks differ.
 func ToMessage(r *Record, now time.Time) *peerv1.Suspect {
 	m := &peerv1.Suspect{
 		Print: uint64(r.Fingerprint), Generation: r.Generation, Served: uint32(r.Served), Trial: r.ProbationRun.Number,
@@ -27,8 +27,8 @@
 	if r.ProbationRun.Target != 0 {
 		m.TrialTarget, m.TrialAgeMs = uint32(r.ProbationRun.Target), age(r.ProbationRun.StartedAt, now)
 	}
-	for _, e := range r.Crashes {
-		m.Ends = append(m.Ends, &peerv1.TargetEnd{Target: uint32(e.Target), Step: uint32(e.Step), AgeMs: age(e.At, now), RanMs: uint32(min(e.Elapsed, maxElapsed).Milliseconds())})
+	for _, c := range r.Crashes {
+		m.Ends = append(m.Ends, &peerv1.TargetEnd{Target: uint32(c.Target), Step: uint32(c.Step), AgeMs: age(c.At, now), RanMs: uint32(min(c.Elapsed, maxElapsed).Milliseconds())})
 	}
 	if len(r.Crashes) > 1 {
 		m.Workspace, m.Route = r.Workspace[:min(len(r.Workspace), maxNameLength)], r.Route[:min(len(r.Route), maxNameLength)]
@@ -36,7 +36,7 @@
 	return m
 }
 
-// FromMessage is the record of a message that came now.
+// FromMessage decodes a record that was received now.
 func FromMessage(m *peerv1.Suspect, now time.Time) Record {
 	r := Record{
 		Fingerprint: Fingerprint(m.Print), Generation: m.Generation, Served: int(m.Served), Workspace: m.Workspace, Route: m.Route,
@@ -49,15 +49,15 @@
 	if r.ProbationRun.Target != 0 {
 		r.ProbationRun.StartedAt = ago(m.TrialAgeMs, now)
 	}
-	for _, e := range m.Ends[:min(len(m.Ends), maxRecordedCrashes)] {
-		r.Crashes = append(r.Crashes, Crash{Target: fleet.ID(e.Target), Step: int(e.Step), At: ago(e.AgeMs, now), Elapsed: min(time.Duration(e.RanMs)*time.Millisecond, maxElapsed)})
+	for _, c := range m.Ends[:min(len(m.Ends), maxRecordedCrashes)] {
+		r.Crashes = append(r.Crashes, Crash{Target: fleet.ID(c.Target), Step: int(c.Step), At: ago(c.AgeMs, now), Elapsed: min(time.Duration(c.RanMs)*time.Millisecond, maxElapsed)})
 	}
 	return r
 }
 
 func age(at, now time.Time) uint64 { return uint64(max(now.Sub(at), 0).Milliseconds()) }
 
-// maxAge keeps ages within what a duration holds.
+// maxAge prevents overflow of time.Duration.
 const maxAge = 100 * 365 * 24 * time.Hour
 
 func ago(ms uint64, now time.Time) time.Time {
--- a/internal/gateway/quarantine/probation.go
+++ b/internal/gateway/quarantine/probation.go
@@ -3,38 +3,34 @@
 import "time"
 
 const (
-	// probationAfter is how long no target must have ended before a refused request may run
-	// once, and probationGrowth by how much longer each time: one that ends its target again
-	// is tried ever more seldom.
+	// probationAfter is how long no target must have crashed before a refused request gets a
+	// probation run. Each further run of the request multiplies it by probationBackoff.
 	probationAfter   = 10 * time.Second
 	probationBackoff = 6
-	// maxProbations is how often a request may run while it is refused, over all processes,
-	// until one of these runs goes well: each may cost a target.
+	// maxProbations bounds the failed probation runs of a refused request over all processes,
+	// because each may crash a target.
 	maxProbations = 2
 )
 
-// Probation.
+// probationDue reports whether a refused request may start a probation run.
 //
-// The failure guarded against: a request that is asked for all the time is under way whenever
-// a target crashes by itself, and its record is that of the cause. Refused for a day it is
-// never served again, long after the targets have been mended. Once nothing has ended for a
-// while, one run of it shows which it was: a run that goes well lets it back, alone at first,
-// and the next end refuses it again at once.
-
-// probationDue reports whether a refused request may run once now, as its only run.
-func (b *Registry) probationDue(r *Record, now time.Time) bool {
-	at, ok := b.probationAt(r)
+// A popular request is in flight whenever a target crashes for another reason, and its record
+// looks like that of the cause. A refused request therefore gets a single run once no target has
+// crashed for a while. If the run succeeds, the request may run alone again; the next crash
+// refuses it at once.
+func (q *Registry) probationDue(r *Record, now time.Time) bool {
+	at, ok := q.probationAt(r)
 	if !ok {
 		return false
 	}
-	if b.limits.ProbationDelay != nil {
-		at = at.Add(b.limits.ProbationDelay(r.Fingerprint))
+	if q.limits.ProbationDelay != nil {
+		at = at.Add(q.limits.ProbationDelay(r.Fingerprint))
 	}
 	return !now.Before(at)
 }
 
-// probationAt is from when on a refused request may run once; false for never.
-func (b *Registry) probationAt(r *Record) (time.Time, bool) {
+// probationAt returns when a refused request may start a probation run, and false if it may not.
+func (q *Registry) probationAt(r *Record) (time.Time, bool) {
 	if r.Probations-r.PardonedProbations >= maxProbations || len(r.Crashes) >= maxRecordedCrashes {
 		return time.Time{}, false
 	}
@@ -42,36 +38,37 @@
 	for range r.Probations {
 		wait *= probationBackoff
 	}
-	calm := r.ChangedAt()
-	if b.lastCrashAt.After(calm) {
-		calm = b.lastCrashAt
+	quietSince := r.ChangedAt()
+	if q.lastCrashAt.After(quietSince) {
+		quietSince = q.lastCrashAt
 	}
-	return calm.Add(min(wait, b.limits.RefuseFor)), true
+	return quietSince.Add(min(wait, q.limits.RefuseFor)), true
 }
 
-// refusedUntil is when a refused request may run again.
-func (b *Registry) refusedUntil(r *Record) time.Time {
-	until := r.ChangedAt().Add(b.limits.RefuseFor)
-	if at, ok := b.probationAt(r); ok && at.Before(until) {
+// refusedUntil returns when a refused request may run again.
+func (q *Registry) refusedUntil(r *Record) time.Time {
+	until := r.ChangedAt().Add(q.limits.RefuseFor)
+	if at, ok := q.probationAt(r); ok && at.Before(until) {
 		return at
 	}
 	return until
 }
 
-// pardon takes in that a run of a refused request went well, and reports whether it was on
-// probation: other runs had begun before it was refused.
-func (b *Registry) pardon(r *Record) bool {
+// pardon forgives a refused request's crashes after a successful probation run. It returns false
+// if no probation run is in flight: the run that succeeded then started before the request was
+// refused.
+func (q *Registry) pardon(r *Record) bool {
 	if r.Probations <= r.PardonedProbations || r.ProbationRun.Target == 0 {
 		return false
 	}
 	r.PardonedProbations, r.ForgivenCrashes = r.Probations, len(r.Crashes)
-	b.markChanged(r.Fingerprint, true)
+	q.markChanged(r.Fingerprint, true)
 	return true
 }
 
-// noteCrash takes in when a target ended.
-func (b *Registry) noteCrash(at time.Time) {
-	if at.After(b.lastCrashAt) {
-		b.lastCrashAt = at
+// noteCrash records when a target crashed.
+func (q *Registry) noteCrash(at time.Time) {
+	if at.After(q.lastCrashAt) {
+		q.lastCrashAt = at
 	}
 }
--- a/internal/gateway/quarantine/record.go
+++ b/internal/gateway/quarantine/record.go
@@ -7,176 +7,175 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// Crash is a target that ended while it worked on a request.
+// Crash is the crash of a target that was running a request.
 type Crash struct {
-	// Target is the life that ended.
+	// Target is the incarnation that crashed.
 	Target fleet.ID
-	// Step is how many steps the sender knew of when it sent the request. Sends that were
-	// under way at the same time are of one step: whatever ended their targets at once, one
-	// cause is enough for all.
+	// Step is the number of earlier steps that the sender knew when it sent the request. Runs
+	// that were in flight at the same time share a step, because a single cause can crash all of
+	// their targets.
 	Step int
-	// At is when the end became known.
+	// At is when the crash was observed.
 	At time.Time
-	// Elapsed is how long the request had been under way at the target; zero when that is not
-	// known.
+	// Elapsed is how long the request had been in flight on the target; zero if unknown.
 	Elapsed time.Duration
 }
 
-// ProbationRun is a run of a suspect, of which there is one at a time.
+// ProbationRun is the only run of a suspect in flight.
 type ProbationRun struct {
-	// Number grows with each beginning and each end of a trial.
+	// Number increases whenever a probation run starts or ends.
 	Number uint32
-	// Target is where it runs; zero while none does.
-	Target fleet.ID
-	// StartedAt is when it began.
+	// Target is where it runs; zero if none is in flight.
+	Target    fleet.ID
 	StartedAt time.Time
 }
 
-// Record is what is known of one request.
+// Record holds the crashes attributed to a request. Processes announce their records to each
+// other and merge them. Announcements may be lost, repeated or reordered.
 type Record struct {
 	Fingerprint Fingerprint
-	// Workspace and Route are the caller's, for operators.
+	// Workspace and Route identify the caller to operators.
 	Workspace, Route string
-	// Generation grows each time an operator lets the request go, and the record begins
-	// anew. A higher one replaces all of a lower one.
+	// Generation increases when an operator releases the request. Merging keeps the record of
+	// the higher generation.
 	Generation uint32
-	// Crashes are in the order in which they became known.
+	// Crashes are in the order in which they were observed.
 	Crashes []Crash
-	// Served is how many of its runs went well since the first end. Each process counts on
-	// from what it has heard; two that count at once count one.
+	// Served is the number of successful runs since the first crash. Merging takes the maximum,
+	// so that concurrent runs at two processes may count once.
 	Served       int
 	ProbationRun ProbationRun
-	// ReleasedAt is when the request was let go last; zero when it never was.
+	// ReleasedAt is when the request was last released; zero if never.
 	ReleasedAt time.Time
-	// Probations is how many runs of it were begun while it was refused. PardonedProbations is how many
-	// had been when one of them went well last, and ForgivenCrashes how many ends were known then:
-	// those are no longer held against it.
+	// Probations is the number of probation runs started while the request was refused.
+	// PardonedProbations and ForgivenCrashes are the numbers of probations and of crashes when a
+	// probation run last succeeded.
 	Probations, PardonedProbations, ForgivenCrashes int
 }
 
-// ChangedAt is when the last end became known, or when the request was let go after it.
+// ChangedAt returns when the last crash was observed, or when the request was released after it.
 //
-// The failure guarded against: a word is as old at its receiver as its sender said, without
-// the time that it was under way. Were the latest of two words believed, each telling would
-// make a record younger, and among many processes none would ever be old enough to be
-// forgotten. Of each fact the earliest word counts.
+// A received age does not include the time in transit, so a record looks younger with each hop.
+// Merging therefore keeps the earliest time of each crash; otherwise records that are announced
+// again and again would never expire.
 func (r *Record) ChangedAt() time.Time {
 	at := r.ReleasedAt
-	for _, e := range r.Crashes {
-		if e.At.After(at) {
-			at = e.At
+	for _, c := range r.Crashes {
+		if c.At.After(at) {
+			at = c.At
 		}
 	}
 	return at
 }
 
 const (
-	// maxRecordedCrashes bounds the ends that a record holds: far more than it takes to refuse a
-	// request, so that it explains the ends of those that stood beside it.
+	// maxRecordedCrashes bounds the crashes of a record. It is well above the number that
+	// refuses a request, so that a refused request explains the crashes of requests that ran
+	// beside it.
 	maxRecordedCrashes = 16
-	// servedPerStep is how many runs must go well for each step so that a request may run
-	// anywhere again.
+	// servedPerStep is the number of successful runs per step after which a suspect may run on
+	// any target again.
 	servedPerStep = 3
-	// exemptServedPerStep is how many must between two steps for a request not to be refused although no target
-	// ended without it. What is asked for all the time is under way whenever a target
-	// crashes, and is served hundreds of times between; one that ends a third of the targets
-	// is served a dozen times while those it ended start again.
+	// exemptServedPerStep is the number of successful runs between two steps that exempts a
+	// request from refusal. A popular request is served hundreds of times between crashes that
+	// it does not cause; one that crashes a third of the targets is served a dozen times.
 	exemptServedPerStep = 30
-	// exemptServedPerStepAmongCrashes is the same when others ended without it: one that ends its target on
-	// every second run is served once, or hardly more often, for each end.
+	// exemptServedPerStepAmongCrashes replaces exemptServedPerStep if targets also crashed
+	// without the request. One that crashes its target on every second run is served about once
+	// per crash.
 	exemptServedPerStepAmongCrashes = 2
-	// probationRunTimeout is how long a trial counts when its end is not told: its entry has ended or
-	// was cut off. Few answers take longer.
+	// probationRunTimeout is how long a probation run counts as in flight if its end is not
+	// announced, because the entry that started it has stopped or is unreachable.
 	probationRunTimeout = 20 * time.Second
 )
 
-// crashSpan is from the request's first end to its last; there is one at least.
+// crashSpan returns the times of the request's first and last crash; it must have one.
 func (r *Record) crashSpan() (first, last time.Time) {
 	first, last = r.Crashes[0].At, r.Crashes[0].At
-	for _, e := range r.Crashes {
-		if e.At.Before(first) {
-			first = e.At
+	for _, c := range r.Crashes {
+		if c.At.Before(first) {
+			first = c.At
 		}
-		if e.At.After(last) {
-			last = e.At
+		if c.At.After(last) {
+			last = c.At
 		}
 	}
 	return first, last
 }
 
-// hasCrash reports whether the record holds a life's hasCrash.
+// hasCrash reports whether the crash of an incarnation is attributed to the request.
 func (r *Record) hasCrash(target fleet.ID) bool {
-	return slices.ContainsFunc(r.Crashes, func(e Crash) bool { return e.Target == target })
+	return slices.ContainsFunc(r.Crashes, func(c Crash) bool { return c.Target == target })
 }
 
-// change is what taking in a word has changed.
+// change is the effect of a merge.
 type change uint8
 
 const (
-	// unchanged was changed, a detail, or something that the others should hear of.
+	// A minorChange need not be announced, a majorChange must be.
 	unchanged change = iota
 	minorChange
 	majorChange
 )
 
-// addCrash adds an end. Of two words of the same life the earlier counts, and the lower step:
-// it makes no difference who is heard first.
-func (r *Record) addCrash(e Crash) change {
-	i := slices.IndexFunc(r.Crashes, func(o Crash) bool { return o.Target == e.Target })
+// addCrash adds a crash. For a known incarnation it keeps the earlier time and the lower step,
+// so that the order of calls does not matter.
+func (r *Record) addCrash(c Crash) change {
+	i := slices.IndexFunc(r.Crashes, func(other Crash) bool { return other.Target == c.Target })
 	if i < 0 {
 		if len(r.Crashes) >= maxRecordedCrashes {
 			return unchanged
 		}
-		r.Crashes = append(r.Crashes, e)
+		r.Crashes = append(r.Crashes, c)
 		return majorChange
 	}
 	known := &r.Crashes[i]
 	changed := unchanged
-	if e.At.Before(known.At) {
-		known.At, changed = e.At, minorChange
+	if c.At.Before(known.At) {
+		known.At, changed = c.At, minorChange
 	}
-	if e.Elapsed > 0 && (known.Elapsed == 0 || e.Elapsed < known.Elapsed) {
-		known.Elapsed, changed = e.Elapsed, minorChange
+	if c.Elapsed > 0 && (known.Elapsed == 0 || c.Elapsed < known.Elapsed) {
+		known.Elapsed, changed = c.Elapsed, minorChange
 	}
-	if e.Step < known.Step {
-		known.Step, changed = e.Step, majorChange
+	if c.Step < known.Step {
+		known.Step, changed = c.Step, majorChange
 	}
 	return changed
 }
 
-// merge takes in what another process knows.
-func (r *Record) merge(o *Record) change {
-	if o.Generation < r.Generation {
+// merge merges the record of another process.
+func (r *Record) merge(other *Record) change {
+	if other.Generation < r.Generation {
 		return unchanged
 	}
-	if o.Generation > r.Generation {
+	if other.Generation > r.Generation {
 		workspace, route := r.Workspace, r.Route
-		*r = o.clone()
+		*r = other.clone()
 		r.fillCaller(workspace, route)
 		return majorChange
 	}
 	changed := unchanged
-	if o.ReleasedAt.Before(r.ReleasedAt) {
-		r.ReleasedAt = o.ReleasedAt
+	if other.ReleasedAt.Before(r.ReleasedAt) {
+		r.ReleasedAt = other.ReleasedAt
 	}
-	for _, e := range o.Crashes {
-		changed = max(changed, r.addCrash(e))
+	for _, c := range other.Crashes {
+		changed = max(changed, r.addCrash(c))
 	}
-	if o.Served > r.Served {
-		r.Served, changed = o.Served, majorChange
+	if other.Served > r.Served {
+		r.Served, changed = other.Served, majorChange
 	}
-	if o.Probations > r.Probations || o.PardonedProbations > r.PardonedProbations || o.ForgivenCrashes > r.ForgivenCrashes {
-		r.Probations, r.PardonedProbations, r.ForgivenCrashes = max(r.Probations, o.Probations), max(r.PardonedProbations, o.PardonedProbations), max(r.ForgivenCrashes, o.ForgivenCrashes)
+	if other.Probations > r.Probations || other.PardonedProbations > r.PardonedProbations || other.ForgivenCrashes > r.ForgivenCrashes {
+		r.Probations, r.PardonedProbations, r.ForgivenCrashes = max(r.Probations, other.Probations), max(r.PardonedProbations, other.PardonedProbations), max(r.ForgivenCrashes, other.ForgivenCrashes)
 		changed = majorChange
 	}
-	if o.ProbationRun.Number > r.ProbationRun.Number {
-		r.ProbationRun, changed = o.ProbationRun, majorChange
+	if other.ProbationRun.Number > r.ProbationRun.Number {
+		r.ProbationRun, changed = other.ProbationRun, majorChange
 	}
-	r.fillCaller(o.Workspace, o.Route)
+	r.fillCaller(other.Workspace, other.Route)
 	return changed
 }
 
-// fillCaller fills in whose request it is where that is not known.
+// fillCaller sets the caller where it is unknown.
 func (r *Record) fillCaller(workspace, route string) {
 	if r.Workspace == "" {
 		r.Workspace = workspace
@@ -192,40 +191,39 @@
 	return c
 }
 
-// reset begins the record anew: nothing is held against the request any more.
+// reset starts a new generation without crashes.
 func (r *Record) reset(now time.Time) {
 	r.Generation++
 	r.Crashes, r.Served, r.ProbationRun, r.ReleasedAt = nil, 0, ProbationRun{}, now
 	r.Probations, r.PardonedProbations, r.ForgivenCrashes = 0, 0, 0
 }
 
-// probationRunActive reports whether a trial is under way.
+// probationRunActive reports whether a probation run is in flight.
 func (r *Record) probationRunActive(now time.Time) bool {
 	return r.ProbationRun.Target != 0 && now.Sub(r.ProbationRun.StartedAt) < probationRunTimeout
 }
 
-// unexplainedSteps counts the ends that came one after the other, of those that nothing else
-// explains.
-func (r *Record) unexplainedSteps(explained func(fleet.ID) bool) int {
+// unexplainedSteps counts the steps with crashes that are not attributed to a refused request.
+func (r *Record) unexplainedSteps(isExplained func(fleet.ID) bool) int {
 	var seen []int
-	for _, e := range r.Crashes {
-		if !explained(e.Target) && !slices.Contains(seen, e.Step) {
-			seen = append(seen, e.Step)
+	for _, c := range r.Crashes {
+		if !isExplained(c.Target) && !slices.Contains(seen, c.Step) {
+			seen = append(seen, c.Step)
 		}
 	}
 	return len(seen)
 }
 
-// cleared reports whether so many runs went well that the request may run anywhere.
-func (r *Record) cleared(explained func(fleet.ID) bool) bool {
-	return r.Served >= servedPerStep*max(r.unexplainedSteps(explained), 1)
+// cleared reports whether enough runs succeeded for the request to run on any target.
+func (r *Record) cleared(isExplained func(fleet.ID) bool) bool {
+	return r.Served >= servedPerStep*max(r.unexplainedSteps(isExplained), 1)
 }
 
-// unexplainedCrashes counts the ends that nothing else explains.
-func (r *Record) unexplainedCrashes(explained func(fleet.ID) bool) int {
+// unexplainedCrashes counts the crashes that are not attributed to a refused request.
+func (r *Record) unexplainedCrashes(isExplained func(fleet.ID) bool) int {
 	n := 0
-	for _, e := range r.Crashes {
-		if !explained(e.Target) {
+	for _, c := range r.Crashes {
+		if !isExplained(c.Target) {
 			n++
 		}
 	}
--- a/internal/gateway/quarantine/reevaluate.go
+++ b/internal/gateway/quarantine/reevaluate.go
@@ -8,75 +8,75 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-func (b *Registry) markChanged(p Fingerprint, own bool) {
-	b.changed[p] = true
-	b.localChange = b.localChange || own
+func (q *Registry) markChanged(fp Fingerprint, local bool) {
+	q.changed[fp] = true
+	q.localChange = q.localChange || local
 }
 
-// Reevaluate finds out what follows from the changes since the last time.
-func (b *Registry) Reevaluate(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.reevaluate(now)
+// Reevaluate updates all findings if records have changed or a held request is due.
+func (q *Registry) Reevaluate(now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.reevaluate(now)
 }
 
-// reevaluate judges anew, and gives up runs that suspects should not have made.
-func (b *Registry) reevaluate(now time.Time) {
-	due := !b.evaluateAt.IsZero() && !now.Before(b.evaluateAt)
-	if len(b.changed) == 0 && !due {
+// reevaluate updates the findings and cancels runs of suspects.
+func (q *Registry) reevaluate(now time.Time) {
+	due := !q.evaluateAt.IsZero() && !now.Before(q.evaluateAt)
+	if len(q.changed) == 0 && !due {
 		return
 	}
-	b.evaluate(!b.localChange, now)
-	for _, p := range slices.Sorted(maps.Keys(b.changed)) {
-		if r := b.records[p]; r != nil && b.status(r, now).Verdict != Free {
-			b.cancelRuns(r, now)
+	q.evaluate(!q.localChange, now)
+	for _, fp := range slices.Sorted(maps.Keys(q.changed)) {
+		if r := q.records[fp]; r != nil && q.status(r, now).Verdict != Free {
+			q.cancelRuns(r, now)
 		}
 	}
-	clear(b.changed)
-	b.localChange = false
+	clear(q.changed)
+	q.localChange = false
 }
 
-func (b *Registry) evaluate(told bool, now time.Time) {
-	all := make([]*Record, 0, len(b.records))
-	for _, r := range b.records {
+func (q *Registry) evaluate(remote bool, now time.Time) {
+	all := make([]*Record, 0, len(q.records))
+	for _, r := range q.records {
 		all = append(all, r)
 	}
-	before := b.findings
-	b.findings = Evaluate(all, b.limits.MaxCrashes, now)
-	b.explained, b.evaluateAt = map[fleet.ID]bool{}, time.Time{}
-	for p, f := range b.findings {
-		r := b.records[p]
+	before := q.findings
+	q.findings = Evaluate(all, q.limits.MaxCrashes, now)
+	q.explained, q.evaluateAt = map[fleet.ID]bool{}, time.Time{}
+	for fp, f := range q.findings {
+		r := q.records[fp]
 		if f == MustWait {
-			b.evaluateBy(r.ChangedAt().Add(decisionDelay))
+			q.evaluateBy(r.ChangedAt().Add(decisionDelay))
 			continue
 		}
-		for _, e := range r.Crashes {
-			b.explained[e.Target] = true
+		for _, c := range r.Crashes {
+			q.explained[c.Target] = true
 		}
 	}
-	b.notifyFindings(before, told)
+	q.notifyFindings(before, remote)
 }
 
-// evaluateBy judges anew at a time, or before.
-func (b *Registry) evaluateBy(at time.Time) {
-	if b.evaluateAt.IsZero() || at.Before(b.evaluateAt) {
-		b.evaluateAt = at
+// evaluateBy schedules an evaluation at the given time at the latest.
+func (q *Registry) evaluateBy(at time.Time) {
+	if q.evaluateAt.IsZero() || at.Before(q.evaluateAt) {
+		q.evaluateAt = at
 	}
 }
 
-// notifyFindings tells the observer what has changed.
-func (b *Registry) notifyFindings(before map[Fingerprint]Finding, told bool) {
+// notifyFindings reports changed findings to the observer.
+func (q *Registry) notifyFindings(before map[Fingerprint]Finding, remote bool) {
 	changed := map[Fingerprint]bool{}
-	for p := range before {
-		changed[p] = b.findings[p] != before[p]
+	for fp := range before {
+		changed[fp] = q.findings[fp] != before[fp]
 	}
-	for p := range b.findings {
-		changed[p] = b.findings[p] != before[p]
+	for fp := range q.findings {
+		changed[fp] = q.findings[fp] != before[fp]
 	}
-	for _, p := range slices.Sorted(maps.Keys(changed)) {
-		if r := b.records[p]; r != nil && changed[p] {
-			b.observer.FindingChanged(r, before[p], b.findings[p], told)
-			b.signal()
+	for _, fp := range slices.Sorted(maps.Keys(changed)) {
+		if r := q.records[fp]; r != nil && changed[fp] {
+			q.observer.FindingChanged(r, before[fp], q.findings[fp], remote)
+			q.signal()
 		}
 	}
 }
--- a/internal/gateway/quarantine/registry.go
+++ b/internal/gateway/quarantine/registry.go
@@ -9,34 +9,34 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// Limits bound what a book holds and how it judges.
+// Limits configures a [Registry].
 type Limits struct {
-	// MaxCrashes is how many targets a request may end before it is refused.
+	// MaxCrashes is the number of crashes at which a request is refused.
 	MaxCrashes int
-	// SuspectFor is how long after its last end a request counts as a suspect, RefuseFor how
-	// long a refused one is refused.
+	// SuspectFor is how long a record is kept after its last crash. RefuseFor replaces it for
+	// requests with at least MaxCrashes, and bounds how long they are refused.
 	SuspectFor, RefuseFor time.Duration
-	// MaxRecords is the most that are kept. The least suspected go first.
+	// MaxRecords bounds the number of records. The least suspect ones are evicted first.
 	MaxRecords int
-	// ProbationDelay is how much later than the first of all processes this one may put a request on
-	// probation; nil for at once.
+	// ProbationDelay returns how long this process waits before it starts a probation run of a
+	// refused request, so that processes don't start one at the same time. Nil means no delay.
 	ProbationDelay func(Fingerprint) time.Duration
 }
 
-// Verdict is what a request may do.
+// Verdict is how a request may run.
 type Verdict uint8
 
-// The verdicts.
 const (
-	// Free requests go where they are served best.
+	// Free requests run on any target.
 	Free Verdict = iota
-	// Apart requests go to the target that their print ranks first.
+	// Apart requests run on the target that ranks first for their fingerprint.
 	Apart
-	// Alone requests do the same, one of them at a time, where no other of them runs.
+	// Alone requests run like Apart ones, but one run at a time and not on a target that runs
+	// another suspect.
 	Alone
-	// Held requests wait for a moment, until it is settled what ended their targets.
+	// Held requests wait until it is decided whether they caused their targets' crashes.
 	Held
-	// Refused requests are not sent.
+	// Refused requests do not run.
 	Refused
 )
 
@@ -45,37 +45,37 @@
 // String returns the verdict's name.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Status is what is held against a request now.
+// Status is the current restriction of a request.
 type Status struct {
 	Verdict Verdict
-	// Step is that of its next send.
+	// Step is the [Crash.Step] of the next run.
 	Step int
-	// Crashes is how many targets ended under it.
+	// Crashes is the number of crashes attributed to the request.
 	Crashes int
 	// Until is when a refused request may run again.
 	Until time.Time
 }
 
-// Observer is told of what the book decides. It is called while the book is locked, and
-// must not call it.
+// Observer is notified of the registry's decisions. Its methods run with the registry locked and
+// must not call it. Remote is true if the decision follows only from what other processes
+// announced.
 type Observer interface {
-	// CrashAttributed tells of an end that is held against a request, by this process or as another
-	// one told it.
-	CrashAttributed(r *Record, e Crash, told bool)
-	// FindingChanged tells that another finding than before holds for a request; told is set when no
-	// end that this process saw led to it.
-	FindingChanged(r *Record, before, now Finding, told bool)
-	// Cleared tells that a request was served so often that nothing is held against it for
-	// now, Released that it was let go, here or as another process told it.
+	// CrashAttributed reports a crash that was attributed to a request.
+	CrashAttributed(r *Record, c Crash, remote bool)
+	// FindingChanged reports a new finding for a request.
+	FindingChanged(r *Record, before, now Finding, remote bool)
+	// Cleared reports a request that was served often enough to run on any target again,
+	// Released one that was released by an operator.
 	Cleared(r *Record)
-	Released(r *Record, told bool)
-	// ProbationStarted tells that a run of a refused request is begun.
+	Released(r *Record, remote bool)
+	// ProbationStarted reports a probation run of a refused request.
 	ProbationStarted(r *Record)
-	// Evicted tells that a record was dropped for want of room.
+	// Evicted reports a record that was dropped because the registry is full.
 	Evicted(r *Record)
 }
 
-// Registry keeps the records of one process. It is safe for concurrent use.
+// Registry holds the records of all suspects that this process knows. It is safe for concurrent
+// use.
 type Registry struct {
 	limits   Limits
 	observer Observer
@@ -83,29 +83,30 @@
 	mu       sync.Mutex
 	records  map[Fingerprint]*Record
 	findings map[Fingerprint]Finding
-	// evaluateAt is when a request that is held is judged anew; zero while none is.
+	// evaluateAt is when the records must be evaluated again because a request is held; zero if
+	// none is.
 	evaluateAt time.Time
-	// explained are the lives that refused requests have ended.
+	// explained holds the incarnations whose crash is attributed to a refused request.
 	explained map[fleet.ID]bool
-	// pendingUpdates are the records that the other processes are to be told of, and turn is where
-	// the next of all records is told again.
+	// pendingUpdates lists the records to announce at once, lastAnnounced is where
+	// NextToAnnounce stopped.
 	pendingUpdates []Fingerprint
 	lastAnnounced  Fingerprint
 	updates        chan struct{}
-	// runs are the sends that are under way.
+	// runs holds the runs in flight.
 	runs map[Fingerprint][]*Run
-	// probationRuns are the records of which a trial was begun.
+	// probationRuns holds the records with a probation run in flight.
 	probationRuns map[Fingerprint]*Record
-	// changed are the records that changed since all were judged last, and ownChange is set
-	// when this process changed one of them.
+	// changed lists the records that changed since the last evaluation; localChange is set if
+	// this process changed one of them.
 	changed     map[Fingerprint]bool
 	localChange bool
 	sweptAt     time.Time
-	// lastCrashAt is when the last end of any target became known.
+	// lastCrashAt is when the last crash of any target was observed.
 	lastCrashAt time.Time
 }
 
-// NewRegistry returns an empty book.
+// NewRegistry returns an empty registry.
 func NewRegistry(limits Limits, observer Observer) *Registry {
 	return &Registry{
 		limits: limits, observer: observer, updates: make(chan struct{}, 1),
@@ -114,30 +115,30 @@
 	}
 }
 
-func (b *Registry) isExplained(target fleet.ID) bool { return b.explained[target] }
+func (q *Registry) isExplained(target fleet.ID) bool { return q.explained[target] }
 
-// Status returns what is held against a request.
-func (b *Registry) Status(p Fingerprint, now time.Time) Status {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.reevaluate(now)
-	r := b.records[p]
-	if r == nil || b.expired(r, now) {
+// Status returns the current restriction of a request.
+func (q *Registry) Status(fp Fingerprint, now time.Time) Status {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.reevaluate(now)
+	r := q.records[fp]
+	if r == nil || q.expired(r, now) {
 		return Status{}
 	}
-	return b.status(r, now)
+	return q.status(r, now)
 }
 
-func (b *Registry) status(r *Record, now time.Time) Status {
-	s := Status{Step: r.unexplainedSteps(b.isExplained), Crashes: r.unexplainedCrashes(b.isExplained)}
+func (q *Registry) status(r *Record, now time.Time) Status {
+	s := Status{Step: r.unexplainedSteps(q.isExplained), Crashes: r.unexplainedCrashes(q.isExplained)}
 	switch {
-	case b.findings[r.Fingerprint] == MustNotRun && b.probationDue(r, now):
+	case q.findings[r.Fingerprint] == MustNotRun && q.probationDue(r, now):
 		s.Verdict, s.Step, s.Crashes = Alone, len(r.Crashes), len(r.Crashes)
-	case b.findings[r.Fingerprint] == MustNotRun:
-		s.Verdict, s.Crashes, s.Until = Refused, len(r.Crashes), b.refusedUntil(r)
-	case b.findings[r.Fingerprint] == MustWait:
+	case q.findings[r.Fingerprint] == MustNotRun:
+		s.Verdict, s.Crashes, s.Until = Refused, len(r.Crashes), q.refusedUntil(r)
+	case q.findings[r.Fingerprint] == MustWait:
 		s.Verdict = Held
-	case r.cleared(b.isExplained):
+	case r.cleared(q.isExplained):
 	case s.Crashes > 1:
 		s.Verdict = Alone
 	case s.Crashes == 1:
@@ -146,118 +147,119 @@
 	return s
 }
 
-// Caller names a request's caller, for operators.
+// Caller identifies a request's caller to operators.
 type Caller struct{ Workspace, Route string }
 
-// AttributeCrash holds the end of a target against a request that it worked on.
-func (b *Registry) AttributeCrash(p Fingerprint, who Caller, e Crash) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sweep(e.At)
-	r := b.records[p]
+// AttributeCrash attributes the crash of a target to a request that ran on it.
+func (q *Registry) AttributeCrash(fp Fingerprint, caller Caller, c Crash) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.sweep(c.At)
+	r := q.records[fp]
 	if r == nil {
-		r = &Record{Fingerprint: p}
-		b.records[p] = r
+		r = &Record{Fingerprint: fp}
+		q.records[fp] = r
 	}
-	r.fillCaller(who.Workspace, who.Route)
-	if r.addCrash(e) != majorChange {
+	r.fillCaller(caller.Workspace, caller.Route)
+	if r.addCrash(c) != majorChange {
 		return
 	}
-	b.observer.CrashAttributed(r, e, false)
-	b.noteCrash(e.At)
-	b.markChanged(p, true)
-	b.queueUpdate(p)
-	b.evict()
-	b.reevaluate(e.At)
+	q.observer.CrashAttributed(r, c, false)
+	q.noteCrash(c.At)
+	q.markChanged(fp, true)
+	q.queueUpdate(fp)
+	q.evict()
+	q.reevaluate(c.At)
 }
 
-// MarkServed takes in that a run of a request went well.
-func (b *Registry) MarkServed(p Fingerprint) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[p]
+// MarkServed records that a run of a request succeeded.
+func (q *Registry) MarkServed(fp Fingerprint) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	r := q.records[fp]
 	if r == nil || len(r.Crashes) == 0 {
 		return
 	}
-	if b.findings[p] == MustNotRun && !b.pardon(r) {
+	if q.findings[fp] == MustNotRun && !q.pardon(r) {
 		return
 	}
 	r.Served++
-	if r.Served == servedPerStep*max(r.unexplainedSteps(b.isExplained), 1) {
-		b.observer.Cleared(r)
+	if r.Served == servedPerStep*max(r.unexplainedSteps(q.isExplained), 1) {
+		q.observer.Cleared(r)
 	}
-	if len(r.Crashes) >= b.limits.MaxCrashes {
-		b.markChanged(p, true) // before, no judgement goes by it
+	if len(r.Crashes) >= q.limits.MaxCrashes {
+		q.markChanged(fp, true) // with fewer crashes, findings do not depend on it
 	}
-	// The others count on from here. Requests that come once are not told of, and more than
-	// it takes to be innocent change nothing.
+	// Other processes continue the count. A single successful retry after a single crash is not
+	// announced, as most suspects have one; counts beyond the exemption threshold change no
+	// decision.
 	if (len(r.Crashes) > 1 || r.Served > 1) && r.Served <= exemptServedPerStep*len(r.Crashes) {
-		b.queueUpdate(p)
+		q.queueUpdate(fp)
 	}
 }
 
-// Release lets a request go, and reports whether anything was held against it.
-func (b *Registry) Release(p Fingerprint, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[p]
+// Release resets a request's record. It reports whether any crash was attributed to the request.
+func (q *Registry) Release(fp Fingerprint, now time.Time) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	r := q.records[fp]
 	if r == nil || len(r.Crashes) == 0 {
 		return false
 	}
 	r.reset(now)
-	b.observer.Released(r, false)
-	b.markChanged(p, true)
-	b.queueUpdate(p)
-	b.reevaluate(now)
+	q.observer.Released(r, false)
+	q.markChanged(fp, true)
+	q.queueUpdate(fp)
+	q.reevaluate(now)
 	return true
 }
 
-// StartProbationRun begins the trial of a request that may run alone only. It reports false while
-// another one is under way, or another suspect runs at the target.
-func (b *Registry) StartProbationRun(p Fingerprint, target fleet.ID, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[p]
+// StartProbationRun starts the only run of a suspect. It returns false if another run of the
+// request is in flight or the target runs another suspect.
+func (q *Registry) StartProbationRun(fp Fingerprint, target fleet.ID, now time.Time) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	r := q.records[fp]
 	if r == nil {
 		return true
 	}
-	if r.probationRunActive(now) || b.runsOtherSuspect(target, p, now) {
+	if r.probationRunActive(now) || q.runsOtherSuspect(target, fp, now) {
 		return false
 	}
-	if b.findings[p] == MustNotRun {
-		if !b.probationDue(r, now) {
+	if q.findings[fp] == MustNotRun {
+		if !q.probationDue(r, now) {
 			return false
 		}
 		r.Probations++
-		b.observer.ProbationStarted(r)
+		q.observer.ProbationStarted(r)
 	}
 	r.ProbationRun = ProbationRun{Number: r.ProbationRun.Number + 1, Target: target, StartedAt: now}
-	b.probationRuns[p] = r
-	b.queueUpdate(p)
+	q.probationRuns[fp] = r
+	q.queueUpdate(fp)
 	return true
 }
 
-// EndProbationRun ends the trial at a target.
-func (b *Registry) EndProbationRun(p Fingerprint, target fleet.ID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r := b.records[p]; r != nil && r.ProbationRun.Target == target {
+// EndProbationRun ends a request's probation run on a target.
+func (q *Registry) EndProbationRun(fp Fingerprint, target fleet.ID) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if r := q.records[fp]; r != nil && r.ProbationRun.Target == target {
 		r.ProbationRun = ProbationRun{Number: r.ProbationRun.Number + 1}
-		delete(b.probationRuns, p)
-		b.queueUpdate(p)
+		delete(q.probationRuns, fp)
+		q.queueUpdate(fp)
 	}
 }
 
-// RunsOtherSuspect reports whether another suspect is being tried at a target.
-func (b *Registry) RunsOtherSuspect(target fleet.ID, except Fingerprint, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.runsOtherSuspect(target, except, now)
+// RunsOtherSuspect reports whether a probation run of another request is in flight on a target.
+func (q *Registry) RunsOtherSuspect(target fleet.ID, except Fingerprint, now time.Time) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.runsOtherSuspect(target, except, now)
 }
 
-func (b *Registry) runsOtherSuspect(target fleet.ID, except Fingerprint, now time.Time) bool {
-	for p, r := range b.probationRuns {
-		if p != except && r.ProbationRun.Target == target && r.probationRunActive(now) {
+func (q *Registry) runsOtherSuspect(target fleet.ID, except Fingerprint, now time.Time) bool {
+	for fp, r := range q.probationRuns {
+		if fp != except && r.ProbationRun.Target == target && r.probationRunActive(now) {
 			return true
 		}
 	}
@@ -265,51 +267,51 @@
 }
 
 // Get returns a request's record.
-func (b *Registry) Get(p Fingerprint) (Record, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[p]
+func (q *Registry) Get(fp Fingerprint) (Record, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	r := q.records[fp]
 	if r == nil {
 		return Record{}, false
 	}
 	return r.clone(), true
 }
 
-// RecordStatus is a record with what is held against it.
+// RecordStatus is a record with its current status.
 type RecordStatus struct {
 	Record
 	Status
 }
 
-// List returns what is held against requests, the refused ones first.
-func (b *Registry) List(now time.Time) []RecordStatus {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.reevaluate(now)
+// List returns all requests with attributed crashes, the most restricted ones first.
+func (q *Registry) List(now time.Time) []RecordStatus {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.reevaluate(now)
 	var all []RecordStatus
-	for _, r := range b.records {
-		if len(r.Crashes) > 0 && !b.expired(r, now) {
-			all = append(all, RecordStatus{r.clone(), b.status(r, now)})
+	for _, r := range q.records {
+		if len(r.Crashes) > 0 && !q.expired(r, now) {
+			all = append(all, RecordStatus{r.clone(), q.status(r, now)})
 		}
 	}
 	slices.SortFunc(all, func(x, y RecordStatus) int {
-		if c := cmp.Compare(y.Verdict, x.Verdict); c != 0 {
-			return c
+		if byVerdict := cmp.Compare(y.Verdict, x.Verdict); byVerdict != 0 {
+			return byVerdict
 		}
 		return y.ChangedAt().Compare(x.ChangedAt())
 	})
 	return all
 }
 
-// Count returns how many requests are refused, and how many are suspects.
-func (b *Registry) Count() (refused, suspects int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for p, r := range b.records {
+// Count returns the number of refused requests and of other suspects.
+func (q *Registry) Count() (refused, suspects int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for fp, r := range q.records {
 		switch {
-		case b.findings[p] == MustNotRun:
+		case q.findings[fp] == MustNotRun:
 			refused++
-		case r.unexplainedCrashes(b.isExplained) > 0:
+		case r.unexplainedCrashes(q.isExplained) > 0:
 			suspects++
 		}
 	}
--- a/internal/gateway/quarantine/runs.go
+++ b/internal/gateway/quarantine/runs.go
@@ -7,63 +7,60 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// Run is one send of a request that is under way.
+// Run is a run of a request on a target.
 type Run struct {
 	fingerprint Fingerprint
 	target      fleet.ID
-	// knownCrashes is how many ends of the request were knownCrashes when it was sent.
+	// knownCrashes is the number of attributed crashes when the run started.
 	knownCrashes int
-	// cancel ends the send; nil for one that may not be made twice.
+	// cancel cancels the run; nil if it must not be repeated.
 	cancel func()
-	// probation is set for the run of a refused request.
+	// probation is set if the request was refused when the run started.
 	probation bool
-	// responding is set once its answer has responding: the target runs it, and to leave now saves
-	// nothing.
+	// responding is set once the response has started; cancelling then no longer protects the
+	// target.
 	responding bool
 }
 
-// StartRun notes a send that begins. giveUp ends it when another target has ended under the
-// same request; nil keeps it.
-func (b *Registry) StartRun(p Fingerprint, target fleet.ID, giveUp func()) *Run {
-	run := &Run{fingerprint: p, target: target, cancel: giveUp}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r := b.records[p]; r != nil {
+// StartRun records a run that starts now. The registry calls cancel if another target crashes
+// under the same request; nil exempts the run.
+func (q *Registry) StartRun(fp Fingerprint, target fleet.ID, cancel func()) *Run {
+	run := &Run{fingerprint: fp, target: target, cancel: cancel}
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if r := q.records[fp]; r != nil {
 		run.knownCrashes = len(r.Crashes)
-		run.probation = b.findings[p] == MustNotRun
+		run.probation = q.findings[fp] == MustNotRun
 	}
-	b.runs[p] = append(b.runs[p], run)
+	q.runs[fp] = append(q.runs[fp], run)
 	return run
 }
 
-// MarkResponding notes that a send's answer has begun.
-func (b *Registry) MarkResponding(run *Run) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// MarkResponding records that the response of a run has started.
+func (q *Registry) MarkResponding(run *Run) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	run.responding = true
 }
 
-// EndRun notes that a send has ended.
-func (b *Registry) EndRun(run *Run) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	left := slices.DeleteFunc(b.runs[run.fingerprint], func(o *Run) bool { return o == run })
-	if len(left) == 0 {
-		delete(b.runs, run.fingerprint)
+// EndRun records that a run has ended.
+func (q *Registry) EndRun(run *Run) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	remaining := slices.DeleteFunc(q.runs[run.fingerprint], func(other *Run) bool { return other == run })
+	if len(remaining) == 0 {
+		delete(q.runs, run.fingerprint)
 		return
 	}
-	b.runs[run.fingerprint] = left
+	q.runs[run.fingerprint] = remaining
 }
 
-// cancelRuns ends the sends of a suspect that wait at other targets.
-//
-// The failure guarded against: repeats that were sent before an end became known wait in
-// the queues of other targets, and end each of them when their turn comes. A trial goes
-// on: it was begun with all that was known, and is the one that tells.
-func (b *Registry) cancelRuns(r *Record, now time.Time) {
-	for _, run := range b.runs[r.Fingerprint] {
-		trial := r.probationRunActive(now) && run.target == r.ProbationRun.Target && (b.findings[r.Fingerprint] == 0 || run.probation)
-		if run.cancel == nil || run.responding || trial || run.knownCrashes >= len(r.Crashes) || r.hasCrash(run.target) {
+// cancelRuns cancels a suspect's runs that were sent before its last crash was known. They may
+// still be queued at other targets and would crash these, too. A probation run continues.
+func (q *Registry) cancelRuns(r *Record, now time.Time) {
+	for _, run := range q.runs[r.Fingerprint] {
+		isProbationRun := r.probationRunActive(now) && run.target == r.ProbationRun.Target && (q.findings[r.Fingerprint] == 0 || run.probation)
+		if run.cancel == nil || run.responding || isProbationRun || run.knownCrashes >= len(r.Crashes) || r.hasCrash(run.target) {
 			continue
 		}
 		run.cancel()
