--- a/internal/gateway/quarantine/crashdetector_test.go
+++ b/internal/gateway/quarantine/crashdetector_test.go
@@ -11,167 +11,164 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/view"
 )
 
-var engineAt = netip.MustParseAddrPort("10.0.0.1:80")
+var engineAddress = netip.MustParseAddrPort("10.0.0.1:80")
 
-func life(instance string, born int64) fleet.Target {
-	return fleet.NewTarget(fleet.Listing{Life: fleet.Life{Instance: instance, Born: born}, Service: "engines", Address: engineAt})
+func newTarget(instance string, startTime int64) fleet.Target {
+	return fleet.NewTarget(fleet.Listing{Life: fleet.Life{Instance: instance, Born: startTime}, Service: "engines", Address: engineAddress})
 }
 
-// shows is a view with some targets, as listed at a time.
-func shows(listedAt time.Time, targets ...fleet.Target) *view.View {
+// newView returns a view of the targets in a list that was read at listedAt.
+func newView(listedAt time.Time, targets ...fleet.Target) *view.View {
 	return &view.View{Targets: map[string][]fleet.Target{"engines": targets}, Silent: map[netip.AddrPort]bool{}, ListedAt: listedAt}
 }
 
-func leaving(t fleet.Target) fleet.Target {
+func withDraining(t fleet.Target) fleet.Target {
 	t.Leaving = true
 	return t
 }
 
-func silent(v *view.View) *view.View {
-	v.Silent[engineAt] = true
+func withUnresponsive(v *view.View) *view.View {
+	v.Silent[engineAddress] = true
 	return v
 }
 
-// A connection broke off. Whether its target has ended is told by whether anything listens
-// there, by its sidecar, and by the list; a target that leaves as planned, one that reset a
-// connection, and one that is cut off have not ended under a request.
-func TestEndedTellsEndsFromBrokenConnections(t *testing.T) {
-	one := life("i-1", 0)
+// Broken connections must not count as crashes: a target may reset a connection, be draining or
+// be unreachable.
+func TestDetect(t *testing.T) {
+	target := newTarget("i-1", 0)
 	for _, c := range []struct {
-		story    string
+		name     string
 		refuses  bool
 		unlisted bool
 		view     *view.View
 		want     Evidence
 	}{
-		{"the process is gone", true, false, shows(start, one), RefusesConnections},
-		{"it listens: it reset a connection, or sent nonsense", false, false, shows(start, one), NoEvidence},
-		{"its sidecar finds it silent", false, false, silent(shows(start, one)), UnresponsiveToSidecar},
-		{"it leaves as planned, and ends", true, false, shows(start, leaving(one)), NoEvidence},
-		{"it was taken off the list before it ended", true, false, shows(start), NoEvidence},
-		{"the list has the next life at its address already", true, false, shows(start, life("i-2", 0)), OtherIncarnation},
-		{"the list has not shown this life yet, and it is gone", true, true, shows(start, life("i-0", 0)), RefusesConnections},
-		{"the list has not shown this life yet, and it listens", false, true, shows(start, life("i-0", 0)), NoEvidence},
-		{"the list names when it was born, its sidecar does not", false, false, shows(start, life("i-1", 7)), NoEvidence},
+		{"connection refused", true, false, newView(testStart, target), RefusesConnections},
+		{"listening after a connection reset or a malformed response", false, false, newView(testStart, target), NoEvidence},
+		{"unresponsive to its sidecar", false, false, withUnresponsive(newView(testStart, target)), UnresponsiveToSidecar},
+		{"draining, then stopped", true, false, newView(testStart, withDraining(target)), NoEvidence},
+		{"removed from the list before it stopped", true, false, newView(testStart), NoEvidence},
+		{"next incarnation listed at its address", true, false, newView(testStart, newTarget("i-2", 0)), OtherIncarnation},
+		{"not listed yet, connection refused", true, true, newView(testStart, newTarget("i-0", 0)), RefusesConnections},
+		{"not listed yet, listening", false, true, newView(testStart, newTarget("i-0", 0)), NoEvidence},
+		{"start time known to the list only", false, false, newView(testStart, newTarget("i-1", 7)), NoEvidence},
 	} {
-		e := NewCrashDetector(func(context.Context, *fleet.Target) bool { return c.refuses })
-		if got := e.Detect(context.Background(), c.view, SuspectedCrash{Target: one, Unlisted: c.unlisted, At: at(0)}); got != c.want {
-			t.Errorf("%s: evidence %q, want %q", c.story, got, c.want)
+		d := NewCrashDetector(func(context.Context, *fleet.Target) bool { return c.refuses })
+		if got := d.Detect(context.Background(), c.view, SuspectedCrash{Target: target, Unlisted: c.unlisted, At: atMs(0)}); got != c.want {
+			t.Errorf("%s: evidence %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// reported adds a sidecar's word of a target that was heard at a time.
-func reported(v *view.View, t fleet.Target, heardAt time.Time) *view.View {
+// withReport adds a sidecar's report of the target, received at heardAt.
+func withReport(v *view.View, t fleet.Target, heardAt time.Time) *view.View {
 	v.Engines = map[fleet.Life]view.EngineWord{t.Life: {HeardAt: heardAt}}
 	return v
 }
 
-// Nothing could be told at once. What the sidecar or the list says soon after settles it;
-// a target that is still there after some seconds lives.
-func TestDoubtsAreSettledLater(t *testing.T) {
-	one := life("i-1", 0)
+// A crash without immediate evidence is confirmed by later views of the target list and the
+// sidecar, and dropped if the target is still alive after the timeout.
+func TestResolve(t *testing.T) {
+	target := newTarget("i-1", 0)
 	for _, c := range []struct {
-		story string
+		name  string
 		later *view.View
 		after time.Duration
 		want  Evidence
 	}{
-		{"its sidecar finds it silent", silent(shows(at(100), one)), 100 * time.Millisecond, UnresponsiveToSidecar},
-		{"another life is at its address", shows(at(100), life("i-2", 0)), 100 * time.Millisecond, OtherIncarnation},
-		{"its entry has run out", shows(at(3600)), 3600 * time.Millisecond, Unlisted},
-		{"its entry is gone and its sidecar reports it", reported(shows(at(3600)), one, at(3500)), 3600 * time.Millisecond, NoEvidence},
-		{"its entry is gone and its sidecar was heard before it could know", reported(shows(at(3600)), one, at(100)), 3600 * time.Millisecond, Unlisted},
-		{"an older list lacks it", shows(at(-1)), 100 * time.Millisecond, NoEvidence},
-		{"it is still there", shows(at(4000), one), 4 * time.Second, NoEvidence},
-		{"it began to leave", shows(at(100), leaving(one)), 100 * time.Millisecond, NoEvidence},
-		{"its entry has run out, long after", shows(at(8000)), 8 * time.Second, NoEvidence},
+		{"unresponsive to its sidecar", withUnresponsive(newView(atMs(100), target)), 100 * time.Millisecond, UnresponsiveToSidecar},
+		{"other incarnation at its address", newView(atMs(100), newTarget("i-2", 0)), 100 * time.Millisecond, OtherIncarnation},
+		{"list entry expired", newView(atMs(3600)), 3600 * time.Millisecond, Unlisted},
+		{"list entry gone, still reported by its sidecar", withReport(newView(atMs(3600)), target, atMs(3500)), 3600 * time.Millisecond, NoEvidence},
+		{"list entry gone, last sidecar report from before the crash could show", withReport(newView(atMs(3600)), target, atMs(100)), 3600 * time.Millisecond, Unlisted},
+		{"missing from an older list", newView(atMs(-1)), 100 * time.Millisecond, NoEvidence},
+		{"still listed", newView(atMs(4000), target), 4 * time.Second, NoEvidence},
+		{"draining", newView(atMs(100), withDraining(target)), 100 * time.Millisecond, NoEvidence},
+		{"list entry expired after the timeout", newView(atMs(8000)), 8 * time.Second, NoEvidence},
 	} {
-		e := NewCrashDetector(func(context.Context, *fleet.Target) bool { return false })
-		e.Detect(context.Background(), shows(start, one), SuspectedCrash{Fingerprint: 7, Target: one, At: at(0)})
-		doubts, why := e.Resolve(c.later, start.Add(c.after))
+		d := NewCrashDetector(func(context.Context, *fleet.Target) bool { return false })
+		d.Detect(context.Background(), newView(testStart, target), SuspectedCrash{Fingerprint: 7, Target: target, At: atMs(0)})
+		resolved, reasons := d.Resolve(c.later, testStart.Add(c.after))
 		if c.want == NoEvidence {
-			if len(doubts) != 0 {
-				t.Errorf("%s: %+v for %v", c.story, doubts, why)
+			if len(resolved) != 0 {
+				t.Errorf("%s: got %+v with evidence %v, want none", c.name, resolved, reasons)
 			}
 			continue
 		}
-		if len(doubts) != 1 || doubts[0].Fingerprint != 7 || why[0] != c.want {
-			t.Errorf("%s: %+v for %v, want %q", c.story, doubts, why, c.want)
+		if len(resolved) != 1 || resolved[0].Fingerprint != 7 || reasons[0] != c.want {
+			t.Errorf("%s: got %+v with evidence %v, want %q", c.name, resolved, reasons, c.want)
 		}
-		if again, _ := e.Resolve(c.later, start.Add(c.after)); len(again) != 0 {
-			t.Errorf("%s: settled twice", c.story)
+		if again, _ := d.Resolve(c.later, testStart.Add(c.after)); len(again) != 0 {
+			t.Errorf("%s: resolved twice", c.name)
 		}
 	}
 }
 
-// Sixty requests break off with their engine. It is asked once, and all wait for the
-// answer, but not for long when its host answers nothing. One that was found to listen may
-// end later, and is asked again.
-func TestATargetIsAskedOnceForAllItsRequests(t *testing.T) {
+// Concurrent requests must share one probe of their target, must not wait long for an
+// unresponsive host, and must probe again once the result is outdated.
+func TestProbeIsShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := 0
-		answer := make(chan bool)
-		e := NewCrashDetector(func(ctx context.Context, _ *fleet.Target) bool {
-			asked++
+		probes := 0
+		result := make(chan bool)
+		d := NewCrashDetector(func(ctx context.Context, _ *fleet.Target) bool {
+			probes++
 			select {
-			case a := <-answer:
-				return a
+			case refuses := <-result:
+				return refuses
 			case <-ctx.Done():
 				return false
 			}
 		})
-		one := life("i-1", 0)
-		v := shows(time.Now(), one)
+		target := newTarget("i-1", 0)
+		v := newView(time.Now(), target)
 		const requests = 60
 		got := make(chan Evidence, requests)
-		ask := func() { got <- e.Detect(context.Background(), v, SuspectedCrash{Target: one, At: time.Now()}) }
+		detect := func() { got <- d.Detect(context.Background(), v, SuspectedCrash{Target: target, At: time.Now()}) }
 		for range requests {
-			go ask()
+			go detect()
 		}
 		synctest.Wait()
-		answer <- true
+		result <- true
 		for range requests {
 			if evidence := <-got; evidence != RefusesConnections {
-				t.Fatalf("evidence %q", evidence)
+				t.Fatalf("got evidence %q", evidence)
 			}
 		}
-		if asked != 1 {
-			t.Errorf("asked %d times", asked)
+		if probes != 1 {
+			t.Errorf("%d probes, want 1", probes)
 		}
-		two := life("i-2", 0)
-		v = shows(time.Now(), two)
-		began := time.Now()
-		if evidence := e.Detect(context.Background(), v, SuspectedCrash{Target: two, At: began}); evidence != NoEvidence || time.Since(began) > probeTimeout {
-			t.Errorf("a dark host: %q after %v", evidence, time.Since(began))
+		second := newTarget("i-2", 0)
+		v = newView(time.Now(), second)
+		started := time.Now()
+		if evidence := d.Detect(context.Background(), v, SuspectedCrash{Target: second, At: started}); evidence != NoEvidence || time.Since(started) > probeTimeout {
+			t.Errorf("unresponsive host: got evidence %q after %v", evidence, time.Since(started))
 		}
 		time.Sleep(reprobeAfter + time.Millisecond)
-		go func() { answer <- true }()
-		if evidence := e.Detect(context.Background(), v, SuspectedCrash{Target: two, At: time.Now()}); evidence != RefusesConnections {
-			t.Errorf("later it has ended: %q", evidence)
+		go func() { result <- true }()
+		if evidence := d.Detect(context.Background(), v, SuspectedCrash{Target: second, At: time.Now()}); evidence != RefusesConnections {
+			t.Errorf("crashed later: got evidence %q", evidence)
 		}
 	})
 }
 
-// A request waits at a target when another one ends under it, and its send there is given
-// up. But the target has begun to run it, and ends a moment later with others, who find it
-// gone. That end counts against the request, too; one long after does not.
-func TestTargetThatEndsAfterItsSendWasGivenUp(t *testing.T) {
-	one := life("i-1", 0)
-	v := shows(start, one)
+// A target may already have started a run when it is cancelled. If it crashes shortly after, the
+// crash counts against the request; a crash much later does not.
+func TestCrashAfterRunWasCancelled(t *testing.T) {
+	target := newTarget("i-1", 0)
+	v := newView(testStart, target)
 	for _, c := range []struct {
 		after time.Duration
 		want  int
 	}{{100 * time.Millisecond, 1}, {2 * time.Second, 0}} {
-		e := NewCrashDetector(func(context.Context, *fleet.Target) bool { return true })
-		e.AddCancelled(SuspectedCrash{Fingerprint: 7, Target: one, Step: 2, At: at(0)})
-		if doubts, _ := e.Resolve(v, at(10)); len(doubts) != 0 {
-			t.Errorf("blamed while it lives: %+v", doubts)
+		d := NewCrashDetector(func(context.Context, *fleet.Target) bool { return true })
+		d.AddCancelled(SuspectedCrash{Fingerprint: 7, Target: target, Step: 2, At: atMs(0)})
+		if resolved, _ := d.Resolve(v, atMs(10)); len(resolved) != 0 {
+			t.Errorf("resolved while the target is alive: %+v", resolved)
 		}
-		e.Detect(context.Background(), v, SuspectedCrash{Fingerprint: 8, Target: one, At: start.Add(c.after)})
-		doubts, why := e.Resolve(v, start.Add(c.after+10*time.Millisecond))
-		if len(doubts) != c.want || c.want == 1 && (doubts[0].Fingerprint != 7 || doubts[0].Step != 2 || why[0] != RefusesConnections) {
-			t.Errorf("ended after %v: %+v for %v", c.after, doubts, why)
+		d.Detect(context.Background(), v, SuspectedCrash{Fingerprint: 8, Target: target, At: testStart.Add(c.after)})
+		resolved, reasons := d.Resolve(v, testStart.Add(c.after+10*time.Millisecond))
+		if len(resolved) != c.want || c.want == 1 && (resolved[0].Fingerprint != 7 || resolved[0].Step != 2 || reasons[0] != RefusesConnections) {
+			t.Errorf("crash after %v: got %+v with evidence %v", c.after, resolved, reasons)
 		}
 	}
 }
--- a/internal/gateway/quarantine/evaluate_test.go
+++ b/internal/gateway/quarantine/evaluate_test.go
@@ -7,139 +7,133 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at is a time in milliseconds after the start.
-func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+// atMs returns a time in milliseconds after testStart.
+func atMs(ms int) time.Time { return testStart.Add(time.Duration(ms) * time.Millisecond) }
 
-// rec returns a record with the ends of some lives: one a step, 500 ms apart from ms on.
-func rec(p Fingerprint, ms int, lives ...fleet.ID) *Record {
-	r := &Record{Fingerprint: p}
-	for i, life := range lives {
-		r.addCrash(Crash{Target: life, Step: i, At: at(ms + 500*i)})
+// sequentialCrashes returns a record with one crash per step, 500 ms apart from ms on.
+func sequentialCrashes(fp Fingerprint, ms int, targets ...fleet.ID) *Record {
+	r := &Record{Fingerprint: fp}
+	for i, target := range targets {
+		r.addCrash(Crash{Target: target, Step: i, At: atMs(ms + 500*i)})
 	}
 	return r
 }
 
-// sameMoment returns a record whose ends all came under sends of one step.
-func sameMoment(p Fingerprint, ms int, lives ...fleet.ID) *Record {
-	r := &Record{Fingerprint: p}
-	for _, life := range lives {
-		r.addCrash(Crash{Target: life, At: at(ms)})
+// concurrentCrashes returns a record whose crashes share a step and a time.
+func concurrentCrashes(fp Fingerprint, ms int, targets ...fleet.ID) *Record {
+	r := &Record{Fingerprint: fp}
+	for _, target := range targets {
+		r.addCrash(Crash{Target: target, At: atMs(ms)})
 	}
 	return r
 }
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	for _, c := range []struct {
-		story   string
+		name    string
 		records []*Record
 		refused []Fingerprint
 	}{
-		{"two ends are no proof", []*Record{rec(1, 0, 10, 11)}, nil},
-		{"three ends in a row are", []*Record{rec(1, 0, 10, 11, 12)}, []Fingerprint{1}},
+		{"two crashes in a row do not suffice", []*Record{sequentialCrashes(1, 0, 10, 11)}, nil},
+		{"three crashes in a row suffice", []*Record{sequentialCrashes(1, 0, 10, 11, 12)}, []Fingerprint{1}},
 		{
-			"requests that shared engines with the cause have some of its ends, and none is left against them",
-			[]*Record{rec(1, 0, 10, 11, 12, 13), rec(2, 0, 10, 11, 12), rec(3, 0, 10), rec(4, 0, 10, 11)}, []Fingerprint{1},
+			"crashes shared with the cause do not count against other requests",
+			[]*Record{sequentialCrashes(1, 0, 10, 11, 12, 13), sequentialCrashes(2, 0, 10, 11, 12), sequentialCrashes(3, 0, 10), sequentialCrashes(4, 0, 10, 11)}, []Fingerprint{1},
 		},
-		{"two causes are told apart by the ends that each has alone", []*Record{rec(1, 0, 10, 11, 12, 13), rec(2, 0, 10, 20, 21, 22)}, []Fingerprint{1, 2}},
-		{"two requests with the same ends are both left to run alone", []*Record{rec(1, 0, 10, 11, 12), rec(2, 0, 10, 11, 12)}, nil},
-		{"one more end tells them apart", []*Record{rec(1, 0, 10, 11, 12, 13), rec(2, 0, 10, 11, 12)}, []Fingerprint{1}},
+		{"two causes with one shared crash", []*Record{sequentialCrashes(1, 0, 10, 11, 12, 13), sequentialCrashes(2, 0, 10, 20, 21, 22)}, []Fingerprint{1, 2}},
+		{"two requests with the same crashes can't be told apart", []*Record{sequentialCrashes(1, 0, 10, 11, 12), sequentialCrashes(2, 0, 10, 11, 12)}, nil},
+		{"one more crash tells them apart", []*Record{sequentialCrashes(1, 0, 10, 11, 12, 13), sequentialCrashes(2, 0, 10, 11, 12)}, []Fingerprint{1}},
 		{
-			"power is lost everywhere while one request runs at three engines at once: others end without it",
-			[]*Record{sameMoment(1, 0, 10, 11, 12), sameMoment(2, 100, 13), sameMoment(3, 100, 14)}, nil,
+			"a power failure hits the three engines of a request and others",
+			[]*Record{concurrentCrashes(1, 0, 10, 11, 12), concurrentCrashes(2, 100, 13), concurrentCrashes(3, 100, 14)}, nil,
 		},
-		{"a request ends the three engines that it runs at at once, and no other ends", []*Record{sameMoment(1, 0, 10, 11, 12), sameMoment(2, 0, 10)}, []Fingerprint{1}},
+		{"a request crashes its three engines at once and no other crashes", []*Record{concurrentCrashes(1, 0, 10, 11, 12), concurrentCrashes(2, 0, 10)}, []Fingerprint{1}},
 		{
-			"targets end by themselves as often as under the request",
-			[]*Record{rec(1, 5000, 10, 11, 12), rec(2, 0, 20), rec(3, 2000, 21), rec(4, 4000, 22)}, nil,
+			"as many targets crash without the request",
+			[]*Record{sequentialCrashes(1, 5000, 10, 11, 12), sequentialCrashes(2, 0, 20), sequentialCrashes(3, 2000, 21), sequentialCrashes(4, 4000, 22)}, nil,
 		},
 		{
-			"the same, and the request goes on ending targets",
-			[]*Record{rec(1, 5000, 10, 11, 12, 13, 14), rec(2, 0, 20), rec(3, 2000, 21), rec(4, 4000, 22)}, []Fingerprint{1},
+			"as many targets crash without the request, which keeps crashing targets",
+			[]*Record{sequentialCrashes(1, 5000, 10, 11, 12, 13, 14), sequentialCrashes(2, 0, 20), sequentialCrashes(3, 2000, 21), sequentialCrashes(4, 4000, 22)}, []Fingerprint{1},
 		},
-		{"an end long before or after has a cause of its own", []*Record{sameMoment(1, 5000, 10, 11, 12), sameMoment(2, 0, 13), sameMoment(3, 9000, 14)}, []Fingerprint{1}},
+		{"crashes long before or after are unrelated", []*Record{concurrentCrashes(1, 5000, 10, 11, 12), concurrentCrashes(2, 0, 13), concurrentCrashes(3, 9000, 14)}, []Fingerprint{1}},
 	} {
-		found := Evaluate(c.records, 3, at(60_000))
-		if len(found) != len(c.refused) {
-			t.Errorf("%s: found %v, want refused %v", c.story, found, c.refused)
+		findings := Evaluate(c.records, 3, atMs(60_000))
+		if len(findings) != len(c.refused) {
+			t.Errorf("%s: got findings %v, want refused %v", c.name, findings, c.refused)
 		}
-		for _, p := range c.refused {
-			if found[p] != MustNotRun {
-				t.Errorf("%s: found %v, want refused %v", c.story, found, c.refused)
+		for _, fp := range c.refused {
+			if findings[fp] != MustNotRun {
+				t.Errorf("%s: got findings %v, want refused %v", c.name, findings, c.refused)
 			}
 		}
 	}
 }
 
-// Three targets end in a row under one request. It is held for a second, in which more may
-// end without it, and refused when none has.
-func TestJudgementWaitsForOtherEnds(t *testing.T) {
-	records := []*Record{rec(1, 1000, 10, 11, 12), rec(2, 500, 20)}
-	if f := Evaluate(records, 3, at(2500))[1]; f != MustWait {
-		t.Errorf("at once: %v", f)
+// A request must be held before it is refused, because more targets may crash without it.
+func TestDecisionDelay(t *testing.T) {
+	records := []*Record{sequentialCrashes(1, 1000, 10, 11, 12), sequentialCrashes(2, 500, 20)}
+	if f := Evaluate(records, 3, atMs(2500))[1]; f != MustWait {
+		t.Errorf("before the delay: got finding %v", f)
 	}
-	if f := Evaluate(records, 3, at(3000))[1]; f != MustNotRun {
-		t.Errorf("after a second: %v", f)
+	if f := Evaluate(records, 3, atMs(3000))[1]; f != MustNotRun {
+		t.Errorf("after the delay: got finding %v", f)
 	}
-	more := append(records, rec(3, 2600, 21), rec(4, 2700, 22))
-	if f := Evaluate(more, 3, at(3000))[1]; f != 0 {
-		t.Errorf("others went on to end without it: %v", f)
+	more := append(records, sequentialCrashes(3, 2600, 21), sequentialCrashes(4, 2700, 22))
+	if f := Evaluate(more, 3, atMs(3000))[1]; f != 0 {
+		t.Errorf("after more unrelated crashes: got finding %v", f)
 	}
 }
 
-// ran states how long the request was under way at each of its ends.
-func ran(d time.Duration, r *Record) *Record {
+// withElapsed sets the elapsed time of all crashes.
+func withElapsed(d time.Duration, r *Record) *Record {
 	for i := range r.Crashes {
 		r.Crashes[i].Elapsed = d
 	}
 	return r
 }
 
-// Three targets crashed by themselves within the last ten seconds. Then three more end, each
-// 60 ms after the same request was sent to it: at that rate of crashes a request that did
-// nothing would meet three of them once in thirty thousand times. It was run a fourth time,
-// since as many targets had ended without it as with it:
-//
-//	request_blamed ... ends=3 step=2
-//	request_held ... ends=4 served=0
-func TestEndsRightAfterTheSendOutweighEarlierCrashes(t *testing.T) {
-	records := []*Record{ran(60*time.Millisecond, rec(1, 10_000, 10, 11, 12)), rec(2, 1000, 20), rec(3, 6500, 21), rec(4, 7500, 22)}
-	if f := Evaluate(records, 3, at(60_000))[1]; f != MustNotRun {
-		t.Errorf("found %v", f)
+// Three unrelated crashes in the background window must not delay the refusal of a request that
+// crashes its targets 60 ms after each send: at that crash rate, three coincidences are very
+// unlikely.
+func TestCrashesRightAfterSendOutweighBackgroundCrashes(t *testing.T) {
+	records := []*Record{withElapsed(60*time.Millisecond, sequentialCrashes(1, 10_000, 10, 11, 12)), sequentialCrashes(2, 1000, 20), sequentialCrashes(3, 6500, 21), sequentialCrashes(4, 7500, 22)}
+	if f := Evaluate(records, 3, atMs(60_000))[1]; f != MustNotRun {
+		t.Errorf("crashed 60 ms after each send: got finding %v", f)
 	}
-	records[0] = ran(2*time.Second, rec(1, 10_000, 10, 11, 12))
-	if f := Evaluate(records, 3, at(60_000))[1]; f != 0 {
-		t.Errorf("under way for two seconds each time: found %v", f)
+	records[0] = withElapsed(2*time.Second, sequentialCrashes(1, 10_000, 10, 11, 12))
+	if f := Evaluate(records, 3, atMs(60_000))[1]; f != 0 {
+		t.Errorf("crashed two seconds after each send: got finding %v", f)
 	}
 }
 
-// Targets crash every 300 ms. A prompt that is always under way, for 200 ms each time, meets
-// three of the crashes, and is answered once between: it takes two ends more than one that
-// is never answered.
-func TestAnsweredBetweenCrashesInAStorm(t *testing.T) {
-	r := ran(200*time.Millisecond, rec(1, 1000, 10, 11, 12))
-	if f := Evaluate([]*Record{r}, 3, at(60_000))[1]; f != MustNotRun {
-		t.Errorf("never answered: found %v", f)
+// A request that is always in flight meets some of frequent unrelated crashes. If it was served
+// in between, it takes more crashes to refuse it.
+func TestServedBetweenFrequentCrashes(t *testing.T) {
+	r := withElapsed(200*time.Millisecond, sequentialCrashes(1, 1000, 10, 11, 12))
+	if f := Evaluate([]*Record{r}, 3, atMs(60_000))[1]; f != MustNotRun {
+		t.Errorf("never served: got finding %v", f)
 	}
 	r.Served = 1
-	if f := Evaluate([]*Record{r}, 3, at(60_000))[1]; f != 0 {
-		t.Errorf("answered once between: found %v", f)
+	if f := Evaluate([]*Record{r}, 3, atMs(60_000))[1]; f != 0 {
+		t.Errorf("served once: got finding %v", f)
 	}
 }
 
-// What it costs to judge anew after a change, with a book that is full of suspects with one
-// end, and a few that may be refused.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkEvaluate measures an evaluation with a registry full of single-crash suspects and
+// some requests to refuse.
+func BenchmarkEvaluate(b *testing.B) {
 	var records []*Record
 	for i := range 2000 {
-		records = append(records, rec(Fingerprint(i), 10*i, fleet.ID(i)))
+		records = append(records, sequentialCrashes(Fingerprint(i), 10*i, fleet.ID(i)))
 	}
 	for i := range 5 {
-		life := fleet.ID(10000 + 10*i)
-		records = append(records, rec(Fingerprint(10000+i), 1000, life, life+1, life+2))
+		target := fleet.ID(10000 + 10*i)
+		records = append(records, sequentialCrashes(Fingerprint(10000+i), 1000, target, target+1, target+2))
 	}
 	for b.Loop() {
-		Evaluate(records, 3, at(60_000))
+		Evaluate(records, 3, atMs(60_000))
 	}
 }
--- a/internal/gateway/quarantine/fingerprint_test.go
+++ b/internal/gateway/quarantine/fingerprint_test.go
@@ -5,37 +5,35 @@
 	"testing"
 )
 
-// Two callers send the same bytes, one caller sends bytes that differ in one place, and
-// one moves the border between path and body: each is a request of its own. The same
-// request is the same whatever is sent beside it.
-func TestPrintsTellRequestsApart(t *testing.T) {
+// Requests that differ in workspace, path, query or body, or in the boundary between these, must
+// have different fingerprints; equal requests must have the same.
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	body := []byte(strings.Repeat("prompt ", 9000))
-	other := append([]byte(nil), body...)
-	other[len(other)-1]++
-	prints := map[Fingerprint]string{}
-	for name, p := range map[string]Fingerprint{
+	modified := append([]byte(nil), body...)
+	modified[len(modified)-1]++
+	seen := map[Fingerprint]string{}
+	for name, fp := range map[string]Fingerprint{
 		"first":             FingerprintOf("town", "/check/1?q=2", body),
 		"another workspace": FingerprintOf("fort", "/check/1?q=2", body),
 		"another path":      FingerprintOf("town", "/check/2?q=2", body),
 		"another query":     FingerprintOf("town", "/check/1?q=3", body),
-		"one byte":          FingerprintOf("town", "/check/1?q=2", other),
+		"another body":      FingerprintOf("town", "/check/1?q=2", modified),
 		"no body":           FingerprintOf("town", "/check/1?q=2", nil),
-		"moved border":      FingerprintOf("town/check", "/1?q=2", body),
+		"moved boundary":    FingerprintOf("town/check", "/1?q=2", body),
 		"no workspace":      FingerprintOf("", "/check/1?q=2", body),
 	} {
-		if with, taken := prints[p]; taken {
-			t.Errorf("%q and %q have the same print", name, with)
+		if previous, ok := seen[fp]; ok {
+			t.Errorf("%q and %q have the same fingerprint", name, previous)
 		}
-		prints[p] = name
+		seen[fp] = name
 	}
-	if again := FingerprintOf("town", "/check/1?q=2", append([]byte(nil), body...)); prints[again] != "first" {
-		t.Errorf("the same request has the print %s", again)
+	if again := FingerprintOf("town", "/check/1?q=2", append([]byte(nil), body...)); seen[again] != "first" {
+		t.Errorf("the same request has another fingerprint: %s", again)
 	}
 }
 
-// What the name of a request costs each one that is sent: 48 KB are a prompt of 12,000
-// tokens.
-func BenchmarkPrint(b *testing.B) {
+// BenchmarkFingerprint measures the overhead per request for a prompt of about 12,000 tokens.
+func BenchmarkFingerprint(b *testing.B) {
 	body := []byte(strings.Repeat("prompt ", 7000))
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
--- a/internal/gateway/quarantine/message_test.go
+++ b/internal/gateway/quarantine/message_test.go
@@ -10,13 +10,13 @@
 	peerv1 "github.com/toucanwell/toucanwell/api/peer/v1"
 )
 
-// What one process tells another is what that one takes in, whatever their clocks show.
-func TestMessageKeepsARecord(t *testing.T) {
-	r := rec(5, 0, 10, 11, 12)
+// A record must survive encoding and decoding between processes whose clocks differ.
+func TestMessageRoundTrip(t *testing.T) {
+	r := sequentialCrashes(5, 0, 10, 11, 12)
 	r.Workspace, r.Route, r.Generation, r.Served = "town", "check", 2, 1
-	r.ProbationRun, r.ReleasedAt = ProbationRun{Number: 4, Target: 13, StartedAt: at(1500)}, at(-500)
-	elsewhere := at(2000).Add(time.Hour)
-	got := FromMessage(ToMessage(r, at(2000)), elsewhere)
+	r.ProbationRun, r.ReleasedAt = ProbationRun{Number: 4, Target: 13, StartedAt: atMs(1500)}, atMs(-500)
+	receivedAt := atMs(2000).Add(time.Hour)
+	got := FromMessage(ToMessage(r, atMs(2000)), receivedAt)
 	want := r.clone()
 	want.ReleasedAt, want.ProbationRun.StartedAt = want.ReleasedAt.Add(time.Hour), want.ProbationRun.StartedAt.Add(time.Hour)
 	for i := range want.Crashes {
@@ -27,51 +27,51 @@
 	}
 }
 
-// Hundreds of processes tell each other of a request all the time, and each word is a few
-// milliseconds under way. The record grows old all the same, and is forgotten.
-func TestTellingMakesNoRecordYounger(t *testing.T) {
-	b, other := newBook(), newBook()
-	b.blameAt(1, 10, 0, 0)
-	now := at(0)
+// Ages in announcements do not include the time in transit. Repeated announcements must not make
+// a record younger, or it would never expire.
+func TestAnnouncingKeepsAge(t *testing.T) {
+	q, peer := newRegistry(), newRegistry()
+	q.crashAt(1, 10, 0, 0)
+	now := atMs(0)
 	for range 10_000 {
-		for _, way := range [][2]*Registry{{b, other}, {other, b}} {
-			r, _ := way[0].Get(1)
+		for _, pair := range [][2]*Registry{{q, peer}, {peer, q}} {
+			r, _ := pair[0].Get(1)
 			m := ToMessage(&r, now)
 			now = now.Add(2 * time.Millisecond)
-			way[1].Merge(FromMessage(m, now), false, now)
+			pair[1].Merge(FromMessage(m, now), false, now)
 		}
 	}
-	r, _ := b.Get(1)
-	if told, _ := other.Get(1); r.ChangedAt() != at(0) || told.ChangedAt().After(at(5)) {
-		t.Errorf("after %v of telling the end counts as %v and %v old", now.Sub(at(0)), now.Sub(r.ChangedAt()), now.Sub(told.ChangedAt()))
+	r, _ := q.Get(1)
+	if remote, _ := peer.Get(1); r.ChangedAt() != atMs(0) || remote.ChangedAt().After(atMs(5)) {
+		t.Errorf("after %v of announcements the crash is %v and %v old", now.Sub(atMs(0)), now.Sub(r.ChangedAt()), now.Sub(remote.ChangedAt()))
 	}
 }
 
-// The words of a faulty process change nothing but records: no panic, bounded size.
+// Arbitrary messages must not cause a panic or exceed the limits of a record.
 func FuzzMessage(f *testing.F) {
-	for _, r := range []*Record{rec(1, 0, 10), rec(2, 0, 10, 11, 12)} {
-		text, err := proto.Marshal(ToMessage(r, at(5000)))
+	for _, r := range []*Record{sequentialCrashes(1, 0, 10), sequentialCrashes(2, 0, 10, 11, 12)} {
+		data, err := proto.Marshal(ToMessage(r, atMs(5000)))
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(text)
+		f.Add(data)
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, data []byte) {
 		m := &peerv1.Suspect{}
-		if proto.Unmarshal(text, m) != nil {
+		if proto.Unmarshal(data, m) != nil {
 			return
 		}
-		b := newBook()
-		b.blameAt(1, 10, 0, 0)
-		r := FromMessage(m, at(100))
-		b.Merge(r, true, at(100))
-		b.Reevaluate(at(100))
-		for _, l := range b.List(at(100)) {
+		q := newRegistry()
+		q.crashAt(1, 10, 0, 0)
+		r := FromMessage(m, atMs(100))
+		q.Merge(r, true, atMs(100))
+		q.Reevaluate(atMs(100))
+		for _, l := range q.List(atMs(100)) {
 			if len(l.Record.Crashes) > maxRecordedCrashes {
-				t.Errorf("%d ends", len(l.Record.Crashes))
+				t.Errorf("%d crashes", len(l.Record.Crashes))
 			}
-			ToMessage(&l.Record, at(100))
+			ToMessage(&l.Record, atMs(100))
 		}
-		b.TakeUpdates(10)
+		q.TakeUpdates(10)
 	})
 }
--- a/internal/gateway/quarantine/probation_test.go
+++ b/internal/gateway/quarantine/probation_test.go
@@ -7,118 +7,116 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// refusedBook holds a request that is refused, its last end at the start.
-func refusedBook(t *testing.T) *Registry {
+// refusedRegistry returns a registry with a refused request whose last crash is at testStart.
+func refusedRegistry(t *testing.T) *Registry {
 	t.Helper()
-	b := newBook()
+	q := newRegistry()
 	for i := range 3 {
-		b.blameAt(1, fleet.ID(10+i), i, 0)
+		q.crashAt(1, fleet.ID(10+i), i, 0)
 	}
-	if v := verdict(b, 1, 2000); v != Refused {
-		t.Fatalf("after three ends: %v", v)
+	if v := verdictAt(q, 1, 2000); v != Refused {
+		t.Fatalf("after three crashes: got verdict %v", v)
 	}
-	return b
+	return q
 }
 
-// A request was refused for crashes that had another cause. Ten seconds after the last of
-// them it runs once, goes well, and is let back; a single end more refuses it again.
-func TestRunOnProbationThatGoesWellLetsARequestBack(t *testing.T) {
-	b := refusedBook(t)
-	if v := verdict(b, 1, 9900); v != Refused {
-		t.Errorf("before the time: %v", v)
+// A request that was refused for unrelated crashes must run again after a successful probation
+// run. The next crash refuses it at once.
+func TestSuccessfulProbationRunLiftsRefusal(t *testing.T) {
+	q := refusedRegistry(t)
+	if v := verdictAt(q, 1, 9900); v != Refused {
+		t.Errorf("before probationAfter: got verdict %v", v)
 	}
-	if v := verdict(b, 1, 10_000); v != Alone {
-		t.Fatalf("when nothing ended for ten seconds: %v", v)
+	if v := verdictAt(q, 1, 10_000); v != Alone {
+		t.Fatalf("after probationAfter without a crash: got verdict %v", v)
 	}
-	if !b.StartProbationRun(1, 50, at(10_000)) {
-		t.Fatal("the run may not begin")
+	if !q.StartProbationRun(1, 50, atMs(10_000)) {
+		t.Fatal("the probation run was not started")
 	}
-	if b.StartProbationRun(1, 51, at(10_010)) || verdict(b, 1, 10_010) == Alone && b.StartProbationRun(1, 52, at(10_020)) {
-		t.Error("a second run begins beside it")
+	if q.StartProbationRun(1, 51, atMs(10_010)) || verdictAt(q, 1, 10_010) == Alone && q.StartProbationRun(1, 52, atMs(10_020)) {
+		t.Error("a second probation run was started")
 	}
-	run := b.StartRun(1, 50, nil)
-	b.MarkServed(1)
-	b.EndRun(run)
-	b.EndProbationRun(1, 50)
-	if v := verdict(b, 1, 10_500); v != Alone && v != Free {
-		t.Errorf("after the run went well: %v", v)
+	run := q.StartRun(1, 50, nil)
+	q.MarkServed(1)
+	q.EndRun(run)
+	q.EndProbationRun(1, 50)
+	if v := verdictAt(q, 1, 10_500); v != Alone && v != Free {
+		t.Errorf("after the successful run: got verdict %v", v)
 	}
 	for range 3 * servedPerStep {
-		b.MarkServed(1)
+		q.MarkServed(1)
 	}
-	if v := verdict(b, 1, 11_000); v != Free {
-		t.Errorf("served on and on: %v", v)
+	if v := verdictAt(q, 1, 11_000); v != Free {
+		t.Errorf("after more successful runs: got verdict %v", v)
 	}
-	b.blameAt(1, 60, 3, 12_000)
-	if v := verdict(b, 1, 13_500); v != Refused {
-		t.Errorf("after one end more: %v", v)
+	q.crashAt(1, 60, 3, 12_000)
+	if v := verdictAt(q, 1, 13_500); v != Refused {
+		t.Errorf("after another crash: got verdict %v", v)
 	}
 }
 
-// Targets go on ending without the request. It does not run before they have stopped to: a
-// run meanwhile would tell nothing.
-func TestProbationWaitsForACalmFleet(t *testing.T) {
-	b := refusedBook(t)
-	b.blameAt(2, 99, 0, 8_000)
-	if v := verdict(b, 1, 17_900); v != Refused {
-		t.Errorf("ten seconds after an end without it: %v", v)
+// Probation must wait until no target has crashed for a while: a run amid other crashes proves
+// nothing.
+func TestProbationWaitsForQuietPeriod(t *testing.T) {
+	q := refusedRegistry(t)
+	q.crashAt(2, 99, 0, 8_000)
+	if v := verdictAt(q, 1, 17_900); v != Refused {
+		t.Errorf("before probationAfter since an unrelated crash: got verdict %v", v)
 	}
-	if v := verdict(b, 1, 18_000); v != Alone {
-		t.Errorf("when that is ten seconds ago: %v", v)
+	if v := verdictAt(q, 1, 18_000); v != Alone {
+		t.Errorf("after probationAfter since the unrelated crash: got verdict %v", v)
 	}
 }
 
-// A request ends its target on probation too. The next run is a minute later, and there is
-// no third one, at any entry: an entry that hears of it counts the runs of the others.
-func TestFatalRequestHasTwoRunsOnProbation(t *testing.T) {
-	b := refusedBook(t)
+// Failed probation runs must be limited over all entries, because each crashes a target.
+func TestFailedProbationRunsAreLimited(t *testing.T) {
+	q := refusedRegistry(t)
 	now := 10_000
 	for n := range maxProbations {
-		if !b.StartProbationRun(1, fleet.ID(50+n), at(now)) {
-			t.Fatalf("run %d may not begin", n)
+		if !q.StartProbationRun(1, fleet.ID(50+n), atMs(now)) {
+			t.Fatalf("probation run %d was not started", n)
 		}
-		b.blameAt(1, fleet.ID(50+n), 3+n, now+100)
-		b.EndProbationRun(1, fleet.ID(50+n))
+		q.crashAt(1, fleet.ID(50+n), 3+n, now+100)
+		q.EndProbationRun(1, fleet.ID(50+n))
 		now += 100 + int(probationAfter.Milliseconds())*probationBackoff
-		if v := verdict(b, 1, now-1000); v != Refused {
-			t.Errorf("a second before a minute has passed: %v", v)
+		if v := verdictAt(q, 1, now-1000); v != Refused {
+			t.Errorf("before the backoff has passed: got verdict %v", v)
 		}
 	}
-	r, _ := b.Get(1)
-	other := newBook()
-	other.Merge(FromMessage(ToMessage(&r, at(now)), at(now)), false, at(now))
-	for _, book := range []*Registry{b, other} {
-		if v := verdict(book, 1, now+int((12*time.Hour).Milliseconds())); v != Refused {
-			t.Errorf("after two runs on probation: %v", v)
+	r, _ := q.Get(1)
+	peer := newRegistry()
+	peer.Merge(FromMessage(ToMessage(&r, atMs(now)), atMs(now)), false, atMs(now))
+	for _, registry := range []*Registry{q, peer} {
+		if v := verdictAt(registry, 1, now+int((12*time.Hour).Milliseconds())); v != Refused {
+			t.Errorf("after maxProbations failed runs: got verdict %v", v)
 		}
 	}
 }
 
-// Two entries see that the time has come. The second one waits until it would have heard of
-// the first one's run, and then leaves it at that.
-func TestEntriesTakeTurnsAtProbation(t *testing.T) {
-	first := refusedBook(t)
-	second := refusedBook(t)
+// Two entries must not start a probation run of the same request: the later one waits until it
+// has received the other's announcement.
+func TestEntriesStaggerProbation(t *testing.T) {
+	first := refusedRegistry(t)
+	second := refusedRegistry(t)
 	second.limits.ProbationDelay = func(Fingerprint) time.Duration { return 200 * time.Millisecond }
-	if v := verdict(second, 1, 10_100); v != Refused {
-		t.Errorf("before its turn: %v", v)
+	if v := verdictAt(second, 1, 10_100); v != Refused {
+		t.Errorf("before the probation delay: got verdict %v", v)
 	}
-	if !first.StartProbationRun(1, 50, at(10_050)) {
-		t.Fatal("the run may not begin")
+	if !first.StartProbationRun(1, 50, atMs(10_050)) {
+		t.Fatal("the probation run was not started")
 	}
 	r, _ := first.Get(1)
-	second.Merge(FromMessage(ToMessage(&r, at(10_060)), at(10_060)), false, at(10_060))
-	if second.StartProbationRun(1, 51, at(10_300)) {
-		t.Error("both run it")
+	second.Merge(FromMessage(ToMessage(&r, atMs(10_060)), atMs(10_060)), false, atMs(10_060))
+	if second.StartProbationRun(1, 51, atMs(10_300)) {
+		t.Error("both entries started a probation run")
 	}
 }
 
-// A run had begun before the request was refused, and is answered afterwards. It lets
-// nothing back: it began when less was known.
-func TestOnlyARunOnProbationLetsBack(t *testing.T) {
-	b := refusedBook(t)
-	b.MarkServed(1)
-	if v := verdict(b, 1, 3000); v != Refused {
-		t.Errorf("served by an earlier run: %v", v)
+// A successful run that started before the request was refused must not lift the refusal.
+func TestEarlierRunDoesNotLiftRefusal(t *testing.T) {
+	q := refusedRegistry(t)
+	q.MarkServed(1)
+	if v := verdictAt(q, 1, 3000); v != Refused {
+		t.Errorf("after an earlier run succeeded: got verdict %v", v)
 	}
 }
--- a/internal/gateway/quarantine/registry_test.go
+++ b/internal/gateway/quarantine/registry_test.go
@@ -11,273 +11,269 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// watch counts what a book tells.
-type watch struct{ blamed, told, judged, cleared, released, evicted int }
+// countingObserver counts notifications.
+type countingObserver struct{ attributed, remote, findingChanges, cleared, released, evicted int }
 
-func (w *watch) CrashAttributed(_ *Record, _ Crash, told bool) {
-	w.blamed++
-	if told {
-		w.told++
+func (o *countingObserver) CrashAttributed(_ *Record, _ Crash, remote bool) {
+	o.attributed++
+	if remote {
+		o.remote++
 	}
 }
-func (w *watch) FindingChanged(*Record, Finding, Finding, bool) { w.judged++ }
-func (w *watch) Cleared(*Record)                                { w.cleared++ }
-func (w *watch) Released(*Record, bool)                         { w.released++ }
-func (w *watch) Evicted(*Record)                                { w.evicted++ }
-func (w *watch) ProbationStarted(*Record)                       {}
+func (o *countingObserver) FindingChanged(*Record, Finding, Finding, bool) { o.findingChanges++ }
+func (o *countingObserver) Cleared(*Record)                                { o.cleared++ }
+func (o *countingObserver) Released(*Record, bool)                         { o.released++ }
+func (o *countingObserver) Evicted(*Record)                                { o.evicted++ }
+func (o *countingObserver) ProbationStarted(*Record)                       {}
 
 var testLimits = Limits{MaxCrashes: 3, SuspectFor: time.Hour, RefuseFor: 24 * time.Hour, MaxRecords: 100}
 
-func newBook() *Registry { return NewRegistry(testLimits, &watch{}) }
+func newRegistry() *Registry { return NewRegistry(testLimits, &countingObserver{}) }
 
-func (b *Registry) blameAt(p Fingerprint, life fleet.ID, step, ms int) {
-	b.AttributeCrash(p, Caller{"town", "check"}, Crash{Target: life, Step: step, At: at(ms)})
+func (q *Registry) crashAt(fp Fingerprint, target fleet.ID, step, ms int) {
+	q.AttributeCrash(fp, Caller{"town", "check"}, Crash{Target: target, Step: step, At: atMs(ms)})
 }
 
-func verdict(b *Registry, p Fingerprint, ms int) Verdict { return b.Status(p, at(ms)).Verdict }
+func verdictAt(q *Registry, fp Fingerprint, ms int) Verdict { return q.Status(fp, atMs(ms)).Verdict }
 
-// A request goes from free over apart and alone to refused, and no other one with it.
-func TestVerdictsFollowTheEnds(t *testing.T) {
-	b := newBook()
+// A request becomes more restricted with each crash, up to refusal, without affecting other
+// requests.
+func TestVerdictsFollowCrashes(t *testing.T) {
+	q := newRegistry()
 	for i, want := range []Verdict{Free, Apart, Alone, Held} {
-		if got := verdict(b, 1, 1000); got != want {
-			t.Errorf("after %d ends: %v, want %v", i, got, want)
+		if got := verdictAt(q, 1, 1000); got != want {
+			t.Errorf("after %d crashes: got verdict %v, want %v", i, got, want)
 		}
-		b.blameAt(1, fleet.ID(10+i), i, 500*i)
+		q.crashAt(1, fleet.ID(10+i), i, 500*i)
 	}
-	if got := verdict(b, 1, 2500); got != Refused {
-		t.Errorf("a second after the third end: %v", got)
+	if got := verdictAt(q, 1, 2500); got != Refused {
+		t.Errorf("after the decision delay: got verdict %v", got)
 	}
-	if got := verdict(b, 2, 2500); got != Free {
-		t.Errorf("another request is %v", got)
+	if got := verdictAt(q, 2, 2500); got != Free {
+		t.Errorf("another request: got verdict %v", got)
 	}
-	if s := b.Status(1, at(2600)); s.Until != at(1500).Add(probationAfter) {
-		t.Errorf("held until %v", s.Until)
+	if s := q.Status(1, atMs(2600)); s.Until != atMs(1500).Add(probationAfter) {
+		t.Errorf("refused until %v", s.Until)
 	}
 }
 
-// One request has ended its targets on probation too. It comes back after an hour, while it
-// is refused, and after it was held for as long as it is. A suspect with fewer ends is
-// forgotten after an hour.
-func TestRecordsEndByAge(t *testing.T) {
-	b := newBook()
+// Records expire: a refused request's after RefuseFor, a suspect's after SuspectFor.
+func TestRecordsExpire(t *testing.T) {
+	q := newRegistry()
 	for i := range 3 {
-		b.blameAt(1, fleet.ID(10+i), i, 0)
+		q.crashAt(1, fleet.ID(10+i), i, 0)
 	}
-	b.records[1].Probations = maxProbations
-	b.blameAt(2, 20, 0, 0)
+	q.records[1].Probations = maxProbations
+	q.crashAt(2, 20, 0, 0)
 	hour := int(time.Hour.Milliseconds())
-	if v := verdict(b, 1, hour+1); v != Refused {
-		t.Errorf("after an hour: %v", v)
+	if v := verdictAt(q, 1, hour+1); v != Refused {
+		t.Errorf("refused request after SuspectFor: got verdict %v", v)
 	}
-	if v := verdict(b, 2, hour+1); v != Free {
-		t.Errorf("a suspect after an hour: %v", v)
+	if v := verdictAt(q, 2, hour+1); v != Free {
+		t.Errorf("suspect after SuspectFor: got verdict %v", v)
 	}
-	if v := verdict(b, 1, 24*hour+1); v != Free {
-		t.Errorf("after a day: %v", v)
+	if v := verdictAt(q, 1, 24*hour+1); v != Free {
+		t.Errorf("refused request after RefuseFor: got verdict %v", v)
 	}
 }
 
-// A popular request stood beside a fault of its target. It is served again and again, and
-// nothing is held against it any more. One that ends its target on every second or third
-// run is served in between, and refused after its third end.
+// A popular request that is in flight during unrelated crashes must not stay restricted. A
+// request that crashes its target on every second or third run is refused at its third crash
+// even though it is served in between.
 func TestServedRequestsAreCleared(t *testing.T) {
-	b := newBook()
-	b.blameAt(1, 10, 0, 0)
+	q := newRegistry()
+	q.crashAt(1, 10, 0, 0)
 	for range servedPerStep {
-		b.MarkServed(1)
+		q.MarkServed(1)
 	}
-	if v := verdict(b, 1, 200); v != Free {
-		t.Errorf("served: %v", v)
+	if v := verdictAt(q, 1, 200); v != Free {
+		t.Errorf("after servedPerStep successful runs: got verdict %v", v)
 	}
 	for i := range 5 {
 		for range 50 {
-			b.MarkServed(1)
+			q.MarkServed(1)
 		}
-		b.blameAt(1, fleet.ID(20+i), b.Status(1, at(1000*i+1000)).Step, 1000*i+1000)
+		q.crashAt(1, fleet.ID(20+i), q.Status(1, atMs(1000*i+1000)).Step, 1000*i+1000)
 	}
-	if v := verdict(b, 1, 10000); v != Free {
-		t.Errorf("served fifty times for each end: %v", v)
+	if v := verdictAt(q, 1, 10000); v != Free {
+		t.Errorf("served fifty times per crash: got verdict %v", v)
 	}
 	for _, servedBetween := range []int{1, 2} {
-		b, p := newBook(), Fingerprint(100+servedBetween)
+		q, fp := newRegistry(), Fingerprint(100+servedBetween)
 		for i := range 3 {
-			b.blameAt(p, fleet.ID(100*int(p)+i), b.Status(p, at(5000*i)).Step, 5000*i)
+			q.crashAt(fp, fleet.ID(100*int(fp)+i), q.Status(fp, atMs(5000*i)).Step, 5000*i)
 			for range servedBetween {
-				b.MarkServed(p)
+				q.MarkServed(fp)
 			}
 		}
-		if v := verdict(b, p, 12000); v != Refused {
-			t.Errorf("served %d times between two ends: %v", servedBetween, v)
+		if v := verdictAt(q, fp, 12000); v != Refused {
+			t.Errorf("served %d times between two crashes: got verdict %v", servedBetween, v)
 		}
 	}
 }
 
-// Callers hold the same suspect at the same time. One run of it is made, at a target where
-// no other suspect runs, and the next when that one has ended or its entry is gone.
-func TestOneTrialAtATime(t *testing.T) {
-	b := newBook()
-	for _, p := range []Fingerprint{1, 2} {
-		b.blameAt(p, fleet.ID(10+p), 0, 0)
-		b.blameAt(p, fleet.ID(20+p), 1, 10)
+// Only one run of a suspect may be in flight, on a target without another suspect. It must not
+// block the next run if its end is never announced.
+func TestOneProbationRunAtATime(t *testing.T) {
+	q := newRegistry()
+	for _, fp := range []Fingerprint{1, 2} {
+		q.crashAt(fp, fleet.ID(10+fp), 0, 0)
+		q.crashAt(fp, fleet.ID(20+fp), 1, 10)
 	}
-	if !b.StartProbationRun(1, 50, at(100)) {
-		t.Fatal("the first run may not begin")
+	if !q.StartProbationRun(1, 50, atMs(100)) {
+		t.Fatal("the first run was not started")
 	}
-	if b.StartProbationRun(1, 51, at(110)) {
-		t.Error("a second run of the same request began")
+	if q.StartProbationRun(1, 51, atMs(110)) {
+		t.Error("a second run of the same request was started")
 	}
-	if b.StartProbationRun(2, 50, at(110)) || !b.RunsOtherSuspect(50, 2, at(110)) || b.RunsOtherSuspect(50, 1, at(110)) {
-		t.Error("another suspect began at the same target")
+	if q.StartProbationRun(2, 50, atMs(110)) || !q.RunsOtherSuspect(50, 2, atMs(110)) || q.RunsOtherSuspect(50, 1, atMs(110)) {
+		t.Error("another suspect was started on the same target")
 	}
-	if !b.StartProbationRun(2, 51, at(110)) {
-		t.Error("another suspect may not begin elsewhere")
+	if !q.StartProbationRun(2, 51, atMs(110)) {
+		t.Error("another suspect was not started on another target")
 	}
-	b.EndProbationRun(1, 50)
-	if !b.StartProbationRun(1, 52, at(120)) {
-		t.Error("the next run may not begin")
+	q.EndProbationRun(1, 50)
+	if !q.StartProbationRun(1, 52, atMs(120)) {
+		t.Error("the next run was not started")
 	}
-	if !b.StartProbationRun(1, 53, at(120).Add(probationRunTimeout)) {
-		t.Error("a run whose end nobody told holds up the next one for ever")
+	if !q.StartProbationRun(1, 53, atMs(120).Add(probationRunTimeout)) {
+		t.Error("a run whose end was not announced blocks the next one after the timeout")
 	}
 }
 
-// Repeats wait at two other engines when the first one ends. They are given up, unless
-// their answer has begun or they may not be made twice; what is sent with that knowledge
-// goes on.
-func TestWaitingRepeatsAreGivenUp(t *testing.T) {
-	b := newBook()
-	var given []string
-	start := func(name string, p Fingerprint, target fleet.ID) *Run {
-		return b.StartRun(p, target, func() { given = append(given, name) })
-	}
-	start("waits", 1, 11)
-	b.MarkResponding(start("begun", 1, 12))
-	b.StartRun(1, 13, nil)
-	start("other request", 2, 11)
-	b.EndRun(start("done", 1, 11))
-	b.blameAt(1, 10, 0, 0)
-	start("after", 1, 14)
-	b.Merge(Record{Fingerprint: 1, Crashes: []Crash{{Target: 10, At: at(0)}}}, false, at(10))
-	if !slices.Equal(given, []string{"waits"}) {
-		t.Errorf("given up: %v", given)
-	}
-	b.Merge(Record{Fingerprint: 1, Crashes: []Crash{{Target: 15, Step: 0, At: at(20)}}}, false, at(20))
-	b.Reevaluate(at(20))
-	if !slices.Equal(given, []string{"waits", "after"}) {
-		t.Errorf("given up after a second end: %v", given)
+// Runs of a request that are queued at other targets are cancelled after a crash, except those
+// that respond already, that must not be repeated, or that were sent after the crash was known.
+func TestQueuedRunsAreCancelled(t *testing.T) {
+	q := newRegistry()
+	var cancelled []string
+	startRun := func(name string, fp Fingerprint, target fleet.ID) *Run {
+		return q.StartRun(fp, target, func() { cancelled = append(cancelled, name) })
+	}
+	startRun("queued", 1, 11)
+	q.MarkResponding(startRun("responding", 1, 12))
+	q.StartRun(1, 13, nil)
+	startRun("other request", 2, 11)
+	q.EndRun(startRun("ended", 1, 11))
+	q.crashAt(1, 10, 0, 0)
+	startRun("sent after the crash", 1, 14)
+	q.Merge(Record{Fingerprint: 1, Crashes: []Crash{{Target: 10, At: atMs(0)}}}, false, atMs(10))
+	if !slices.Equal(cancelled, []string{"queued"}) {
+		t.Errorf("cancelled: %v", cancelled)
+	}
+	q.Merge(Record{Fingerprint: 1, Crashes: []Crash{{Target: 15, Step: 0, At: atMs(20)}}}, false, atMs(20))
+	q.Reevaluate(atMs(20))
+	if !slices.Equal(cancelled, []string{"queued", "sent after the crash"}) {
+		t.Errorf("cancelled after a second crash: %v", cancelled)
 	}
 }
 
-// Somebody sends many requests that each end one target. Records stay bounded, what is
-// refused stays refused, and the oldest of the others go.
+// A flood of requests that each crash one target must not exceed the record limit or displace
+// requests with more crashes.
 func TestFloodOfSuspectsIsBounded(t *testing.T) {
-	w := &watch{}
-	b := NewRegistry(testLimits, w)
+	observer := &countingObserver{}
+	q := NewRegistry(testLimits, observer)
 	for i := range 3 {
-		b.blameAt(1, fleet.ID(10+i), i, i)
+		q.crashAt(1, fleet.ID(10+i), i, i)
 	}
-	b.blameAt(2, 20, 0, 3)
-	b.blameAt(2, 21, 1, 4)
+	q.crashAt(2, 20, 0, 3)
+	q.crashAt(2, 21, 1, 4)
 	for i := range 500 {
-		b.blameAt(Fingerprint(1000+i), fleet.ID(1000+i), 0, 10000+i)
+		q.crashAt(Fingerprint(1000+i), fleet.ID(1000+i), 0, 10000+i)
 	}
-	if n := len(b.List(at(11000))); n != testLimits.MaxRecords {
-		t.Errorf("%d records", n)
+	if n := len(q.List(atMs(11000))); n != testLimits.MaxRecords {
+		t.Errorf("%d records are listed", n)
 	}
-	if w.evicted != 500+2-testLimits.MaxRecords {
-		t.Errorf("%d evicted", w.evicted)
+	if observer.evicted != 500+2-testLimits.MaxRecords {
+		t.Errorf("%d records were evicted", observer.evicted)
 	}
-	if verdict(b, 1, 11000) != Refused || verdict(b, 2, 11000) != Alone || verdict(b, 1000, 11000) != Free || verdict(b, 1499, 11000) != Apart {
-		t.Error("others than the least suspected and oldest were dropped")
+	if verdictAt(q, 1, 11000) != Refused || verdictAt(q, 2, 11000) != Alone || verdictAt(q, 1000, 11000) != Free || verdictAt(q, 1499, 11000) != Apart {
+		t.Error("records other than the oldest and least suspect were evicted")
 	}
 }
 
-// An operator lets a request go. Word of its earlier ends that comes late, or again, does
-// not bring them back; new ends count.
-func TestReleasedRequestsBeginAnew(t *testing.T) {
-	b, other := newBook(), newBook()
+// Announcements from before a release must not restore the released crashes.
+func TestReleaseResetsRecord(t *testing.T) {
+	q, other := newRegistry(), newRegistry()
 	for i := range 3 {
-		b.blameAt(1, fleet.ID(10+i), i, i)
+		q.crashAt(1, fleet.ID(10+i), i, i)
 	}
-	old, _ := b.Get(1)
-	other.Merge(old, false, at(10))
-	if !b.Release(1, at(20)) || b.Release(1, at(21)) || b.Release(7, at(21)) {
-		t.Error("what was released is told wrongly")
+	old, _ := q.Get(1)
+	other.Merge(old, false, atMs(10))
+	if !q.Release(1, atMs(20)) || q.Release(1, atMs(21)) || q.Release(7, atMs(21)) {
+		t.Error("Release reports a wrong result")
 	}
-	b.Merge(old, false, at(30))
-	if v := verdict(b, 1, 40); v != Free {
-		t.Errorf("late word brought it back: %v", v)
+	q.Merge(old, false, atMs(30))
+	if v := verdictAt(q, 1, 40); v != Free {
+		t.Errorf("after a late announcement: got verdict %v", v)
 	}
-	fresh, _ := b.Get(1)
-	if other.Merge(fresh, false, at(40)); verdict(other, 1, 50) != Free {
-		t.Error("another process still refuses it")
+	released, _ := q.Get(1)
+	if other.Merge(released, false, atMs(40)); verdictAt(other, 1, 50) != Free {
+		t.Error("another process still restricts the request")
 	}
-	b.blameAt(1, 40, 0, 60)
-	if v := verdict(b, 1, 70); v != Apart {
-		t.Errorf("a new end makes it %v", v)
+	q.crashAt(1, 40, 0, 60)
+	if v := verdictAt(q, 1, 70); v != Apart {
+		t.Errorf("after a new crash: got verdict %v", v)
 	}
 }
 
-// Each process hears the same facts, some of them late, twice, or in another order. When
-// all were heard, all refuse the same requests. A word lost is made up for by the next.
+// Processes that receive the same records, delayed, repeated or reordered, must restrict the
+// same requests. The announcements at the end replace lost ones.
 func TestBooksConvergeWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		books := []*Registry{newBook(), newBook(), newBook()}
-		var facts []Record
-		n := rapid.IntRange(1, 40).Draw(t, "facts")
+		registries := []*Registry{newRegistry(), newRegistry(), newRegistry()}
+		var records []Record
+		n := rapid.IntRange(1, 40).Draw(t, "steps")
 		for i := range n {
-			b := books[rapid.IntRange(0, 2).Draw(t, "witness")]
-			p := Fingerprint(rapid.IntRange(1, 4).Draw(t, "request"))
-			life := fleet.ID(rapid.IntRange(1, 9).Draw(t, "life"))
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			q := registries[rapid.IntRange(0, 2).Draw(t, "registry")]
+			fp := Fingerprint(rapid.IntRange(1, 4).Draw(t, "request"))
+			target := fleet.ID(rapid.IntRange(1, 9).Draw(t, "target"))
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
-				b.Release(p, at(i*100))
+				q.Release(fp, atMs(i*100))
 			case 1:
-				b.MarkServed(p)
+				q.MarkServed(fp)
 			default:
-				b.blameAt(p, life, b.Status(p, at(i*100)).Step, i*100)
+				q.crashAt(fp, target, q.Status(fp, atMs(i*100)).Step, i*100)
 			}
-			if r, ok := b.Get(p); ok {
-				facts = append(facts, r)
+			if r, ok := q.Get(fp); ok {
+				records = append(records, r)
 			}
-			if len(facts) > 0 && rapid.Bool().Draw(t, "heard") {
-				books[rapid.IntRange(0, 2).Draw(t, "who")].Merge(facts[rapid.IntRange(0, len(facts)-1).Draw(t, "which")], false, at(i*100))
+			if len(records) > 0 && rapid.Bool().Draw(t, "announced") {
+				registries[rapid.IntRange(0, 2).Draw(t, "receiver")].Merge(records[rapid.IntRange(0, len(records)-1).Draw(t, "record")], false, atMs(i*100))
 			}
 		}
-		end := at(n*100 + 100)
-		for range 3 { // as heartbeats do, all tell all in the end
-			for _, from := range books {
+		end := atMs(n*100 + 100)
+		for range 3 { // each registry announces its records to all
+			for _, from := range registries {
 				for _, r := range from.NextToAnnounce(100, end) {
-					for _, to := range books {
+					for _, to := range registries {
 						to.Merge(FromMessage(ToMessage(&r, end), end), false, end)
 					}
 				}
 			}
 		}
-		for p := Fingerprint(1); p <= 4; p++ {
-			one := books[0].Status(p, end)
-			for i, b := range books[1:] {
-				if s := b.Status(p, end); s.Verdict != one.Verdict || s.Crashes != one.Crashes {
-					t.Fatalf("request %d is %v with %d ends at one, %v with %d at %d", p, one.Verdict, one.Crashes, s.Verdict, s.Crashes, i+1)
+		for fp := Fingerprint(1); fp <= 4; fp++ {
+			first := registries[0].Status(fp, end)
+			for i, q := range registries[1:] {
+				if s := q.Status(fp, end); s.Verdict != first.Verdict || s.Crashes != first.Crashes {
+					t.Fatalf("request %d: verdict %v with %d crashes at registry 0, %v with %d at registry %d", fp, first.Verdict, first.Crashes, s.Verdict, s.Crashes, i+1)
 				}
 			}
 		}
 	})
 }
 
-// What a request costs that nothing is held against, beside records of others: a look-up,
-// and a note of its send.
+// BenchmarkOrdinaryRequest measures the overhead per request without attributed crashes.
 func BenchmarkOrdinaryRequest(b *testing.B) {
 	for _, records := range []int{0, 100} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
-			book := newBook()
+			registry := newRegistry()
 			for i := range records {
-				book.blameAt(Fingerprint(1000+i), fleet.ID(i), 0, 0)
+				registry.crashAt(Fingerprint(1000+i), fleet.ID(i), 0, 0)
 			}
 			for b.Loop() {
-				book.Status(1, at(1))
-				book.EndRun(book.StartRun(1, 5, nil))
+				registry.Status(1, atMs(1))
+				registry.EndRun(registry.StartRun(1, 5, nil))
 			}
 		})
 	}
--- a/internal/gateway/quarantine/simulation_test.go
+++ b/internal/gateway/quarantine/simulation_test.go
@@ -13,122 +13,124 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/placement"
 )
 
-// way is what entries do about requests that end engines.
-type way struct {
+// strategy selects the measures that entries take against fatal requests.
+type strategy struct {
 	name string
-	// tell each other, keep suspects apart, run those with two ends alone, and give up
-	// repeats that wait elsewhere. Judge turned off refuses nothing.
-	judge, tell, apart, alone, giveUp bool
+	// announce shares records between entries, apart pins suspects to a target, alone runs
+	// suspects with two crashes one at a time, and cancelQueued cancels their queued runs
+	// elsewhere. Without evaluate no request is refused.
+	evaluate, announce, apart, alone, cancelQueued bool
 }
 
 var (
-	doNothing = way{name: "nothing"}
-	everyOne  = way{name: "each entry for itself", judge: true}
-	tellOnly  = way{name: "told", judge: true, tell: true}
-	tellApart = way{name: "told, apart", judge: true, tell: true, apart: true}
-	tellAlone = way{name: "told, apart, alone", judge: true, tell: true, apart: true, alone: true}
-	allOfIt   = way{name: "told, apart, alone, given up", judge: true, tell: true, apart: true, alone: true, giveUp: true}
+	noQuarantine   = strategy{name: "no quarantine"}
+	localOnly      = strategy{name: "no announcements", evaluate: true}
+	announceOnly   = strategy{name: "announce", evaluate: true, announce: true}
+	withApart      = strategy{name: "announce, apart", evaluate: true, announce: true, apart: true}
+	withAlone      = strategy{name: "announce, apart, alone", evaluate: true, announce: true, apart: true, alone: true}
+	fullQuarantine = strategy{name: "announce, apart, alone, cancel", evaluate: true, announce: true, apart: true, alone: true, cancelQueued: true}
 )
 
-// load is what callers send, and how large the deployment is.
-type load struct {
+// workload is the size of the deployment, the requests and the faults.
+type workload struct {
 	entries, engines int
-	// fatal is how many requests end the engines that run them, fatalEvery the time
-	// between two tries of each, at entries drawn at random.
+	// fatal is the number of requests that crash the engines they run on, fatalEvery the mean
+	// time between two attempts of each, at random entries.
 	fatal      int
 	fatalEvery time.Duration
-	// crashEvery ends an engine for another reason, so many at once; zero for never.
+	// crashEvery is the time between unrelated crashes, crashes the number of engines that crash
+	// at once; zero for none.
 	crashEvery time.Duration
 	crashes    int
-	// perEngine is how many other requests a second there are for each engine.
-	perEngine int
-	// loss is the share of datagrams that are lost.
+	// requestsPerEngine is the rate of other requests per second and engine.
+	requestsPerEngine int
+	// loss is the fraction of lost datagrams.
 	loss float64
-	// cutFor is how long half of the entries hear nothing of the other half, from the first
-	// second on.
-	cutFor time.Duration
-	// harmless is the share of the engines that a fatal request does not end: they answer it.
-	harmless float64
-	for_     time.Duration
+	// partitionFor is how long the two halves of the entries can't reach each other, from the
+	// first second on.
+	partitionFor time.Duration
+	// immuneShare is the fraction of engines that serve fatal requests without crashing.
+	immuneShare float64
+	duration    time.Duration
 }
 
 const (
-	simReach   = 24 // receivers of a round, as in the mesh
-	simRestart = 2500 * time.Millisecond
-	simRunsFor = 80 * time.Millisecond // until an engine ends under a fatal request
-	simHop     = 2 * time.Millisecond
-	simGather  = 5 * time.Millisecond
-	simPause   = 10 * time.Millisecond
-	simWait    = time.Second // the longest wait for a turn to run alone
-	// lateAfter is how long after the third end users do not count what is sent.
-	lateAfter = 3 * time.Second
+	simFanOut        = 24 // receivers of a broadcast, as in the mesh
+	simRestartTime   = 2500 * time.Millisecond
+	simCrashDelay    = 80 * time.Millisecond // from the start of a fatal request to the crash
+	simLatency       = 2 * time.Millisecond
+	simAnnounceDelay = 5 * time.Millisecond
+	simRetryPause    = 10 * time.Millisecond
+	simMaxWait       = time.Second // for a probation run
+	// lateMargin is how long after its third crash sends of a fatal request count as late.
+	lateMargin = 3 * time.Second
 )
 
-// sim plays a fleet with the real books on a virtual clock.
+// sim simulates a deployment with real registries on a virtual clock.
 type sim struct {
-	way
-	load
-	random *rand.Rand
-	now    time.Duration
-	events eventQueue
-	nodes  []*simEntry
-	engine []*simEngine
-	births int
-	// what came of it.
-	endedBy          map[Fingerprint]int
+	strategy
+	workload
+	random     *rand.Rand
+	now        time.Duration
+	events     eventQueue
+	nodes      []*simEntry
+	simEngines []*simEngine
+	sequence   int
+	// Results.
+	crashesBy        map[Fingerprint]int
 	fatalSent        int
-	sentLate         int
-	innocents        int
-	innocentRefused  int
-	innocentFailed   int
+	fatalSentLate    int
+	ordinarySent     int
+	ordinaryRefused  int
+	ordinaryFailed   int
 	datagrams, bytes int
-	knownAt          map[Fingerprint][]time.Duration
-	firstAt          map[Fingerprint]time.Duration
-	thirdAt          map[Fingerprint]time.Duration
+	refusedAt        map[Fingerprint][]time.Duration
+	firstCrashAt     map[Fingerprint]time.Duration
+	thirdCrashAt     map[Fingerprint]time.Duration
 }
 
 type simEntry struct {
 	*Registry
-	id      int
-	pending bool
+	id              int
+	announcePending bool
 }
 
 type simEngine struct {
-	hash    uint64
-	life    fleet.ID
-	upAt    time.Duration
-	running map[*simTry]bool
+	hash        uint64
+	incarnation fleet.ID
+	upAt        time.Duration
+	running     map[*simAttempt]bool
 }
 
-// simTry is one try of a caller.
-type simTry struct {
-	n      int
-	entry  *simEntry
-	print  Fingerprint
-	family uint64
-	fatal  bool
-	again  bool // its caller comes once more
-	left   int  // sends
-	since  time.Duration
-	step   int
-	trial  bool
-	sentAt time.Duration
-	engine *simEngine
-	run    *Run
-	sends  int
+// simAttempt is one attempt of a caller.
+type simAttempt struct {
+	number        int
+	entry         *simEntry
+	fingerprint   Fingerprint
+	family        uint64
+	fatal         bool
+	callerRetries bool
+	sendsLeft     int
+	waitingSince  time.Duration
+	step          int
+	probationRun  bool
+	sentAt        time.Duration
+	engine        *simEngine
+	run           *Run
+	sends         int
 }
 
 type simEvent struct {
-	at time.Duration
-	n  int
-	do func()
+	dueAt time.Duration
+	seq   int
+	fn    func()
 }
 
 type eventQueue []simEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+	return q[i].dueAt < q[j].dueAt || q[i].dueAt == q[j].dueAt && q[i].seq < q[j].seq
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
@@ -138,147 +140,147 @@
 	return last
 }
 
-func (s *sim) after(d time.Duration, do func()) {
-	s.births++
-	heap.Push(&s.events, simEvent{s.now + d, s.births, do})
+func (s *sim) schedule(d time.Duration, fn func()) {
+	s.sequence++
+	heap.Push(&s.events, simEvent{s.now + d, s.sequence, fn})
 }
 
-func (s *sim) clock() time.Time { return start.Add(s.now) }
+func (s *sim) clock() time.Time { return testStart.Add(s.now) }
 
-func play(w way, l load, seed uint64) *sim {
+func simulate(strat strategy, load workload, seed uint64) *sim {
 	s := &sim{
-		way: w, load: l, random: rand.New(rand.NewPCG(seed, 7)), endedBy: map[Fingerprint]int{},
-		knownAt: map[Fingerprint][]time.Duration{}, firstAt: map[Fingerprint]time.Duration{}, thirdAt: map[Fingerprint]time.Duration{},
+		strategy: strat, workload: load, random: rand.New(rand.NewPCG(seed, 7)), crashesBy: map[Fingerprint]int{},
+		refusedAt: map[Fingerprint][]time.Duration{}, firstCrashAt: map[Fingerprint]time.Duration{}, thirdCrashAt: map[Fingerprint]time.Duration{},
 	}
 	limits := testLimits
 	limits.MaxRecords = 2000
-	if !w.judge {
+	if !strat.evaluate {
 		limits.MaxCrashes = 1 << 30
 	}
-	for i := range l.entries {
+	for i := range load.entries {
 		limits.ProbationDelay = func(Fingerprint) time.Duration { return min(time.Duration(i)*200*time.Millisecond, 3*time.Second) }
-		s.nodes = append(s.nodes, &simEntry{Registry: NewRegistry(limits, simWatch{s}), id: i})
+		s.nodes = append(s.nodes, &simEntry{Registry: NewRegistry(limits, simObserver{s}), id: i})
 	}
-	for range l.engines {
+	for range load.engines {
 		e := &simEngine{hash: s.random.Uint64()}
-		s.engine = append(s.engine, e)
-		s.bear(e)
+		s.simEngines = append(s.simEngines, e)
+		s.startEngine(e)
 	}
-	for i := range l.fatal {
-		s.after(time.Second, func() { s.fatalCaller(Fingerprint(1 + i)) })
+	for i := range load.fatal {
+		s.schedule(time.Second, func() { s.sendFatal(Fingerprint(1 + i)) })
 	}
-	s.after(0, s.innocentCaller)
-	if l.crashEvery > 0 {
-		s.after(l.crashEvery, s.crash)
+	s.schedule(0, s.sendOrdinary)
+	if load.crashEvery > 0 {
+		s.schedule(load.crashEvery, s.crashEngines)
 	}
-	if w.tell {
+	if strat.announce {
 		for _, n := range s.nodes {
-			s.after(time.Duration(s.random.Int64N(int64(s.period()))), func() { s.beat(n) })
+			s.schedule(time.Duration(s.random.Int64N(int64(s.heartbeatPeriod()))), func() { s.heartbeat(n) })
 		}
 	}
-	for len(s.events) > 0 && s.now < l.for_ {
+	for len(s.events) > 0 && s.now < load.duration {
 		e := heap.Pop(&s.events).(simEvent)
-		s.now = e.at
-		e.do()
+		s.now = e.dueAt
+		e.fn()
 	}
 	return s
 }
 
-// simWatch notes when each entry refuses a request.
-type simWatch struct{ s *sim }
+// simObserver records when each entry refuses a request.
+type simObserver struct{ s *sim }
 
-func (w simWatch) CrashAttributed(*Record, Crash, bool) {}
-func (w simWatch) FindingChanged(r *Record, _, now Finding, _ bool) {
+func (o simObserver) CrashAttributed(*Record, Crash, bool) {}
+func (o simObserver) FindingChanged(r *Record, _, now Finding, _ bool) {
 	if now == MustNotRun {
-		w.s.knownAt[r.Fingerprint] = append(w.s.knownAt[r.Fingerprint], w.s.now)
+		o.s.refusedAt[r.Fingerprint] = append(o.s.refusedAt[r.Fingerprint], o.s.now)
 	}
 }
-func (w simWatch) Cleared(*Record)          {}
-func (w simWatch) Released(*Record, bool)   {}
-func (w simWatch) Evicted(*Record)          {}
-func (w simWatch) ProbationStarted(*Record) {}
-
-func (s *sim) bear(e *simEngine) {
-	s.births++
-	e.life, e.upAt, e.running = fleet.ID(s.births), s.now, map[*simTry]bool{}
+func (o simObserver) Cleared(*Record)          {}
+func (o simObserver) Released(*Record, bool)   {}
+func (o simObserver) Evicted(*Record)          {}
+func (o simObserver) ProbationStarted(*Record) {}
+
+func (s *sim) startEngine(e *simEngine) {
+	s.sequence++
+	e.incarnation, e.upAt, e.running = fleet.ID(s.sequence), s.now, map[*simAttempt]bool{}
 }
 
-func (s *sim) fatalCaller(p Fingerprint) {
-	s.place(&simTry{entry: s.nodes[s.random.IntN(len(s.nodes))], print: p, family: uint64(p) * 7919, fatal: true, left: 2, since: s.now})
-	s.after(time.Duration(float64(s.fatalEvery)*(0.2+1.6*s.random.Float64())), func() { s.fatalCaller(p) })
+func (s *sim) sendFatal(fp Fingerprint) {
+	s.dispatch(&simAttempt{entry: s.nodes[s.random.IntN(len(s.nodes))], fingerprint: fp, family: uint64(fp) * 7919, fatal: true, sendsLeft: 2, waitingSince: s.now})
+	s.schedule(time.Duration(float64(s.fatalEvery)*(0.2+1.6*s.random.Float64())), func() { s.sendFatal(fp) })
 }
 
-func (s *sim) innocentCaller() {
-	s.births++
-	s.innocents++
-	s.place(&simTry{entry: s.nodes[s.random.IntN(len(s.nodes))], print: Fingerprint(s.random.Uint64()), family: s.random.Uint64(), again: true, left: 2, since: s.now})
-	mean := time.Second / time.Duration(s.perEngine*s.engines)
-	s.after(time.Duration(float64(mean)*2*s.random.Float64()), s.innocentCaller)
+func (s *sim) sendOrdinary() {
+	s.sequence++
+	s.ordinarySent++
+	s.dispatch(&simAttempt{entry: s.nodes[s.random.IntN(len(s.nodes))], fingerprint: Fingerprint(s.random.Uint64()), family: s.random.Uint64(), callerRetries: true, sendsLeft: 2, waitingSince: s.now})
+	mean := time.Second / time.Duration(s.requestsPerEngine*s.engines)
+	s.schedule(time.Duration(float64(mean)*2*s.random.Float64()), s.sendOrdinary)
 }
 
-// crash ends some engines that no request has ended.
-func (s *sim) crash() {
+// crashEngines crashes random engines for an unrelated reason.
+func (s *sim) crashEngines() {
 	for range s.crashes {
-		s.end(s.engine[s.random.IntN(len(s.engine))], nil)
+		s.crashEngine(s.simEngines[s.random.IntN(len(s.simEngines))], nil)
 	}
-	s.after(s.crashEvery, s.crash)
+	s.schedule(s.crashEvery, s.crashEngines)
 }
 
-// place sends a try to an engine, or waits for its turn, or refuses it.
-func (s *sim) place(t *simTry) {
-	if t.n == 0 {
-		s.births++
-		t.n = s.births
+// dispatch sends an attempt to an engine, defers it or refuses it.
+func (s *sim) dispatch(a *simAttempt) {
+	if a.number == 0 {
+		s.sequence++
+		a.number = s.sequence
 	}
-	st := t.entry.Status(t.print, s.clock())
+	st := a.entry.Status(a.fingerprint, s.clock())
 	if st.Verdict == Refused {
-		if !t.fatal {
-			s.innocentRefused++
+		if !a.fatal {
+			s.ordinaryRefused++
 		}
 		return
 	}
-	key, alone := t.family, false
+	key, alone := a.family, false
 	if s.apart && st.Verdict != Free {
-		key, alone = uint64(t.print), s.alone && st.Verdict == Alone
+		key, alone = uint64(a.fingerprint), s.alone && st.Verdict == Alone
 	}
-	e := s.pick(t, key, alone)
+	e := s.pickEngine(a, key, alone)
 	if st.Verdict == Held {
 		e = nil
 	}
-	if e == nil || alone && !t.entry.StartProbationRun(t.print, e.life, s.clock()) {
-		if s.now-t.since < simWait {
-			s.after(simPause, func() { s.place(t) })
+	if e == nil || alone && !a.entry.StartProbationRun(a.fingerprint, e.incarnation, s.clock()) {
+		if s.now-a.waitingSince < simMaxWait {
+			s.schedule(simRetryPause, func() { s.dispatch(a) })
 		} else {
-			s.fail(t)
+			s.failAttempt(a)
 		}
 		return
 	}
-	t.engine, t.step, t.trial, t.sentAt = e, st.Step, alone, s.now
-	e.running[t] = true
-	t.left--
-	t.sends++
-	if t.fatal {
+	a.engine, a.step, a.probationRun, a.sentAt = e, st.Step, alone, s.now
+	e.running[a] = true
+	a.sendsLeft--
+	a.sends++
+	if a.fatal {
 		s.fatalSent++
-		if third, ok := s.thirdAt[t.print]; ok && s.now > third+lateAfter {
-			s.sentLate++
+		if third, ok := s.thirdCrashAt[a.fingerprint]; ok && s.now > third+lateMargin {
+			s.fatalSentLate++
 		}
 	}
-	var giveUp func()
-	if s.giveUp {
-		sends := t.sends
-		giveUp = func() { s.after(0, func() { s.givenUp(t, sends) }) }
+	var cancel func()
+	if s.cancelQueued {
+		sends := a.sends
+		cancel = func() { s.schedule(0, func() { s.cancelSend(a, sends) }) }
 	}
-	t.run = t.entry.StartRun(t.print, e.life, giveUp)
-	sends := t.sends
-	queue := time.Duration(20+s.random.IntN(280)) * time.Millisecond
-	s.after(queue, func() { s.begin(t, e, sends) })
+	a.run = a.entry.StartRun(a.fingerprint, e.incarnation, cancel)
+	sends := a.sends
+	queueTime := time.Duration(20+s.random.IntN(280)) * time.Millisecond
+	s.schedule(queueTime, func() { s.execute(a, e, sends) })
 }
 
-// pick returns the living engine that ranks first for a key.
-func (s *sim) pick(t *simTry, key uint64, alone bool) *simEngine {
+// pickEngine returns the running engine that ranks first for a key.
+func (s *sim) pickEngine(a *simAttempt, key uint64, alone bool) *simEngine {
 	var best *simEngine
-	for _, e := range s.engine {
-		if s.now < e.upAt || alone && t.entry.RunsOtherSuspect(e.life, t.print, s.clock()) {
+	for _, e := range s.simEngines {
+		if s.now < e.upAt || alone && a.entry.RunsOtherSuspect(e.incarnation, a.fingerprint, s.clock()) {
 			continue
 		}
 		if best == nil || placement.Rank(key, e.hash) < placement.Rank(key, best.hash) {
@@ -288,134 +290,134 @@
 	return best
 }
 
-// begin is when an engine begins to run a try that is still there.
-func (s *sim) begin(t *simTry, e *simEngine, sends int) {
-	if t.engine != e || t.sends != sends || !e.running[t] {
+// execute runs an attempt on an engine, unless it was cancelled or the engine crashed.
+func (s *sim) execute(a *simAttempt, e *simEngine, sends int) {
+	if a.engine != e || a.sends != sends || !e.running[a] {
 		return
 	}
-	if t.fatal && placement.Rank(1, e.hash) >= s.harmless {
-		life := e.life
-		s.after(simRunsFor, func() {
-			if e.life == life && s.now >= e.upAt {
-				s.end(e, t)
+	if a.fatal && placement.Rank(1, e.hash) >= s.immuneShare {
+		incarnation := e.incarnation
+		s.schedule(simCrashDelay, func() {
+			if e.incarnation == incarnation && s.now >= e.upAt {
+				s.crashEngine(e, a)
 			}
 		})
 		return
 	}
-	s.after(150*time.Millisecond, func() {
-		if t.sends == sends && e.running[t] {
-			delete(e.running, t)
-			s.stop(t)
-			t.entry.MarkServed(t.print)
-			s.news(t.entry)
+	s.schedule(150*time.Millisecond, func() {
+		if a.sends == sends && e.running[a] {
+			delete(e.running, a)
+			s.finishRun(a)
+			a.entry.MarkServed(a.fingerprint)
+			s.announceSoon(a.entry)
 		}
 	})
 }
 
-func (s *sim) stop(t *simTry) {
-	t.entry.EndRun(t.run)
-	if t.trial {
-		t.entry.EndProbationRun(t.print, t.engine.life)
-		t.trial = false
+func (s *sim) finishRun(a *simAttempt) {
+	a.entry.EndRun(a.run)
+	if a.probationRun {
+		a.entry.EndProbationRun(a.fingerprint, a.engine.incarnation)
+		a.probationRun = false
 	}
 }
 
-func (s *sim) givenUp(t *simTry, sends int) {
-	if t.sends != sends || t.engine == nil || !t.engine.running[t] {
+func (s *sim) cancelSend(a *simAttempt, sends int) {
+	if a.sends != sends || a.engine == nil || !a.engine.running[a] {
 		return
 	}
-	delete(t.engine.running, t)
-	s.stop(t)
-	s.next(t)
+	delete(a.engine.running, a)
+	s.finishRun(a)
+	s.retryOrFail(a)
 }
 
-// end ends an engine; by is the try that did.
-func (s *sim) end(e *simEngine, by *simTry) {
+// crashEngine crashes an engine; by is the fatal attempt or nil.
+func (s *sim) crashEngine(e *simEngine, by *simAttempt) {
 	if s.now < e.upAt {
 		return
 	}
 	if by != nil {
-		s.endedBy[by.print]++
-		switch s.endedBy[by.print] {
+		s.crashesBy[by.fingerprint]++
+		switch s.crashesBy[by.fingerprint] {
 		case 1:
-			s.firstAt[by.print] = s.now
+			s.firstCrashAt[by.fingerprint] = s.now
 		case 3:
-			s.thirdAt[by.print] = s.now
+			s.thirdCrashAt[by.fingerprint] = s.now
 		}
 	}
-	life, broken := e.life, e.running
-	s.bear(e)
-	e.upAt = s.now + simRestart
-	tries := make([]*simTry, 0, len(broken))
-	for t := range broken {
-		tries = append(tries, t)
-	}
-	slices.SortFunc(tries, func(a, b *simTry) int { return cmp.Compare(a.n, b.n) })
-	for _, t := range tries {
-		trial := t.trial
-		t.trial = false
-		t.entry.EndRun(t.run)
-		t.engine = nil
-		s.after(simHop, func() {
-			t.entry.AttributeCrash(t.print, Caller{}, Crash{Target: life, Step: t.step, At: s.clock(), Elapsed: s.now - t.sentAt})
-			if trial {
-				t.entry.EndProbationRun(t.print, life)
+	incarnation, running := e.incarnation, e.running
+	s.startEngine(e)
+	e.upAt = s.now + simRestartTime
+	attempts := make([]*simAttempt, 0, len(running))
+	for a := range running {
+		attempts = append(attempts, a)
+	}
+	slices.SortFunc(attempts, func(a, b *simAttempt) int { return cmp.Compare(a.number, b.number) })
+	for _, a := range attempts {
+		probationRun := a.probationRun
+		a.probationRun = false
+		a.entry.EndRun(a.run)
+		a.engine = nil
+		s.schedule(simLatency, func() {
+			a.entry.AttributeCrash(a.fingerprint, Caller{}, Crash{Target: incarnation, Step: a.step, At: s.clock(), Elapsed: s.now - a.sentAt})
+			if probationRun {
+				a.entry.EndProbationRun(a.fingerprint, incarnation)
 			}
-			s.news(t.entry)
-			s.next(t)
+			s.announceSoon(a.entry)
+			s.retryOrFail(a)
 		})
 	}
 }
 
-// next sends a try that broke off once more, while it may.
-func (s *sim) next(t *simTry) {
-	if t.left > 0 {
-		t.since = s.now
-		s.place(t)
+// retryOrFail sends a broken attempt again if it has sends left.
+func (s *sim) retryOrFail(a *simAttempt) {
+	if a.sendsLeft > 0 {
+		a.waitingSince = s.now
+		s.dispatch(a)
 		return
 	}
-	s.fail(t)
+	s.failAttempt(a)
 }
 
-// fail ends a try; its caller may come again at another entry.
-func (s *sim) fail(t *simTry) {
-	if t.fatal {
+// failAttempt fails an attempt. Its caller may retry at another entry.
+func (s *sim) failAttempt(a *simAttempt) {
+	if a.fatal {
 		return
 	}
-	if !t.again {
-		s.innocentFailed++
+	if !a.callerRetries {
+		s.ordinaryFailed++
 		return
 	}
-	s.after(100*time.Millisecond, func() {
-		s.place(&simTry{entry: s.nodes[s.random.IntN(len(s.nodes))], print: t.print, family: t.family, left: 2, since: s.now})
+	s.schedule(100*time.Millisecond, func() {
+		s.dispatch(&simAttempt{entry: s.nodes[s.random.IntN(len(s.nodes))], fingerprint: a.fingerprint, family: a.family, sendsLeft: 2, waitingSince: s.now})
 	})
 }
 
-func (s *sim) period() time.Duration {
-	if len(s.nodes) > simReach {
+func (s *sim) heartbeatPeriod() time.Duration {
+	if len(s.nodes) > simFanOut {
 		return 400 * time.Millisecond
 	}
 	return 100 * time.Millisecond
 }
 
-func (s *sim) beat(n *simEntry) {
-	s.send(n, n.NextToAnnounce(8, s.clock()))
-	s.after(s.period(), func() { s.beat(n) })
+func (s *sim) heartbeat(n *simEntry) {
+	s.announceRecords(n, n.NextToAnnounce(8, s.clock()))
+	s.schedule(s.heartbeatPeriod(), func() { s.heartbeat(n) })
 }
 
-// news tells what is new soon.
-func (s *sim) news(n *simEntry) {
-	if !s.tell || n.pending {
+// announceSoon announces pending updates after a short delay.
+func (s *sim) announceSoon(n *simEntry) {
+	if !s.announce || n.announcePending {
 		return
 	}
-	n.pending = true
-	s.after(simGather, func() {
-		n.pending = false
-		s.send(n, n.TakeUpdates(1<<30))
+	n.announcePending = true
+	s.schedule(simAnnounceDelay, func() {
+		n.announcePending = false
+		s.announceRecords(n, n.TakeUpdates(1<<30))
 	})
 }
 
-func (s *sim) send(from *simEntry, records []Record) {
+func (s *sim) announceRecords(from *simEntry, records []Record) {
 	const perDatagram = 1100
 	for len(records) > 0 {
 		size, n := 0, 0
@@ -423,38 +425,38 @@
 			size += proto.Size(ToMessage(&records[n], s.clock()))
 			n++
 		}
-		s.sendOne(from, records[:n], size)
+		s.broadcast(from, records[:n], size)
 		records = records[n:]
 	}
 }
 
-func (s *sim) sendOne(from *simEntry, records []Record, size int) {
-	at := s.clock()
+func (s *sim) broadcast(from *simEntry, records []Record, size int) {
+	sentAt := s.clock()
 	reached := 0
 	for _, i := range s.random.Perm(len(s.nodes)) {
 		to := s.nodes[i]
 		if to == from {
 			continue
 		}
-		if reached++; reached > simReach {
+		if reached++; reached > simFanOut {
 			return
 		}
 		s.datagrams++
 		s.bytes += size
-		if s.random.Float64() < s.loss || s.isCut(from, to) {
+		if s.random.Float64() < s.loss || s.partitioned(from, to) {
 			continue
 		}
-		s.after(simHop, func() {
+		s.schedule(simLatency, func() {
 			for i := range records {
-				to.Merge(FromMessage(ToMessage(&records[i], at), s.clock()), len(s.nodes) > simReach, s.clock())
+				to.Merge(FromMessage(ToMessage(&records[i], sentAt), s.clock()), len(s.nodes) > simFanOut, s.clock())
 			}
 			to.Reevaluate(s.clock())
-			s.news(to)
+			s.announceSoon(to)
 		})
 	}
 }
 
-// isCut reports whether a link is down now.
-func (s *sim) isCut(from, to *simEntry) bool {
-	return s.now < time.Second+s.cutFor && (from.id < len(s.nodes)/2) != (to.id < len(s.nodes)/2)
+// partitioned reports whether two entries can't reach each other.
+func (s *sim) partitioned(from, to *simEntry) bool {
+	return s.now < time.Second+s.partitionFor && (from.id < len(s.nodes)/2) != (to.id < len(s.nodes)/2)
 }
