--- a/internal/gateway/quarantine/scenarios_test.go
+++ b/internal/gateway/quarantine/scenarios_test.go
@@ -166,6 +166,6 @@
 			last = refusals[len(refusals)-1] - s.thirdCrashAt[1]
 		}
 		entrySeconds := float64(size.entries) * load.duration.Seconds()
-		t.Logf("%3d entries: %d engines crashed; %d entries refuse the request %v after the third crash; per second and entry %s", size.entries, s.crashesBy[1], len(refusals), last, fmt.Sprintf("%.1f datagrams, %.0f bytes", float64(s.datagrams)/entrySeconds, float64(s.bytes)/entrySeconds))
+		t.Logf("%3d entries: %d engines crashed; %d refusals, the last %v after the third crash; per second and entry %s", size.entries, s.crashesBy[1], len(refusals), last, fmt.Sprintf("%.1f datagrams, %.0f bytes", float64(s.datagrams)/entrySeconds, float64(s.bytes)/entrySeconds))
 	}
 }
