--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -49,9 +49,9 @@
 	// each request of a service, RetrySlack how many beyond that in a window.
 	RetryRatio float64
 	RetrySlack float64
-	// Version is the age of wanted weights from which no request begins on
+	// MaxStaleness is the age of wanted weights from which no request begins on
 	// older ones.
-	Version time.Duration
+	MaxStaleness time.Duration
 }
 
 // Deps are what a forwarder needs.
@@ -66,7 +66,7 @@
 	// Quarantine holds what is known of requests that were under way when targets ended,
 	// Endings tells such ends from others.
 	Quarantine *quarantine.Registry
-	Endings    *quarantine.CrashDetector
+	CrashDetector    *quarantine.CrashDetector
 	// Sidecars answer for engines in large fleets; nil where probes are off.
 	Sidecars Sidecars
 	// Limits keep workspaces within their rate limits; nil where there are none.
@@ -74,12 +74,12 @@
 	Bounds Bounds
 	Zone   string
 	Logger logr.Logger
-	// Ordinary writes lines of what goes well. Under load they are dropped before
+	// RoutineLogger writes lines of what goes well. Under load they are dropped before
 	// the others.
-	Ordinary logr.Logger
+	RoutineLogger logr.Logger
 	Metrics  Metrics
-	// TellWork tells the other entries at once of the work at a target.
-	TellWork func(target fleet.ID)
+	// AnnounceWork tells the other entries at once of the work at a target.
+	AnnounceWork func(target fleet.ID)
 	Now      func() time.Time
 	// Seed makes this entry's random choices its own.
 	Seed uint64
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -195,9 +195,9 @@
 		Protocol: wiretest.Protocol{}, View: func() (*view.View, bool) { return w.view, true }, Pool: w.pool,
 		Ledger: ledger.New(), Parts: parts.NewBook(), Health: health.NewBook(nil), Reach: &reach.Book{},
 		Quarantine: quarantine.NewRegistry(quarantine.Limits{MaxCrashes: 3, SuspectFor: time.Hour, RefuseFor: time.Hour, MaxRecords: 100}, noObserver{}),
-		Endings:    quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return w.pool.Refuses(ctx, t.Address) }),
-		Bounds:     Bounds{RetryRatio: 0.5, RetrySlack: 100, Version: 5 * time.Second}, Zone: "a",
-		Logger: logr.Discard(), Ordinary: logr.Discard(), Metrics: noMetrics{}, TellWork: func(fleet.ID) {}, Now: time.Now, Seed: 1,
+		CrashDetector:    quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return w.pool.Refuses(ctx, t.Address) }),
+		Bounds:     Bounds{RetryRatio: 0.5, RetrySlack: 100, MaxStaleness: 5 * time.Second}, Zone: "a",
+		Logger: logr.Discard(), RoutineLogger: logr.Discard(), Metrics: noMetrics{}, AnnounceWork: func(fleet.ID) {}, Now: time.Now, Seed: 1,
 	})
 	w.server = httptest.NewServer(w.Forwarder)
 	t.Cleanup(func() { w.server.Close(); w.pool.CloseIdle() })
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -127,7 +127,7 @@
 		return
 	}
 	d := fl.doubt(to)
-	evidence := fl.Endings.Detect(ctx, v, d)
+	evidence := fl.CrashDetector.Detect(ctx, v, d)
 	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.print, "target", to.target.Life, "evidence", string(evidence),
 		"list_age", fl.since(v.ListedAt), "step", d.Step, "ran", tenth(time.Since(fl.sentAt)))
 	if evidence != quarantine.NoEvidence {
@@ -135,15 +135,15 @@
 	}
 }
 
-// Settle looks again at requests whose targets may have ended, by the newest view, and at
+// RecheckCrashes looks again at requests whose targets may have ended, by the newest view, and at
 // those that are held.
-func (f *Forwarder) Settle() {
+func (f *Forwarder) RecheckCrashes() {
 	defer func() { f.Quarantine.Reevaluate(f.Now()) }()
 	v, ok := f.View()
 	if !ok {
 		return
 	}
-	doubts, evidence := f.Endings.Resolve(v, f.Now())
+	doubts, evidence := f.CrashDetector.Resolve(v, f.Now())
 	for i, d := range doubts {
 		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Fingerprint, "target", d.Target.Life, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
 		f.Quarantine.AttributeCrash(d.Fingerprint, d.Caller, quarantine.Crash{Target: d.Target.ID, Step: d.Step, At: d.At, Elapsed: d.Elapsed})
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -96,7 +96,7 @@
 			item.Read()
 			fl.tellRead(to)
 			if fl.noteParts(to, true) {
-				fl.TellWork(to.target.ID)
+				fl.AnnounceWork(to.target.ID)
 			}
 			if patience != nil {
 				patience.Stop()
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -117,7 +117,7 @@
 	link := fl.beginFetch(to)
 	defer link.End()
 	if fl.noteParts(to, false) || to.choice.Read > tellFrom {
-		fl.TellWork(to.target.ID)
+		fl.AnnounceWork(to.target.ID)
 	}
 	fl.sentAt = time.Now()
 	fl.logSend(to)
@@ -243,7 +243,7 @@
 // given up for the sake of another target says nothing of its own.
 func (fl *flow) judgeBroken(ctx context.Context, to *destination, err error) {
 	if errors.Is(context.Cause(ctx), errApart) {
-		fl.Endings.AddCancelled(fl.doubt(to))
+		fl.CrashDetector.AddCancelled(fl.doubt(to))
 		return
 	}
 	fl.judge(to, health.Broken)
