--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -60,8 +60,8 @@
 	Reach    *reach.Book
 	// Quarantine tracks requests that were running when targets crashed; CrashDetector
 	// distinguishes crashes from other disconnects.
-	Quarantine    *quarantine.Book
-	CrashDetector *quarantine.Endings
+	Quarantine    *quarantine.Registry
+	CrashDetector *quarantine.CrashDetector
 	// Sidecars are probed in large fleets; nil disables probes.
 	Sidecars Sidecars
 	// Limits enforces the rate limits of workspaces; nil disables them.
@@ -178,9 +178,9 @@
 	request   wire.Request
 	body      []byte
 	// fingerprint identifies the request across the caller's retries.
-	fingerprint quarantine.Print
+	fingerprint quarantine.Fingerprint
 	// quarantineStatus is the request's status in the quarantine when it was last checked.
-	quarantineStatus quarantine.Standing
+	quarantineStatus quarantine.Status
 	arrived          time.Time
 	deadline         time.Time
 	retries          *retry.Budget
@@ -287,7 +287,7 @@
 	if refusal := fl.readBody(fl.view.Estate.Limits.BodyBytes); refusal != nil {
 		return refusal
 	}
-	fl.fingerprint = quarantine.PrintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
+	fl.fingerprint = quarantine.FingerprintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
 	return fl.checkQuarantine()
 }
 
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -92,7 +92,7 @@
 		}
 		if first {
 			first = false
-			fl.Quarantine.Begun(run)
+			fl.Quarantine.MarkResponding(run)
 			item.Read()
 			fl.notifyPrefilled(dst)
 			if fl.recordParts(dst, true) {
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -41,7 +41,7 @@
 	expectedFirstEvent time.Duration
 	// quarantineStatus is the request's status when the target was chosen. probation is set
 	// if the send is a probation run.
-	quarantineStatus quarantine.Standing
+	quarantineStatus quarantine.Status
 	probation        bool
 	// probed is set if the target was chosen by probes, inProgress if a probed engine is
 	// computing parts that the chosen one lacks.
@@ -242,7 +242,7 @@
 // that was cancelled because of another target's crash says nothing about its target.
 func (fl *flow) recordBroken(ctx context.Context, dst *destination, err error) {
 	if errors.Is(context.Cause(ctx), errCrashedElsewhere) {
-		fl.CrashDetector.GivenUp(fl.suspectedCrash(dst))
+		fl.CrashDetector.AddCancelled(fl.suspectedCrash(dst))
 		return
 	}
 	fl.recordOutcome(dst, health.Broken)
--- /dev/null
+++ b/internal/gateway/quarantine/announce.go
@@ -0,0 +1,117 @@
+package quarantine
+
+import (
+	"slices"
+	"time"
+)
+
+// Updates returns a channel that receives a value when records are to be announced or a finding
+// has changed.
+func (q *Registry) Updates() <-chan struct{} { return q.updates }
+
+// Merge merges a record that another process announced, and reports whether it made a major
+// change. With rebroadcast the change is announced in turn. Findings are updated by the next
+// call of Status, List or Reevaluate, once for all records of a datagram.
+func (q *Registry) Merge(other Record, rebroadcast bool, now time.Time) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.expired(&other, now) {
+		return false
+	}
+	r := q.records[other.Fingerprint]
+	if r == nil {
+		if len(other.Crashes) == 0 && other.Generation == 0 {
+			return false
+		}
+		r = &Record{Fingerprint: other.Fingerprint}
+		q.records[other.Fingerprint] = r
+	}
+	knownCrashes, generation := len(r.Crashes), r.Generation
+	switch r.merge(&other) {
+	case unchanged:
+		return false
+	case minorChange:
+		q.markChanged(other.Fingerprint, false)
+		return false
+	}
+	if r.Generation != generation {
+		knownCrashes = 0 // all crashes are new
+		if len(r.Crashes) == 0 {
+			q.observer.Released(r, true)
+		}
+	}
+	for _, c := range r.Crashes[knownCrashes:] {
+		q.observer.CrashAttributed(r, c, true)
+		q.noteCrash(c.At)
+	}
+	if r.ProbationRun.Target != 0 {
+		q.probationRuns[other.Fingerprint] = r
+	} else {
+		delete(q.probationRuns, other.Fingerprint)
+	}
+	q.markChanged(other.Fingerprint, false)
+	if rebroadcast {
+		q.queueUpdate(other.Fingerprint)
+	}
+	q.evict()
+	return true
+}
+
+func (q *Registry) queueUpdate(fp Fingerprint) {
+	if !slices.Contains(q.pendingUpdates, fp) {
+		q.pendingUpdates = append(q.pendingUpdates, fp)
+	}
+	q.signal()
+}
+
+// signal wakes the receiver of Updates.
+func (q *Registry) signal() {
+	select {
+	case q.updates <- struct{}{}:
+	default: // a wake-up is pending already
+	}
+}
+
+// TakeUpdates removes and returns up to n records from those to be announced at once.
+func (q *Registry) TakeUpdates(n int) []Record {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	var taken []Record
+	for len(taken) < n && len(q.pendingUpdates) > 0 {
+		fp := q.pendingUpdates[0]
+		q.pendingUpdates = q.pendingUpdates[1:]
+		if r := q.records[fp]; r != nil {
+			taken = append(taken, r.clone())
+		}
+	}
+	return taken
+}
+
+// announceFor is how long a request with a single crash is announced repeatedly, in case
+// datagrams were lost. Its caller has retried by then. Records with more crashes are announced
+// until they expire.
+const announceFor = 10 * time.Second
+
+// NextToAnnounce returns up to n records to announce again, in round-robin order.
+func (q *Registry) NextToAnnounce(n int, now time.Time) []Record {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	var fingerprints []Fingerprint
+	for fp, r := range q.records {
+		if (len(r.Crashes) > 1 || r.Generation > 0 || now.Sub(r.ChangedAt()) < announceFor) && !q.expired(r, now) {
+			fingerprints = append(fingerprints, fp)
+		}
+	}
+	if len(fingerprints) == 0 {
+		return nil
+	}
+	slices.Sort(fingerprints)
+	from, _ := slices.BinarySearch(fingerprints, q.lastAnnounced+1)
+	var next []Record
+	for i := range min(n, len(fingerprints)) {
+		fp := fingerprints[(from+i)%len(fingerprints)]
+		next = append(next, q.records[fp].clone())
+		q.lastAnnounced = fp
+	}
+	return next
+}
--- /dev/null
+++ b/internal/gateway/quarantine/crashdetector.go
@@ -0,0 +1,251 @@
+package quarantine
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
+	"github.com/toucanwell/toucanwell/internal/gateway/view"
+)
+
+const (
+	// probeTimeout bounds the probe of a target that closed a connection. A host without a
+	// listening process refuses within a round trip.
+	probeTimeout = 50 * time.Millisecond
+	// suspicionTimeout is how long a crash may take to show in the target list or in the
+	// sidecar's reports. The list drops a target after three missed heartbeats.
+	suspicionTimeout = 5 * time.Second
+	// sidecarReportDelay bounds the time until a sidecar reports that its target is
+	// unresponsive: it polls ten times a second.
+	sidecarReportDelay = 300 * time.Millisecond
+	// reprobeAfter is how long a target that accepted a probe counts as alive.
+	reprobeAfter = 200 * time.Millisecond
+	// cancelledTimeout replaces suspicionTimeout after a run was cancelled. The target may have
+	// started it and then crashes within a few hundred milliseconds.
+	cancelledTimeout = time.Second
+	// probeRetention is how long probe results are kept. All requests of a crashed target fail
+	// within milliseconds.
+	probeRetention = 10 * time.Second
+)
+
+// Evidence is why a target is taken to have crashed.
+type Evidence string
+
+const (
+	// NoEvidence means that the target is alive or its state is unknown.
+	NoEvidence Evidence = ""
+	// RefusesConnections means that its host is up but no process listens.
+	RefusesConnections Evidence = "refuses connections"
+	// UnresponsiveToSidecar means that the target's sidecar gets no response from it.
+	UnresponsiveToSidecar Evidence = "silent to its sidecar"
+	// OtherIncarnation means that another incarnation is listed at its address.
+	OtherIncarnation Evidence = "another life at its address"
+	// Unlisted means that it has left the target list without draining.
+	Unlisted Evidence = "left the list"
+)
+
+// CrashDetector tells crashed targets from broken connections. Targets that reset connections,
+// network failures and planned shutdowns must not count against the requests in flight.
+type CrashDetector struct {
+	// refuses reports whether a target's address refuses connections.
+	refuses func(ctx context.Context, t *fleet.Target) bool
+
+	mu sync.Mutex
+	// probes holds the recent probe of each incarnation, suspected the crashes that are not
+	// confirmed yet.
+	probes    map[fleet.ID]*refusalProbe
+	suspected []SuspectedCrash
+}
+
+type refusalProbe struct {
+	startedAt time.Time
+	done      chan struct{}
+	refuses   bool
+}
+
+// SuspectedCrash is a request whose target may have crashed while running it.
+type SuspectedCrash struct {
+	Fingerprint Fingerprint
+	Caller      Caller
+	Target      fleet.Target
+	// Unlisted is set if the target was not in the target list yet when the request was sent,
+	// only in its sidecar's reports.
+	Unlisted bool
+	Step     int
+	At       time.Time
+	// Elapsed is how long the request had been in flight on the target.
+	Elapsed time.Duration
+	// RequestID identifies the attempt in logs.
+	RequestID string
+	// expiresAt is when an unconfirmed crash is dropped.
+	expiresAt time.Time
+}
+
+// NewCrashDetector returns a detector that probes targets with refuses.
+func NewCrashDetector(refuses func(ctx context.Context, t *fleet.Target) bool) *CrashDetector {
+	return &CrashDetector{refuses: refuses, probes: map[fleet.ID]*refusalProbe{}}
+}
+
+// Detect returns the evidence that a target which broke off a request has crashed. Without
+// evidence it keeps the suspected crash for Resolve.
+func (d *CrashDetector) Detect(ctx context.Context, v *view.View, s SuspectedCrash) Evidence {
+	listed, found := findListed(v, &s.Target)
+	switch {
+	case found && listed.Leaving:
+		return NoEvidence
+	case v.Silent[s.Target.Address]:
+		return UnresponsiveToSidecar
+	case !found && !s.Unlisted && !replaced(v, &s.Target):
+		return NoEvidence // unlisted before the crash: planned shutdown
+	case !found && !s.Unlisted:
+		return OtherIncarnation
+	case d.probe(ctx, &s.Target, s.At):
+		return RefusesConnections
+	}
+	d.add(s, suspicionTimeout)
+	return NoEvidence
+}
+
+// AddCancelled keeps a suspected crash for a run that was cancelled before its target responded.
+// If the target had already started the run and crashes, the crash would otherwise count as one
+// without the request.
+func (d *CrashDetector) AddCancelled(s SuspectedCrash) { d.add(s, cancelledTimeout) }
+
+func (d *CrashDetector) add(s SuspectedCrash, timeout time.Duration) {
+	s.expiresAt = s.At.Add(timeout)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.suspected = append(d.suspected, s)
+}
+
+// probe reports whether a target refuses connections. Concurrent calls for the same target share
+// one probe.
+func (d *CrashDetector) probe(ctx context.Context, t *fleet.Target, now time.Time) bool {
+	d.mu.Lock()
+	p := d.probes[t.ID]
+	first := p == nil || p.outdated(now)
+	if first {
+		p = &refusalProbe{startedAt: now, done: make(chan struct{})}
+		d.probes[t.ID] = p
+		d.evictProbes(now)
+	}
+	d.mu.Unlock()
+	// The result serves all requests of the target, so the probe outlives the first caller's
+	// context.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
+	defer cancel()
+	if first {
+		p.refuses = d.refuses(ctx, t)
+		close(p.done)
+	}
+	select {
+	case <-p.done:
+		return p.refuses
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// outdated reports whether the target accepted the probe too long ago to rely on it.
+func (p *refusalProbe) outdated(now time.Time) bool {
+	select {
+	case <-p.done:
+		return !p.refuses && now.Sub(p.startedAt) > reprobeAfter
+	default:
+		return false
+	}
+}
+
+// foundRefusing reports whether the probe has completed and was refused.
+func (p *refusalProbe) foundRefusing() bool {
+	select {
+	case <-p.done:
+		return p.refuses
+	default:
+		return false
+	}
+}
+
+func (d *CrashDetector) evictProbes(now time.Time) {
+	for id, p := range d.probes {
+		if now.Sub(p.startedAt) > probeRetention {
+			delete(d.probes, id)
+		}
+	}
+}
+
+// Resolve returns the suspected crashes that the view confirms, with the evidence. It drops
+// those whose target is draining and those that have expired.
+func (d *CrashDetector) Resolve(v *view.View, now time.Time) ([]SuspectedCrash, []Evidence) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var resolved []SuspectedCrash
+	var reasons []Evidence
+	remaining := d.suspected[:0]
+	for _, s := range d.suspected {
+		listed, found := findListed(v, &s.Target)
+		s.Unlisted = s.Unlisted && !found
+		evidence := viewEvidence(v, &s, found)
+		if p := d.probes[s.Target.ID]; p != nil && p.foundRefusing() {
+			evidence = RefusesConnections
+		}
+		switch {
+		case found && listed.Leaving || now.After(s.expiresAt):
+		case evidence != NoEvidence:
+			resolved, reasons = append(resolved, s), append(reasons, evidence)
+		default:
+			remaining = append(remaining, s)
+		}
+	}
+	d.suspected = remaining
+	return resolved, reasons
+}
+
+// viewEvidence returns the view's evidence for a suspected crash. Found tells whether the view
+// lists the target.
+func viewEvidence(v *view.View, s *SuspectedCrash, found bool) Evidence {
+	switch {
+	case v.Silent[s.Target.Address]:
+		return UnresponsiveToSidecar
+	case found || s.Unlisted:
+		return NoEvidence
+	case replaced(v, &s.Target):
+		return OtherIncarnation
+	case v.Engines[s.Target.Life].HeardAt.Sub(s.At) > sidecarReportDelay:
+		return NoEvidence // its sidecar still reports it: unlisted but running
+	case v.ListedAt.After(s.At):
+		return Unlisted
+	default:
+		return NoEvidence
+	}
+}
+
+// replaced reports whether another incarnation is listed at the target's address.
+func replaced(v *view.View, t *fleet.Target) bool {
+	for _, list := range v.Targets {
+		for i := range list {
+			if list[i].Address == t.Address && !list[i].Life.Same(t.Life) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// IsListed reports whether the view lists the target's incarnation.
+func IsListed(v *view.View, t *fleet.Target) bool {
+	_, found := findListed(v, t)
+	return found
+}
+
+// findListed returns the target as the view lists it.
+func findListed(v *view.View, t *fleet.Target) (*fleet.Target, bool) {
+	list := v.Targets[t.Service]
+	for i := range list {
+		if list[i].Life.Same(t.Life) {
+			return &list[i], true
+		}
+	}
+	return nil, false
+}
--- /dev/null
+++ b/internal/gateway/quarantine/evaluate.go
@@ -0,0 +1,249 @@
+package quarantine
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
+)
+
+const (
+	// concurrentWindow is how close in time to a request's crashes the crash of a target that
+	// did not run it points to another cause, such as a power failure.
+	concurrentWindow = time.Second
+	// backgroundWindow is how long before a request's first crash the crashes of other targets
+	// count toward the background crash rate.
+	backgroundWindow = 10 * time.Second
+	// extraCrashes is the number of additional crashes needed to refuse a request while at least
+	// as many targets crash without it.
+	extraCrashes = 2
+	// decisionDelay is how long a request is held after its last crash before it is refused.
+	// More targets may crash without it meanwhile: at the start of a series of unrelated
+	// crashes, a popular request looks like the cause.
+	decisionDelay = time.Second
+)
+
+// Finding is the result of evaluating a request; zero if it may run.
+type Finding uint8
+
+const (
+	// MustWait requests may have caused their targets' crashes and wait for the decision.
+	MustWait Finding = iota + 1
+	// MustNotRun requests have caused their targets' crashes.
+	MustNotRun
+)
+
+// Evaluate returns the findings for a set of unexpired records. It depends on its arguments
+// only, so that all processes with the same records refuse the same requests.
+//
+// A request is refused if maxCrashes targets crashed under it in as many steps. If they crashed
+// in fewer steps, it is refused only if no other target crashed at about the same time. It takes
+// extraCrashes more while targets crash as often without the request. A request that is served
+// far more often than its targets crash is not refused.
+//
+// Requests that run beside the cause share some of its crashes, but the cause has all of them.
+// The request with the most crashes is therefore evaluated first, and crashes that it explains
+// no longer count against others. Two requests that can't be told apart are both left to run
+// alone, where only one of them crashes its target.
+func Evaluate(records []*Record, maxCrashes int, now time.Time) map[Fingerprint]Finding {
+	e := evaluation{records: records, maxCrashes: maxCrashes, findings: map[Fingerprint]Finding{}, explained: map[fleet.ID]bool{}}
+	for _, r := range records {
+		if len(r.Crashes) >= maxCrashes && len(r.Crashes) > r.ForgivenCrashes {
+			e.candidates = append(e.candidates, r)
+		}
+	}
+	slices.SortFunc(e.candidates, func(a, b *Record) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	for r := e.takeMostSuspect(); r != nil; r = e.takeMostSuspect() {
+		if tied := e.tied(r); tied != nil {
+			e.drop(tied)
+			continue
+		}
+		if now.Before(r.ChangedAt().Add(decisionDelay)) {
+			e.findings[r.Fingerprint] = MustWait
+			continue
+		}
+		e.findings[r.Fingerprint] = MustNotRun
+		for _, c := range r.Crashes {
+			e.explained[c.Target] = true
+		}
+	}
+	return e.findings
+}
+
+// evaluation is the state of one call of Evaluate.
+type evaluation struct {
+	records    []*Record
+	maxCrashes int
+	findings   map[Fingerprint]Finding
+	// explained holds the incarnations whose crash is attributed to a refused request.
+	explained map[fleet.ID]bool
+	// candidates are the requests with enough crashes that are not evaluated yet.
+	candidates []*Record
+	// timeline caches crashesByTime.
+	timeline []Crash
+}
+
+func (e *evaluation) isExplained(target fleet.ID) bool { return e.explained[target] }
+
+// takeMostSuspect removes and returns the candidate with the most unexplained crashes among
+// those to refuse; nil if there is none.
+func (e *evaluation) takeMostSuspect() *Record {
+	var worst *Record
+	most := 0
+	for _, r := range e.candidates {
+		if n := r.unexplainedCrashes(e.isExplained); n > most && n >= e.maxCrashes && e.shouldRefuse(r) {
+			worst, most = r, n
+		}
+	}
+	if worst != nil {
+		e.drop(worst)
+	}
+	return worst
+}
+
+func (e *evaluation) drop(r *Record) {
+	e.candidates = slices.DeleteFunc(e.candidates, func(other *Record) bool { return other == r })
+}
+
+// tied returns another candidate with as many crashes that shares so many of them that r has too
+// few of its own; nil if there is none.
+func (e *evaluation) tied(r *Record) *Record {
+	n := r.unexplainedCrashes(e.isExplained)
+	for _, other := range e.candidates {
+		if other.unexplainedCrashes(e.isExplained) != n || !e.shouldRefuse(other) {
+			continue
+		}
+		if shared := e.sharedCrashes(r, other); shared > 0 && n-shared < e.maxCrashes {
+			return other
+		}
+	}
+	return nil
+}
+
+// sharedCrashes counts the unexplained crashes that two requests have in common.
+func (e *evaluation) sharedCrashes(a, b *Record) int {
+	n := 0
+	for _, c := range a.Crashes {
+		if !e.explained[c.Target] && b.hasCrash(c.Target) {
+			n++
+		}
+	}
+	return n
+}
+
+// shouldRefuse reports whether a candidate's unexplained crashes suffice to refuse it.
+func (e *evaluation) shouldRefuse(r *Record) bool {
+	crashes, need, perStep := r.unexplainedCrashes(e.isExplained), e.maxCrashes, exemptServedPerStep
+	otherCrashes := e.crashesWithout(r, backgroundWindow)
+	if otherCrashes > 0 {
+		perStep = exemptServedPerStepAmongCrashes
+	}
+	if otherCrashes >= crashes && !e.coincidenceUnlikely(r, otherCrashes) || r.Served > 0 && e.coincidenceLikely(r, otherCrashes) {
+		need += extraCrashes
+	}
+	// Served counts from the first crash on, which spans one step less.
+	if r.Served >= perStep*max(r.unexplainedSteps(e.isExplained)-1, 1) {
+		return false
+	}
+	return r.unexplainedSteps(e.isExplained) >= need || crashes >= need && e.crashesWithout(r, concurrentWindow) == 0
+}
+
+// Bounds on the probability that all of a request's crashes are coincidences, given the crash
+// rate at the time: below the first they are not, above the second they may well be.
+const (
+	unlikelyProbability = 0.0001
+	likelyProbability   = 0.02
+)
+
+// coincidenceUnlikely and coincidenceLikely report whether the request's crashes are known to be
+// no coincidence, or known to be a plausible one. The first matters if targets also crash on
+// their own while a request crashes its targets right after each send, the second in a series of
+// crashes that a popular request meets by chance.
+func (e *evaluation) coincidenceUnlikely(r *Record, otherCrashes int) bool {
+	probability, known := e.coincidenceProbability(r, otherCrashes)
+	return known && probability < unlikelyProbability
+}
+
+func (e *evaluation) coincidenceLikely(r *Record, otherCrashes int) bool {
+	probability, known := e.coincidenceProbability(r, otherCrashes)
+	return known && probability > likelyProbability
+}
+
+// coincidenceProbability returns the probability that a crash hits each of the request's crashed
+// runs by chance, at the crash rate around them. It returns false if the duration of a run is
+// unknown.
+func (e *evaluation) coincidenceProbability(r *Record, otherCrashes int) (float64, bool) {
+	first, last := e.crashInterval(r, backgroundWindow)
+	span := max(last.Sub(first), minCrashInterval)
+	crashRate := float64(otherCrashes+r.unexplainedCrashes(e.isExplained)) / span.Seconds()
+	probability := 1.0
+	for _, c := range r.Crashes {
+		if e.explained[c.Target] {
+			continue
+		}
+		if c.Elapsed == 0 {
+			return 0, false
+		}
+		probability *= 1 - math.Exp(-crashRate*c.Elapsed.Seconds())
+	}
+	return probability, true
+}
+
+// minCrashInterval is the shortest interval used to compute a crash rate.
+const minCrashInterval = 100 * time.Millisecond
+
+// crashInterval returns the times of the first and last crash of any target between margin
+// before the request's first crash and concurrentWindow after its last.
+func (e *evaluation) crashInterval(r *Record, margin time.Duration) (first, last time.Time) {
+	from, to := r.crashSpan()
+	for _, c := range e.crashesByTime() {
+		if c.At.Before(from.Add(-margin)) || c.At.After(to.Add(concurrentWindow)) || e.explained[c.Target] {
+			continue
+		}
+		if first.IsZero() {
+			first = c.At
+		}
+		last = c.At
+	}
+	return first, last
+}
+
+// crashesWithout counts the crashes of other targets between margin before the request's first
+// crash and concurrentWindow after its last.
+func (e *evaluation) crashesWithout(r *Record, margin time.Duration) int {
+	first, last := r.crashSpan()
+	all := e.crashesByTime()
+	from, _ := slices.BinarySearchFunc(all, first.Add(-margin), func(c Crash, t time.Time) int { return c.At.Compare(t) })
+	n := 0
+	for _, c := range all[from:] {
+		if c.At.After(last.Add(concurrentWindow)) {
+			break
+		}
+		if !e.explained[c.Target] && !r.hasCrash(c.Target) {
+			n++
+		}
+	}
+	return n
+}
+
+// crashesByTime returns the crash of each incarnation once, ordered by time.
+func (e *evaluation) crashesByTime() []Crash {
+	if e.timeline != nil {
+		return e.timeline
+	}
+	earliest := map[fleet.ID]time.Time{}
+	for _, r := range e.records {
+		for _, c := range r.Crashes {
+			if at, ok := earliest[c.Target]; !ok || c.At.Before(at) {
+				earliest[c.Target] = c.At
+			}
+		}
+	}
+	for target, at := range earliest {
+		e.timeline = append(e.timeline, Crash{Target: target, At: at})
+	}
+	slices.SortFunc(e.timeline, func(a, b Crash) int { return a.At.Compare(b.At) })
+	return e.timeline
+}
--- a/internal/gateway/quarantine/runs.go
+++ b/internal/gateway/quarantine/runs.go
@@ -7,66 +7,63 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// Run is one send of a request that is under way.
+// Run is a run of a request on a target.
 type Run struct {
-	print  Print
-	target fleet.ID
-	// known is how many ends of the request were known when it was sent.
-	known int
-	// giveUp ends the send; nil for one that may not be made twice.
-	giveUp func()
-	// probation is set for the run of a refused request.
+	fingerprint Fingerprint
+	target      fleet.ID
+	// knownCrashes is the number of attributed crashes when the run started.
+	knownCrashes int
+	// cancel cancels the run; nil if it must not be repeated.
+	cancel func()
+	// probation is set if the request was refused when the run started.
 	probation bool
-	// begun is set once its answer has begun: the target runs it, and to leave now saves
-	// nothing.
-	begun bool
+	// responding is set once the response has started; cancelling then no longer protects the
+	// target.
+	responding bool
 }
 
-// Start notes a send that begins. giveUp ends it when another target has ended under the
-// same request; nil keeps it.
-func (b *Book) Start(p Print, target fleet.ID, giveUp func()) *Run {
-	run := &Run{print: p, target: target, giveUp: giveUp}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r := b.records[p]; r != nil {
-		run.known = len(r.Ends)
-		run.probation = b.found[p] == MustNotRun
+// StartRun records a run that starts now. The registry calls cancel if another target crashes
+// under the same request; nil exempts the run.
+func (q *Registry) StartRun(fp Fingerprint, target fleet.ID, cancel func()) *Run {
+	run := &Run{fingerprint: fp, target: target, cancel: cancel}
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if r := q.records[fp]; r != nil {
+		run.knownCrashes = len(r.Crashes)
+		run.probation = q.findings[fp] == MustNotRun
 	}
-	b.runs[p] = append(b.runs[p], run)
+	q.runs[fp] = append(q.runs[fp], run)
 	return run
 }
 
-// Begun notes that a send's answer has begun.
-func (b *Book) Begun(run *Run) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	run.begun = true
+// MarkResponding records that the response of a run has started.
+func (q *Registry) MarkResponding(run *Run) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	run.responding = true
 }
 
-// Done notes that a send has ended.
-func (b *Book) Done(run *Run) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	left := slices.DeleteFunc(b.runs[run.print], func(o *Run) bool { return o == run })
-	if len(left) == 0 {
-		delete(b.runs, run.print)
+// EndRun records that a run has ended.
+func (q *Registry) EndRun(run *Run) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	remaining := slices.DeleteFunc(q.runs[run.fingerprint], func(other *Run) bool { return other == run })
+	if len(remaining) == 0 {
+		delete(q.runs, run.fingerprint)
 		return
 	}
-	b.runs[run.print] = left
+	q.runs[run.fingerprint] = remaining
 }
 
-// giveUp ends the sends of a suspect that wait at other targets.
-//
-// The failure guarded against: repeats that were sent before an end became known wait in
-// the queues of other targets, and end each of them when their turn comes. A trial goes
-// on: it was begun with all that was known, and is the one that tells.
-func (b *Book) giveUp(r *Record, now time.Time) {
-	for _, run := range b.runs[r.Print] {
-		trial := r.tried(now) && run.target == r.Trial.Target && (b.found[r.Print] == 0 || run.probation)
-		if run.giveUp == nil || run.begun || trial || run.known >= len(r.Ends) || r.end(run.target) {
+// cancelRuns cancels a suspect's runs that were sent before its last crash was known. They may
+// still be queued at other targets and would crash these, too. A probation run continues.
+func (q *Registry) cancelRuns(r *Record, now time.Time) {
+	for _, run := range q.runs[r.Fingerprint] {
+		isProbationRun := r.probationRunActive(now) && run.target == r.ProbationRun.Target && (q.findings[r.Fingerprint] == 0 || run.probation)
+		if run.cancel == nil || run.responding || isProbationRun || run.knownCrashes >= len(r.Crashes) || r.hasCrash(run.target) {
 			continue
 		}
-		run.giveUp()
-		run.giveUp = nil
+		run.cancel()
+		run.cancel = nil
 	}
 }
--- /dev/null
+++ b/internal/gateway/quarantine/scenarios_test.go
@@ -0,0 +1,171 @@
+package quarantine
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A request that crashes every engine and is retried at all entries must crash only the engines
+// that it takes to refuse it, at any size of the deployment. No other request is refused.
+func TestFatalRequestCrashesFewEngines(t *testing.T) {
+	for _, size := range []struct{ entries, engines int }{{3, 9}, {30, 60}, {103, 180}} {
+		for seed := range uint64(3) {
+			s := simulate(fullQuarantine, workload{entries: size.entries, engines: size.engines, fatal: 1, fatalEvery: 200 * time.Millisecond, requestsPerEngine: 5, loss: 0.01, duration: 30 * time.Second}, seed)
+			// inFlight is the number of attempts sent while the first one is queued and runs.
+			const inFlight = 2
+			if n := s.crashesBy[1]; n < 3 || n > 3+inFlight {
+				t.Errorf("%d entries, seed %d: %d engines crashed", size.entries, seed, n)
+			}
+			if s.ordinaryRefused > 0 {
+				t.Errorf("%d entries, seed %d: %d of %d other requests were refused", size.entries, seed, s.ordinaryRefused, s.ordinarySent)
+			}
+		}
+	}
+}
+
+// Simultaneous unrelated crashes of half or all of the engines must not get a request refused.
+func TestUnrelatedCrashesRefuseNoRequest(t *testing.T) {
+	for _, load := range []workload{
+		{entries: 4, engines: 9, crashEvery: 3 * time.Second, crashes: 9, requestsPerEngine: 8, duration: 60 * time.Second},
+		{entries: 30, engines: 60, crashEvery: 3 * time.Second, crashes: 30, requestsPerEngine: 8, duration: 30 * time.Second},
+	} {
+		requireNoRefusals(t, load)
+	}
+}
+
+// Unrelated crashes that hit a third of all runs must not get a request refused.
+func TestFrequentUnrelatedCrashesRefuseNoRequest(t *testing.T) {
+	requireNoRefusals(t, workload{entries: 4, engines: 9, crashEvery: 300 * time.Millisecond, crashes: 1, requestsPerEngine: 8, duration: 60 * time.Second})
+}
+
+func requireNoRefusals(t *testing.T, load workload) {
+	t.Helper()
+	for seed := range uint64(3) {
+		if s := simulate(fullQuarantine, load, seed); s.ordinaryRefused > 0 {
+			t.Errorf("%+v, seed %d: %d of %d requests were refused", load, seed, s.ordinaryRefused, s.ordinarySent)
+		}
+	}
+}
+
+// Several fatal requests must each crash few engines, and no other request is refused.
+func TestSeveralFatalRequestsAtOnce(t *testing.T) {
+	for seed := range uint64(3) {
+		s := simulate(fullQuarantine, workload{entries: 4, engines: 18, fatal: 4, fatalEvery: 300 * time.Millisecond, requestsPerEngine: 5, duration: 30 * time.Second}, seed)
+		for fp, n := range s.crashesBy {
+			// Two fatal requests on the same engine need one more crash each to be told apart.
+			if n > 7 {
+				t.Errorf("seed %d: request %d crashed %d engines", seed, fp, n)
+			}
+		}
+		if s.ordinaryRefused > 0 {
+			t.Errorf("seed %d: %d of %d other requests were refused", seed, s.ordinaryRefused, s.ordinarySent)
+		}
+	}
+}
+
+// A network partition between entries must not let a fatal request crash more engines than each
+// half needs to refuse it. Afterwards all entries know it, and only its probation run crashes
+// another.
+func TestPartitionedEntries(t *testing.T) {
+	for seed := range uint64(3) {
+		load := workload{entries: 30, engines: 60, fatal: 1, fatalEvery: 200 * time.Millisecond, requestsPerEngine: 5, loss: 0.01, partitionFor: 10 * time.Second, duration: 11 * time.Second}
+		duringPartition := simulate(fullQuarantine, load, seed)
+		const inFlight = 2
+		if n := duringPartition.crashesBy[1]; n > 2*(3+inFlight) {
+			t.Errorf("seed %d: %d engines crashed during the partition", seed, n)
+		}
+		load.duration = 30 * time.Second
+		afterPartition := simulate(fullQuarantine, load, seed)
+		const probationRuns = 1
+		if afterPartition.crashesBy[1] > duringPartition.crashesBy[1]+probationRuns {
+			t.Errorf("seed %d: %d engines crashed during the partition, %d in total", seed, duringPartition.crashesBy[1], afterPartition.crashesBy[1])
+		}
+		for _, n := range afterPartition.nodes {
+			if n.Status(1, afterPartition.clock()).Verdict != Refused {
+				t.Errorf("seed %d: entry %d does not refuse the fatal request", seed, n.id)
+			}
+		}
+		if afterPartition.ordinaryRefused > 0 {
+			t.Errorf("seed %d: %d other requests were refused", seed, afterPartition.ordinaryRefused)
+		}
+	}
+}
+
+// A fatal request that keeps being retried may crash engines on its limited probation runs only.
+func TestFatalRequestOnProbation(t *testing.T) {
+	for _, size := range []struct{ entries, engines int }{{4, 9}, {30, 60}} {
+		for seed := range uint64(2) {
+			s := simulate(fullQuarantine, workload{entries: size.entries, engines: size.engines, fatal: 1, fatalEvery: 200 * time.Millisecond, requestsPerEngine: 3, loss: 0.01, duration: 90 * time.Second}, seed)
+			const inFlight = 2
+			if n := s.crashesBy[1]; n > 3+inFlight+maxProbations {
+				t.Errorf("%d entries, seed %d: %d engines crashed", size.entries, seed, n)
+			}
+			// Allow a few sends after lateMargin, including the probation runs.
+			const allowedLate = 3
+			if n := s.fatalSentLate; n > allowedLate {
+				t.Errorf("%d entries, seed %d: sent %d times later than %s after the third crash", size.entries, seed, n, lateMargin)
+			}
+			if s.ordinaryRefused > 0 {
+				t.Errorf("%d entries, seed %d: %d other requests were refused", size.entries, seed, s.ordinaryRefused)
+			}
+		}
+	}
+}
+
+// A request that crashes only some engines and is served by the others must still be refused.
+func TestRequestThatCrashesSomeEngines(t *testing.T) {
+	for seed := range uint64(5) {
+		s := simulate(fullQuarantine, workload{entries: 4, engines: 18, fatal: 1, fatalEvery: 200 * time.Millisecond, requestsPerEngine: 5, immuneShare: 0.66, duration: 60 * time.Second}, seed)
+		const inFlight = 2
+		if n := s.crashesBy[1]; n > 3+inFlight {
+			t.Errorf("seed %d: %d engines crashed", seed, n)
+		}
+		if s.ordinaryRefused > 0 {
+			t.Errorf("seed %d: %d other requests were refused", seed, s.ordinaryRefused)
+		}
+	}
+}
+
+// TestCompareStrategies prints the effect of each strategy: engines crashed per fatal request,
+// other requests refused or failed, and announcement traffic.
+//
+//	go test -run TestCompareStrategies -v ./internal/gateway/quarantine
+func TestCompareStrategies(t *testing.T) {
+	if !testing.Verbose() {
+		t.Skip("prints a comparison table; run with -v")
+	}
+	for _, load := range []workload{
+		{entries: 4, engines: 9, fatal: 1, fatalEvery: 200 * time.Millisecond, requestsPerEngine: 8, loss: 0.01, duration: 20 * time.Second},
+		{entries: 4, engines: 9, fatal: 1, fatalEvery: 20 * time.Millisecond, requestsPerEngine: 8, loss: 0.01, duration: 20 * time.Second},
+		{entries: 4, engines: 9, fatal: 4, fatalEvery: 100 * time.Millisecond, requestsPerEngine: 8, loss: 0.01, duration: 20 * time.Second},
+		{entries: 30, engines: 60, fatal: 4, fatalEvery: 20 * time.Millisecond, requestsPerEngine: 8, loss: 0.01, duration: 10 * time.Second},
+	} {
+		t.Logf("%d entries, %d engines, %d fatal requests, each every %v", load.entries, load.engines, load.fatal, load.fatalEvery)
+		for _, strat := range []strategy{noQuarantine, localOnly, announceOnly, withApart, withAlone, fullQuarantine} {
+			crashed, sent, refused, failed, ordinary := 0, 0, 0, 0, 0
+			const seeds = 5
+			for seed := range uint64(seeds) {
+				s := simulate(strat, load, seed)
+				for _, n := range s.crashesBy {
+					crashed += n
+				}
+				sent += s.fatalSent
+				refused, failed, ordinary = refused+s.ordinaryRefused, failed+s.ordinaryFailed, ordinary+s.ordinarySent
+			}
+			t.Logf("%-40s each crashed %5.1f engines, was sent %6.1f times; of %d other requests %5.1f were refused, %6.1f failed", strat.name,
+				float64(crashed)/seeds/float64(load.fatal), float64(sent)/seeds/float64(load.fatal), ordinary/seeds, float64(refused)/seeds, float64(failed)/seeds)
+		}
+	}
+	for _, size := range []struct{ entries, engines int }{{3, 9}, {30, 60}, {103, 180}, {420, 600}} {
+		load := workload{entries: size.entries, engines: size.engines, fatal: 1, fatalEvery: 200 * time.Millisecond, requestsPerEngine: 5, loss: 0.01, duration: 20 * time.Second}
+		s := simulate(fullQuarantine, load, 1)
+		refusals := s.refusedAt[1]
+		last := time.Duration(0)
+		if len(refusals) > 0 {
+			last = refusals[len(refusals)-1] - s.thirdCrashAt[1]
+		}
+		entrySeconds := float64(size.entries) * load.duration.Seconds()
+		t.Logf("%3d entries: %d engines crashed; %d refusals, the last %v after the third crash; per second and entry %s", size.entries, s.crashesBy[1], len(refusals), last, fmt.Sprintf("%.1f datagrams, %.0f bytes", float64(s.datagrams)/entrySeconds, float64(s.bytes)/entrySeconds))
+	}
+}
--- /dev/null
+++ b/internal/gateway/quarantine/simulation_test.go
@@ -0,0 +1,462 @@
+package quarantine
+
+import (
+	"cmp"
+	"container/heap"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
+	"github.com/toucanwell/toucanwell/internal/gateway/placement"
+)
+
+// strategy selects the measures that entries take against fatal requests.
+type strategy struct {
+	name string
+	// announce shares records between entries, apart pins suspects to a target, alone runs
+	// suspects with two crashes one at a time, and cancelQueued cancels their queued runs
+	// elsewhere. Without evaluate no request is refused.
+	evaluate, announce, apart, alone, cancelQueued bool
+}
+
+var (
+	noQuarantine   = strategy{name: "no quarantine"}
+	localOnly      = strategy{name: "no announcements", evaluate: true}
+	announceOnly   = strategy{name: "announce", evaluate: true, announce: true}
+	withApart      = strategy{name: "announce, apart", evaluate: true, announce: true, apart: true}
+	withAlone      = strategy{name: "announce, apart, alone", evaluate: true, announce: true, apart: true, alone: true}
+	fullQuarantine = strategy{name: "announce, apart, alone, cancel", evaluate: true, announce: true, apart: true, alone: true, cancelQueued: true}
+)
+
+// workload is the size of the deployment, the requests and the faults.
+type workload struct {
+	entries, engines int
+	// fatal is the number of requests that crash the engines they run on, fatalEvery the mean
+	// time between two attempts of each, at random entries.
+	fatal      int
+	fatalEvery time.Duration
+	// crashEvery is the time between unrelated crashes, crashes the number of engines that crash
+	// at once; zero for none.
+	crashEvery time.Duration
+	crashes    int
+	// requestsPerEngine is the rate of other requests per second and engine.
+	requestsPerEngine int
+	// loss is the fraction of lost datagrams.
+	loss float64
+	// partitionFor is how long the two halves of the entries can't reach each other, from the
+	// first second on.
+	partitionFor time.Duration
+	// immuneShare is the fraction of engines that serve fatal requests without crashing.
+	immuneShare float64
+	duration    time.Duration
+}
+
+const (
+	simFanOut        = 24 // receivers of a broadcast, as in the mesh
+	simRestartTime   = 2500 * time.Millisecond
+	simCrashDelay    = 80 * time.Millisecond // from the start of a fatal request to the crash
+	simLatency       = 2 * time.Millisecond
+	simAnnounceDelay = 5 * time.Millisecond
+	simRetryPause    = 10 * time.Millisecond
+	simMaxWait       = time.Second // for a probation run
+	// lateMargin is how long after its third crash sends of a fatal request count as late.
+	lateMargin = 3 * time.Second
+)
+
+// sim simulates a deployment with real registries on a virtual clock.
+type sim struct {
+	strategy
+	workload
+	random     *rand.Rand
+	now        time.Duration
+	events     eventQueue
+	nodes      []*simEntry
+	simEngines []*simEngine
+	sequence   int
+	// Results.
+	crashesBy        map[Fingerprint]int
+	fatalSent        int
+	fatalSentLate    int
+	ordinarySent     int
+	ordinaryRefused  int
+	ordinaryFailed   int
+	datagrams, bytes int
+	refusedAt        map[Fingerprint][]time.Duration
+	firstCrashAt     map[Fingerprint]time.Duration
+	thirdCrashAt     map[Fingerprint]time.Duration
+}
+
+type simEntry struct {
+	*Registry
+	id              int
+	announcePending bool
+}
+
+type simEngine struct {
+	hash        uint64
+	incarnation fleet.ID
+	upAt        time.Duration
+	running     map[*simAttempt]bool
+}
+
+// simAttempt is one attempt of a caller.
+type simAttempt struct {
+	number        int
+	entry         *simEntry
+	fingerprint   Fingerprint
+	family        uint64
+	fatal         bool
+	callerRetries bool
+	sendsLeft     int
+	waitingSince  time.Duration
+	step          int
+	probationRun  bool
+	sentAt        time.Duration
+	engine        *simEngine
+	run           *Run
+	sends         int
+}
+
+type simEvent struct {
+	dueAt time.Duration
+	seq   int
+	fn    func()
+}
+
+type eventQueue []simEvent
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].dueAt < q[j].dueAt || q[i].dueAt == q[j].dueAt && q[i].seq < q[j].seq
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+func (s *sim) schedule(d time.Duration, fn func()) {
+	s.sequence++
+	heap.Push(&s.events, simEvent{s.now + d, s.sequence, fn})
+}
+
+func (s *sim) clock() time.Time { return testStart.Add(s.now) }
+
+func simulate(strat strategy, load workload, seed uint64) *sim {
+	s := &sim{
+		strategy: strat, workload: load, random: rand.New(rand.NewPCG(seed, 7)), crashesBy: map[Fingerprint]int{},
+		refusedAt: map[Fingerprint][]time.Duration{}, firstCrashAt: map[Fingerprint]time.Duration{}, thirdCrashAt: map[Fingerprint]time.Duration{},
+	}
+	limits := testLimits
+	limits.MaxRecords = 2000
+	if !strat.evaluate {
+		limits.MaxCrashes = 1 << 30
+	}
+	for i := range load.entries {
+		limits.ProbationDelay = func(Fingerprint) time.Duration { return min(time.Duration(i)*200*time.Millisecond, 3*time.Second) }
+		s.nodes = append(s.nodes, &simEntry{Registry: NewRegistry(limits, simObserver{s}), id: i})
+	}
+	for range load.engines {
+		e := &simEngine{hash: s.random.Uint64()}
+		s.simEngines = append(s.simEngines, e)
+		s.startEngine(e)
+	}
+	for i := range load.fatal {
+		s.schedule(time.Second, func() { s.sendFatal(Fingerprint(1 + i)) })
+	}
+	s.schedule(0, s.sendOrdinary)
+	if load.crashEvery > 0 {
+		s.schedule(load.crashEvery, s.crashEngines)
+	}
+	if strat.announce {
+		for _, n := range s.nodes {
+			s.schedule(time.Duration(s.random.Int64N(int64(s.heartbeatPeriod()))), func() { s.heartbeat(n) })
+		}
+	}
+	for len(s.events) > 0 && s.now < load.duration {
+		e := heap.Pop(&s.events).(simEvent)
+		s.now = e.dueAt
+		e.fn()
+	}
+	return s
+}
+
+// simObserver records when each entry refuses a request.
+type simObserver struct{ s *sim }
+
+func (o simObserver) CrashAttributed(*Record, Crash, bool) {}
+func (o simObserver) FindingChanged(r *Record, _, now Finding, _ bool) {
+	if now == MustNotRun {
+		o.s.refusedAt[r.Fingerprint] = append(o.s.refusedAt[r.Fingerprint], o.s.now)
+	}
+}
+func (o simObserver) Cleared(*Record)          {}
+func (o simObserver) Released(*Record, bool)   {}
+func (o simObserver) Evicted(*Record)          {}
+func (o simObserver) ProbationStarted(*Record) {}
+
+func (s *sim) startEngine(e *simEngine) {
+	s.sequence++
+	e.incarnation, e.upAt, e.running = fleet.ID(s.sequence), s.now, map[*simAttempt]bool{}
+}
+
+func (s *sim) sendFatal(fp Fingerprint) {
+	s.dispatch(&simAttempt{entry: s.nodes[s.random.IntN(len(s.nodes))], fingerprint: fp, family: uint64(fp) * 7919, fatal: true, sendsLeft: 2, waitingSince: s.now})
+	s.schedule(time.Duration(float64(s.fatalEvery)*(0.2+1.6*s.random.Float64())), func() { s.sendFatal(fp) })
+}
+
+func (s *sim) sendOrdinary() {
+	s.sequence++
+	s.ordinarySent++
+	s.dispatch(&simAttempt{entry: s.nodes[s.random.IntN(len(s.nodes))], fingerprint: Fingerprint(s.random.Uint64()), family: s.random.Uint64(), callerRetries: true, sendsLeft: 2, waitingSince: s.now})
+	mean := time.Second / time.Duration(s.requestsPerEngine*s.engines)
+	s.schedule(time.Duration(float64(mean)*2*s.random.Float64()), s.sendOrdinary)
+}
+
+// crashEngines crashes random engines for an unrelated reason.
+func (s *sim) crashEngines() {
+	for range s.crashes {
+		s.crashEngine(s.simEngines[s.random.IntN(len(s.simEngines))], nil)
+	}
+	s.schedule(s.crashEvery, s.crashEngines)
+}
+
+// dispatch sends an attempt to an engine, defers it or refuses it.
+func (s *sim) dispatch(a *simAttempt) {
+	if a.number == 0 {
+		s.sequence++
+		a.number = s.sequence
+	}
+	st := a.entry.Status(a.fingerprint, s.clock())
+	if st.Verdict == Refused {
+		if !a.fatal {
+			s.ordinaryRefused++
+		}
+		return
+	}
+	key, alone := a.family, false
+	if s.apart && st.Verdict != Free {
+		key, alone = uint64(a.fingerprint), s.alone && st.Verdict == Alone
+	}
+	e := s.pickEngine(a, key, alone)
+	if st.Verdict == Held {
+		e = nil
+	}
+	if e == nil || alone && !a.entry.StartProbationRun(a.fingerprint, e.incarnation, s.clock()) {
+		if s.now-a.waitingSince < simMaxWait {
+			s.schedule(simRetryPause, func() { s.dispatch(a) })
+		} else {
+			s.failAttempt(a)
+		}
+		return
+	}
+	a.engine, a.step, a.probationRun, a.sentAt = e, st.Step, alone, s.now
+	e.running[a] = true
+	a.sendsLeft--
+	a.sends++
+	if a.fatal {
+		s.fatalSent++
+		if third, ok := s.thirdCrashAt[a.fingerprint]; ok && s.now > third+lateMargin {
+			s.fatalSentLate++
+		}
+	}
+	var cancel func()
+	if s.cancelQueued {
+		sends := a.sends
+		cancel = func() { s.schedule(0, func() { s.cancelSend(a, sends) }) }
+	}
+	a.run = a.entry.StartRun(a.fingerprint, e.incarnation, cancel)
+	sends := a.sends
+	queueTime := time.Duration(20+s.random.IntN(280)) * time.Millisecond
+	s.schedule(queueTime, func() { s.execute(a, e, sends) })
+}
+
+// pickEngine returns the running engine that ranks first for a key.
+func (s *sim) pickEngine(a *simAttempt, key uint64, alone bool) *simEngine {
+	var best *simEngine
+	for _, e := range s.simEngines {
+		if s.now < e.upAt || alone && a.entry.RunsOtherSuspect(e.incarnation, a.fingerprint, s.clock()) {
+			continue
+		}
+		if best == nil || placement.Rank(key, e.hash) < placement.Rank(key, best.hash) {
+			best = e
+		}
+	}
+	return best
+}
+
+// execute runs an attempt on an engine, unless it was cancelled or the engine crashed.
+func (s *sim) execute(a *simAttempt, e *simEngine, sends int) {
+	if a.engine != e || a.sends != sends || !e.running[a] {
+		return
+	}
+	if a.fatal && placement.Rank(1, e.hash) >= s.immuneShare {
+		incarnation := e.incarnation
+		s.schedule(simCrashDelay, func() {
+			if e.incarnation == incarnation && s.now >= e.upAt {
+				s.crashEngine(e, a)
+			}
+		})
+		return
+	}
+	s.schedule(150*time.Millisecond, func() {
+		if a.sends == sends && e.running[a] {
+			delete(e.running, a)
+			s.finishRun(a)
+			a.entry.MarkServed(a.fingerprint)
+			s.announceSoon(a.entry)
+		}
+	})
+}
+
+func (s *sim) finishRun(a *simAttempt) {
+	a.entry.EndRun(a.run)
+	if a.probationRun {
+		a.entry.EndProbationRun(a.fingerprint, a.engine.incarnation)
+		a.probationRun = false
+	}
+}
+
+func (s *sim) cancelSend(a *simAttempt, sends int) {
+	if a.sends != sends || a.engine == nil || !a.engine.running[a] {
+		return
+	}
+	delete(a.engine.running, a)
+	s.finishRun(a)
+	s.retryOrFail(a)
+}
+
+// crashEngine crashes an engine; by is the fatal attempt or nil.
+func (s *sim) crashEngine(e *simEngine, by *simAttempt) {
+	if s.now < e.upAt {
+		return
+	}
+	if by != nil {
+		s.crashesBy[by.fingerprint]++
+		switch s.crashesBy[by.fingerprint] {
+		case 1:
+			s.firstCrashAt[by.fingerprint] = s.now
+		case 3:
+			s.thirdCrashAt[by.fingerprint] = s.now
+		}
+	}
+	incarnation, running := e.incarnation, e.running
+	s.startEngine(e)
+	e.upAt = s.now + simRestartTime
+	attempts := make([]*simAttempt, 0, len(running))
+	for a := range running {
+		attempts = append(attempts, a)
+	}
+	slices.SortFunc(attempts, func(a, b *simAttempt) int { return cmp.Compare(a.number, b.number) })
+	for _, a := range attempts {
+		probationRun := a.probationRun
+		a.probationRun = false
+		a.entry.EndRun(a.run)
+		a.engine = nil
+		s.schedule(simLatency, func() {
+			a.entry.AttributeCrash(a.fingerprint, Caller{}, Crash{Target: incarnation, Step: a.step, At: s.clock(), Elapsed: s.now - a.sentAt})
+			if probationRun {
+				a.entry.EndProbationRun(a.fingerprint, incarnation)
+			}
+			s.announceSoon(a.entry)
+			s.retryOrFail(a)
+		})
+	}
+}
+
+// retryOrFail sends a broken attempt again if it has sends left.
+func (s *sim) retryOrFail(a *simAttempt) {
+	if a.sendsLeft > 0 {
+		a.waitingSince = s.now
+		s.dispatch(a)
+		return
+	}
+	s.failAttempt(a)
+}
+
+// failAttempt fails an attempt. Its caller may retry at another entry.
+func (s *sim) failAttempt(a *simAttempt) {
+	if a.fatal {
+		return
+	}
+	if !a.callerRetries {
+		s.ordinaryFailed++
+		return
+	}
+	s.schedule(100*time.Millisecond, func() {
+		s.dispatch(&simAttempt{entry: s.nodes[s.random.IntN(len(s.nodes))], fingerprint: a.fingerprint, family: a.family, sendsLeft: 2, waitingSince: s.now})
+	})
+}
+
+func (s *sim) heartbeatPeriod() time.Duration {
+	if len(s.nodes) > simFanOut {
+		return 400 * time.Millisecond
+	}
+	return 100 * time.Millisecond
+}
+
+func (s *sim) heartbeat(n *simEntry) {
+	s.announceRecords(n, n.NextToAnnounce(8, s.clock()))
+	s.schedule(s.heartbeatPeriod(), func() { s.heartbeat(n) })
+}
+
+// announceSoon announces pending updates after a short delay.
+func (s *sim) announceSoon(n *simEntry) {
+	if !s.announce || n.announcePending {
+		return
+	}
+	n.announcePending = true
+	s.schedule(simAnnounceDelay, func() {
+		n.announcePending = false
+		s.announceRecords(n, n.TakeUpdates(1<<30))
+	})
+}
+
+func (s *sim) announceRecords(from *simEntry, records []Record) {
+	const perDatagram = 1100
+	for len(records) > 0 {
+		size, n := 0, 0
+		for n < len(records) && size < perDatagram {
+			size += proto.Size(ToMessage(&records[n], s.clock()))
+			n++
+		}
+		s.broadcast(from, records[:n], size)
+		records = records[n:]
+	}
+}
+
+func (s *sim) broadcast(from *simEntry, records []Record, size int) {
+	sentAt := s.clock()
+	reached := 0
+	for _, i := range s.random.Perm(len(s.nodes)) {
+		to := s.nodes[i]
+		if to == from {
+			continue
+		}
+		if reached++; reached > simFanOut {
+			return
+		}
+		s.datagrams++
+		s.bytes += size
+		if s.random.Float64() < s.loss || s.partitioned(from, to) {
+			continue
+		}
+		s.schedule(simLatency, func() {
+			for i := range records {
+				to.Merge(FromMessage(ToMessage(&records[i], sentAt), s.clock()), len(s.nodes) > simFanOut, s.clock())
+			}
+			to.Reevaluate(s.clock())
+			s.announceSoon(to)
+		})
+	}
+}
+
+// partitioned reports whether two entries can't reach each other.
+func (s *sim) partitioned(from, to *simEntry) bool {
+	return s.now < time.Second+s.partitionFor && (from.id < len(s.nodes)/2) != (to.id < len(s.nodes)/2)
+}
