--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -51,7 +51,7 @@
 
 func newEntry(p *process) *entry {
 	e := &entry{beliefs: p.beliefs, ledger: ledger.New(), parts: parts.NewBook(), reach: &reach.Book{}, caches: map[fleet.ID]time.Time{}, changed: map[fleet.ID]bool{}}
-	e.health = health.NewBook(func(life fleet.Life, until time.Time, failures, others float64, outcome health.Outcome) {
+	e.health = health.NewBook(func(life fleet.Incarnation, until time.Time, failures, others float64, outcome health.Outcome) {
 		p.logger.Info("target_rested", "target", life, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
 			"failures", math.Round(100*failures)/100, "others", math.Round(100*others)/100, "outcome", outcome.String())
 	})
@@ -169,7 +169,7 @@
 
 func (e *entry) tellChanged() {
 	now := e.beliefs.clock.Now()
-	e.beliefs.mesh.TellEntries(func(beat *peerv1.Beat) {
+	e.beliefs.mesh.BroadcastToEntries(func(beat *peerv1.Beat) {
 		for target := range e.changed {
 			beat.Loads = append(beat.Loads, probe.LoadOut(target, e.ledger.OwnAt(target, now)))
 		}
@@ -196,8 +196,8 @@
 		e.limits.heard(m)
 	}
 	if m.Entry {
-		e.ledger.Told(m.Address, loadsOf(m.Beat), m.Beat.Partial, now)
-		for _, p := range m.Beat.Parts {
+		e.ledger.Told(m.Address, loadsOf(m.Heartbeat), m.Heartbeat.Partial, now)
+		for _, p := range m.Heartbeat.Parts {
 			e.parts.Told(parts.Fact{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
 		}
 		e.suspects.heard(m)
@@ -214,7 +214,7 @@
 
 // learnCache takes in what a cache holds by its own word.
 func (e *entry) learnCache(m *mesh.Member, now time.Time) {
-	c := m.Beat.Cache
+	c := m.Heartbeat.Cache
 	if c == nil || len(c.Parts) != len(c.Tokens) {
 		return
 	}
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -169,7 +169,7 @@
 	}
 	routes = append(routes, estate.Route{
 		Name: "prompt", Host: host, PathPrefix: "/prompt/", Kind: estate.Stream, Timeout: 2 * time.Second, MaxAttempts: 1,
-		Prompted: true, Backends: []estate.Backend{{Service: "engines", Weight: 1}},
+		HasPrompts: true, Backends: []estate.Backend{{Service: "engines", Weight: 1}},
 	})
 	services := []estate.Service{
 		{Name: "plain"},
@@ -181,14 +181,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{view: &view.View{Estate: e, Targets: map[string][]fleet.Target{}, Entries: 1}}
+	w := &world{view: &view.View{Estate: e, Targets: map[string][]fleet.Target{}, EntryCount: 1}}
 	directory := fleet.NewDirectory()
 	for _, tg := range targets {
 		address := netip.MustParseAddrPort(tg.listener.Addr().String())
-		directory.List(fleet.Listing{Life: fleet.Life{Instance: tg.instance}, Service: "plain", Address: address, Zone: "a", Slots: 4}, 1, time.Now())
-		directory.List(fleet.Listing{Life: fleet.Life{Instance: tg.instance + "-engine"}, Service: "engines", Address: address, Zone: "a", Slots: 4, Weights: map[string]int64{model: 3}}, 1, time.Now())
+		directory.Add(fleet.Listing{Incarnation: fleet.Incarnation{Instance: tg.instance}, Service: "plain", Address: address, Zone: "a", Slots: 4}, 1, time.Now())
+		directory.Add(fleet.Listing{Incarnation: fleet.Incarnation{Instance: tg.instance + "-engine"}, Service: "engines", Address: address, Zone: "a", Slots: 4, Weights: map[string]int64{model: 3}}, 1, time.Now())
 	}
-	w.view.Targets = directory.Targets(func(string) bool { return true }, time.Now(), fleet.Following{})
+	w.view.Targets = directory.Targets(func(string) bool { return true }, time.Now(), fleet.SyncState{})
 	w.view.Wanted = map[string]weights.History{}
 	w.pool = upstream.NewPool(func() {})
 	w.Forwarder = New(Deps{
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -79,7 +79,7 @@
 // same request. One that runs at most once is kept: it may have begun.
 func (fl *flow) startRun(to *destination, cancel context.CancelCauseFunc) *quarantine.Run {
 	var giveUp func()
-	if fl.route.Repeatable() {
+	if fl.route.Retryable() {
 		giveUp = func() { cancel(errApart) }
 	}
 	return fl.Quarantine.Start(fl.print, to.target.ID, giveUp)
@@ -128,8 +128,8 @@
 	}
 	d := fl.doubt(to)
 	evidence := fl.Endings.Ended(ctx, v, d)
-	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.print, "target", to.target.Life, "evidence", string(evidence),
-		"list_age", fl.since(v.ListedAt), "step", d.Step, "ran", tenth(time.Since(fl.sentAt)))
+	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.print, "target", to.target.Incarnation, "evidence", string(evidence),
+		"list_age", fl.since(v.TargetsCurrentAt), "step", d.Step, "ran", tenth(time.Since(fl.sentAt)))
 	if evidence != quarantine.NoEvidence {
 		fl.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
 	}
@@ -145,7 +145,7 @@
 	}
 	doubts, evidence := f.Endings.Settle(v, f.Now())
 	for i, d := range doubts {
-		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Print, "target", d.Target.Life, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
+		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Print, "target", d.Target.Incarnation, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
 		f.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
 	}
 }
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -33,15 +33,15 @@
 	if fl.cause != "" {
 		log = fl.Logger
 	}
-	heard := fl.view.Engines[to.target.Life]
-	phase, age := heard.Phase, fl.since(heard.HeardAt)
+	heard := fl.view.Engines[to.target.Incarnation]
+	phase, age := heard.Phase, fl.since(heard.ReceivedAt)
 	if to.probed {
 		phase, age = to.word.Phase, to.word.ReportAge
 	}
 	log.Info("request_sent", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "cause", fl.cause, "last_event", fl.lastEvent,
 		"route", fl.routeName(), "service", fl.serviceName(), "workspace", fl.workspaceName(), "estate", fl.estateVersion(),
-		"target", to.target.Life, "address", to.target.Address, "zone", to.target.Zone,
-		"list_age", fl.since(fl.view.ListedAt), "listed", !to.target.Unlisted, "asked", to.asked, "word_age", age, "phase", phase.String(),
+		"target", to.target.Incarnation, "address", to.target.Address, "zone", to.target.Zone,
+		"list_age", fl.since(fl.view.TargetsCurrentAt), "listed", !to.target.Unlisted, "asked", to.asked, "word_age", age, "phase", phase.String(),
 		"weights", to.weights, "wanted", fl.view.Wanted[fl.request.Model].Newest(),
 		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", family(to), "answer", fl.request.MaxTokens, "held", to.choice.Held, "fetched", to.choice.Fetched, "fetch_from", to.fetchFrom, "save_to", to.saveTo,
 		"late", to.choice.Late, "urgency", to.choice.Urgency, "wait", tenth(to.choice.Wait), "read", tenth(to.choice.Read), "fetch", tenth(to.choice.Fetch),
@@ -69,7 +69,7 @@
 	if err != nil {
 		detail = err.Error()
 	}
-	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "target", to.target.Life,
+	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "target", to.target.Incarnation,
 		"status", status, "error", detail, "after", tenth(time.Since(fl.sentAt)))
 }
 
--- a/internal/gateway/health/health_test.go
+++ b/internal/gateway/health/health_test.go
@@ -11,7 +11,7 @@
 
 func note(b *Book, instance string, now time.Time, outcomes ...Outcome) {
 	for _, o := range outcomes {
-		b.Note("s", fleet.Life{Instance: instance}, o, now)
+		b.Note("s", fleet.Incarnation{Instance: instance}, o, now)
 	}
 }
 
@@ -21,22 +21,22 @@
 	b := NewBook(nil)
 	now := start
 	note(b, "x", now, Unreachable)
-	if _, ok := b.Rested(now)[fleet.Life{Instance: "x"}]; !ok {
+	if _, ok := b.Rested(now)[fleet.Incarnation{Instance: "x"}]; !ok {
 		t.Fatal("not rested")
 	}
-	first := b.Rested(now)[fleet.Life{Instance: "x"}].Sub(now)
+	first := b.Rested(now)[fleet.Incarnation{Instance: "x"}].Sub(now)
 	now = now.Add(first + time.Millisecond)
 	if len(b.Rested(now)) != 0 {
 		t.Error("rests on")
 	}
 	note(b, "x", now, Unreachable)
-	if again := b.Rested(now)[fleet.Life{Instance: "x"}].Sub(now); again <= first {
+	if again := b.Rested(now)[fleet.Incarnation{Instance: "x"}].Sub(now); again <= first {
 		t.Errorf("rests for %v, then for %v", first, again)
 	}
 	now = now.Add(maxRest)
 	note(b, "x", now, Good)
 	note(b, "x", now, Unreachable)
-	if after := b.Rested(now)[fleet.Life{Instance: "x"}].Sub(now); after != firstRest {
+	if after := b.Rested(now)[fleet.Incarnation{Instance: "x"}].Sub(now); after != firstRest {
 		t.Errorf("after a good answer it rests for %v", after)
 	}
 }
@@ -50,10 +50,10 @@
 		note(b, "grey", start, Good, Failed)
 	}
 	rested := b.Rested(start)
-	if _, ok := rested[fleet.Life{Instance: "grey"}]; !ok {
+	if _, ok := rested[fleet.Incarnation{Instance: "grey"}]; !ok {
 		t.Error("the failing target is used on")
 	}
-	if _, ok := rested[fleet.Life{Instance: "fine"}]; ok {
+	if _, ok := rested[fleet.Incarnation{Instance: "fine"}]; ok {
 		t.Error("the good target is rested")
 	}
 }
@@ -90,12 +90,12 @@
 // sound and gets work at once.
 func TestNextLifeIsNotRested(t *testing.T) {
 	b := NewBook(nil)
-	b.Note("s", fleet.Life{Instance: "x", Born: 1}, Unreachable, start)
+	b.Note("s", fleet.Incarnation{Instance: "x", StartedMs: 1}, Unreachable, start)
 	rested := b.Rested(start)
-	if _, ok := rested[fleet.Life{Instance: "x", Born: 1}]; !ok {
+	if _, ok := rested[fleet.Incarnation{Instance: "x", StartedMs: 1}]; !ok {
 		t.Error("the life that could not be reached is not rested")
 	}
-	if _, ok := rested[fleet.Life{Instance: "x", Born: 2}]; ok {
+	if _, ok := rested[fleet.Incarnation{Instance: "x", StartedMs: 2}]; ok {
 		t.Error("the next life is rested")
 	}
 }
--- a/internal/gateway/probe/probe.go
+++ b/internal/gateway/probe/probe.go
@@ -39,7 +39,7 @@
 // Answer is what a sidecar says of its engine.
 type Answer struct {
 	// Life of the engine; its instance is empty while the sidecar does not know it.
-	Life fleet.Life
+	Life fleet.Incarnation
 	// Weights are the versions of its models.
 	Weights map[string]int64
 	Phase   weights.Phase
@@ -153,7 +153,7 @@
 
 func answerOut(a *Answer) *peerv1.EngineAnswer {
 	e := &peerv1.EngineState{
-		Instance: a.Life.Instance, Born: a.Life.Born, Phase: phasesOut[a.Phase],
+		Instance: a.Life.Instance, Born: a.Life.StartedMs, Phase: phasesOut[a.Phase],
 	}
 	for model, version := range a.Weights {
 		e.Weights = append(e.Weights, &peerv1.ModelWeights{Model: model, Version: version})
@@ -168,7 +168,7 @@
 func answerIn(in *peerv1.EngineAnswer) Answer {
 	e := in.GetEngine()
 	a := Answer{
-		Life: fleet.Life{Instance: e.GetInstance(), Born: e.GetBorn()}, Phase: phasesIn[e.GetPhase()], Weights: map[string]int64{},
+		Life: fleet.Incarnation{Instance: e.GetInstance(), StartedMs: e.GetBorn()}, Phase: phasesIn[e.GetPhase()], Weights: map[string]int64{},
 		Held: int(in.Held), Coming: in.Coming, Pace: float64(in.Pace) / paceUnit, Ill: in.Ill, ReportAge: fromMs(in.ReportAgeMs), Saved: in.Saved, Holder: addressIn(in.Holder),
 	}
 	if in.Load != nil {
--- a/internal/gateway/quarantine/endings.go
+++ b/internal/gateway/quarantine/endings.go
@@ -99,7 +99,7 @@
 	switch {
 	case known && listed.Leaving:
 		return NoEvidence
-	case v.Silent[d.Target.Address]:
+	case v.Unresponsive[d.Target.Address]:
 		return SilentToSidecar
 	case !known && !d.Unlisted && !replaced(v, &d.Target):
 		return NoEvidence // it was taken off the list before it ended: as planned
@@ -210,15 +210,15 @@
 // told is what the view says of the end of a doubt's target.
 func told(v *view.View, d *Doubt, known bool) Evidence {
 	switch {
-	case v.Silent[d.Target.Address]:
+	case v.Unresponsive[d.Target.Address]:
 		return SilentToSidecar
 	case known || d.Unlisted:
 		return NoEvidence
 	case replaced(v, &d.Target):
 		return OtherLife
-	case v.Engines[d.Target.Life].HeardAt.Sub(d.At) > silenceShows:
+	case v.Engines[d.Target.Incarnation].ReceivedAt.Sub(d.At) > silenceShows:
 		return NoEvidence // its sidecar still reports it: it has left and serves on
-	case v.ListedAt.After(d.At):
+	case v.TargetsCurrentAt.After(d.At):
 		return Unlisted
 	default:
 		return NoEvidence
@@ -229,7 +229,7 @@
 func replaced(v *view.View, t *fleet.Target) bool {
 	for _, list := range v.Targets {
 		for i := range list {
-			if list[i].Address == t.Address && !list[i].Life.Same(t.Life) {
+			if list[i].Address == t.Address && !list[i].Incarnation.Matches(t.Incarnation) {
 				return true
 			}
 		}
@@ -247,7 +247,7 @@
 func find(v *view.View, t *fleet.Target) (*fleet.Target, bool) {
 	list := v.Targets[t.Service]
 	for i := range list {
-		if list[i].Life.Same(t.Life) {
+		if list[i].Incarnation.Matches(t.Incarnation) {
 			return &list[i], true
 		}
 	}
--- a/internal/gateway/quarantine/endings_test.go
+++ b/internal/gateway/quarantine/endings_test.go
@@ -14,12 +14,12 @@
 var engineAt = netip.MustParseAddrPort("10.0.0.1:80")
 
 func life(instance string, born int64) fleet.Target {
-	return fleet.NewTarget(fleet.Listing{Life: fleet.Life{Instance: instance, Born: born}, Service: "engines", Address: engineAt})
+	return fleet.NewTarget(fleet.Listing{Incarnation: fleet.Incarnation{Instance: instance, StartedMs: born}, Service: "engines", Address: engineAt})
 }
 
 // shows is a view with some targets, as listed at a time.
 func shows(listedAt time.Time, targets ...fleet.Target) *view.View {
-	return &view.View{Targets: map[string][]fleet.Target{"engines": targets}, Silent: map[netip.AddrPort]bool{}, ListedAt: listedAt}
+	return &view.View{Targets: map[string][]fleet.Target{"engines": targets}, Unresponsive: map[netip.AddrPort]bool{}, TargetsCurrentAt: listedAt}
 }
 
 func leaving(t fleet.Target) fleet.Target {
@@ -28,7 +28,7 @@
 }
 
 func silent(v *view.View) *view.View {
-	v.Silent[engineAt] = true
+	v.Unresponsive[engineAt] = true
 	return v
 }
 
@@ -63,7 +63,7 @@
 
 // reported adds a sidecar's word of a target that was heard at a time.
 func reported(v *view.View, t fleet.Target, heardAt time.Time) *view.View {
-	v.Engines = map[fleet.Life]view.EngineWord{t.Life: {HeardAt: heardAt}}
+	v.Engines = map[fleet.Incarnation]view.EngineReport{t.Incarnation: {ReceivedAt: heardAt}}
 	return v
 }
 
--- a/internal/gateway/readtime/pace.go
+++ b/internal/gateway/readtime/pace.go
@@ -44,15 +44,15 @@
 // health is good. It is safe for concurrent use.
 type Paces struct {
 	mu  sync.Mutex
-	all map[fleet.Life]pace
+	all map[fleet.Incarnation]pace
 }
 
 // NewPaces returns paces of which nothing is known.
-func NewPaces() *Paces { return &Paces{all: map[fleet.Life]pace{}} }
+func NewPaces() *Paces { return &Paces{all: map[fleet.Incarnation]pace{}} }
 
 // Note takes in how long the first event of a request took at an engine, and how
 // long was expected.
-func (p *Paces) Note(life fleet.Life, took, expected time.Duration, now time.Time) {
+func (p *Paces) Note(life fleet.Incarnation, took, expected time.Duration, now time.Time) {
 	if expected < minExpected {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // Of returns by how much an engine is slower than predicted.
-func (p *Paces) Of(life fleet.Life, now time.Time) float64 {
+func (p *Paces) Of(life fleet.Incarnation, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one, known := p.all[life]
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -90,7 +90,7 @@
 	if !ok {
 		return longestTurn
 	}
-	return min(turnTime*time.Duration(v.EntriesBefore), longestTurn)
+	return min(turnTime*time.Duration(v.EntryRank), longestTurn)
 }
 
 func (s *suspects) start() {
@@ -122,7 +122,7 @@
 	size := 0
 	flush := func() {
 		if len(batch) > 0 {
-			s.process.beliefs.mesh.TellEntries(func(beat *peerv1.Beat) { beat.Suspects = batch })
+			s.process.beliefs.mesh.BroadcastToEntries(func(beat *peerv1.Beat) { beat.Suspects = batch })
 		}
 		batch, size = nil, 0
 	}
@@ -159,8 +159,8 @@
 // others at once, each passes news on: all know after a few hops.
 func (s *suspects) heard(m *mesh.Member) {
 	now := s.process.clock.Now()
-	passOn := len(m.Beat.Suspects) > 0 && len(s.process.beliefs.mesh.Live(true)) > mesh.FanOut
-	for _, told := range m.Beat.Suspects {
+	passOn := len(m.Heartbeat.Suspects) > 0 && len(s.process.beliefs.mesh.Live(true)) > mesh.FanOut
+	for _, told := range m.Heartbeat.Suspects {
 		s.book.Merge(quarantine.FromMessage(told, now), passOn, now)
 	}
 	s.book.Settle(now)
