--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -1,5 +1,5 @@
-// Package view holds what traffic goes by: an immutable picture of all beliefs
-// of a process, made anew by the control thread when one of them changes.
+// Package view defines the immutable snapshot of a process's control state that the request
+// path reads. The control thread publishes a new View after each change.
 package view
 
 import (
@@ -11,61 +11,61 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/weights"
 )
 
-// EngineReport is what an engine's sidecar said last.
+// EngineReport is the last report of an engine's sidecar.
 type EngineReport struct {
 	Service string
 	Address netip.AddrPort
 	Zone    string
 	Weights map[string]int64
 	Phase   weights.Phase
-	// PhaseSince is when the phase began, as heard.
+	// PhaseSince is when the first report with this phase was received.
 	PhaseSince time.Time
-	// Running and Queued are the engine's own counts.
+	// Running and Queued are the engine's own counts of requests.
 	Running, Queued int
-	// StartedAfter is when the sidecar last saw another life at the address; zero when it
+	// StartedAfter is when the sidecar last saw another incarnation at the address; zero if it
 	// has seen none.
 	StartedAfter time.Time
 	ReceivedAt   time.Time
 }
 
-// View is one picture. It does not change.
+// View is an immutable snapshot of a process's control state.
 type View struct {
 	Estate *estate.Estate
-	// RawEstate is the platform's record that the estate was read from.
+	// RawEstate is the platform's record from which Estate was parsed.
 	RawEstate []byte
-	// EstateCurrentAt is when what operators declare was last known to be complete.
+	// EstateCurrentAt is when the replica of the operators' topic was last current.
 	EstateCurrentAt time.Time
-	// Targets by service, as the list was at ListedAt.
+	// Targets by service, as of TargetsCurrentAt.
 	Targets          map[string][]fleet.Target
 	TargetsCurrentAt time.Time
-	// Engines by life, for those whose sidecars were heard lately.
+	// Engines holds the recent reports of engines' sidecars.
 	Engines map[fleet.Incarnation]EngineReport
-	// Unresponsive are the addresses of engines that do not answer their own sidecars.
+	// Unresponsive holds the addresses of engines that do not answer their own sidecars.
 	Unresponsive map[netip.AddrPort]bool
-	// Wanted versions by model.
+	// Wanted is the history of wanted weight versions by model.
 	Wanted map[string]weights.History
-	// LargeFleet fleets do not tell all entries of all engines: entries ask the sidecars of
-	// the engines that they consider.
+	// LargeFleet is set when sidecars do not broadcast to all entries. Entries then query the
+	// sidecars of the engines that they consider.
 	LargeFleet bool
-	// EntryCount is how many entries live, this one included, and EntryRank how many of them
-	// come before it in the order of their names.
+	// EntryCount is the number of live entries, including this process if it is one. EntryRank
+	// is the number of those that precede it by name and are not leaving.
 	EntryCount, EntryRank int
-	// Stopping is set when the process ends soon; EndsAt is when, and PicksFrom
-	// is from when on it takes only requests that will have ended by then.
+	// Stopping is set while the process shuts down, which ends at ShutdownAt. From
+	// SelectiveFrom on it accepts only requests that it can finish by then.
 	Stopping                  bool
 	SelectiveFrom, ShutdownAt time.Time
 }
 
-// Version returns the weights of a model that a target has: as its sidecar
-// says, else as the lagging list shows.
+// Version returns the version of a model's weights at a target, from its sidecar's report or,
+// without one, from the list.
 func (v *View) Version(t *fleet.Target, model string) int64 {
-	if word, ok := v.Engines[t.Incarnation]; ok {
-		if version, ok := word.Weights[model]; ok {
+	if report, ok := v.Engines[t.Incarnation]; ok {
+		if version, ok := report.Weights[model]; ok {
 			return version
 		}
 	}
 	return t.Weights[model]
 }
 
-// Phase is what a target's sidecar said that it does about weights.
+// Phase returns the phase of loading weights that the target's sidecar last reported.
 func (v *View) Phase(t *fleet.Target) weights.Phase { return v.Engines[t.Incarnation].Phase }
