--- a/internal/gateway/mesh/fetch.go
+++ b/internal/gateway/mesh/fetch.go
@@ -15,26 +15,26 @@
 
 const fetchTimeout = 700 * time.Millisecond
 
-// TopicPage is what a process knows of a topic.
+// TopicPage is a page of a process's replica of a topic.
 type TopicPage struct {
 	feed.Page
-	// Age since the records were known to be all.
+	// Age is the time since the replica was last current.
 	Age time.Duration
 }
 
-// Server answers fetches of other processes.
+// Server serves pages of topics to other processes.
 type Server struct {
 	loop *control.Loop
-	// answer is asked on the control thread.
-	answer func(topic string, from uint64) (TopicPage, bool)
+	// lookup is called on the control thread.
+	lookup func(topic string, from uint64) (TopicPage, bool)
 }
 
-// NewServer returns a server; answer is asked on the control thread.
-func NewServer(loop *control.Loop, answer func(topic string, from uint64) (TopicPage, bool)) *Server {
-	return &Server{loop: loop, answer: answer}
+// NewServer returns a server. It calls lookup on the control thread.
+func NewServer(loop *control.Loop, lookup func(topic string, from uint64) (TopicPage, bool)) *Server {
+	return &Server{loop: loop, lookup: lookup}
 }
 
-// Handler returns the path and the handler of the Mesh service.
+// Handler returns the path and the handler for the Mesh service.
 func (s *Server) Handler() (string, http.Handler) { return peerv1.NewMeshHandler(s) }
 
 // Fetch implements the Mesh service.
@@ -50,34 +50,34 @@
 }
 
 func (s *Server) respond(req *peerv1.FetchRequest) *peerv1.FetchResponse {
-	a, ok := s.answer(req.Topic, req.From)
+	page, ok := s.lookup(req.Topic, req.From)
 	if !ok {
 		return &peerv1.FetchResponse{}
 	}
-	resp := &peerv1.FetchResponse{End: a.End, Whole: a.Full, AgeMs: uint32(a.Age.Milliseconds())}
-	for _, r := range a.Records {
+	resp := &peerv1.FetchResponse{End: page.End, Whole: page.Full, AgeMs: uint32(page.Age.Milliseconds())}
+	for _, r := range page.Records {
 		resp.Records = append(resp.Records, &peerv1.TopicRecord{Key: r.Key, Value: r.Value, Offset: r.Offset, Dropped: r.Value == nil})
 	}
 	return resp
 }
 
-// Fetch asks another process for the records of a topic from an offset on.
-func Fetch(ctx context.Context, client *http.Client, from netip.AddrPort, topic string, offset uint64) (TopicPage, error) {
+// Fetch fetches the records of a topic from an offset on from another process.
+func Fetch(ctx context.Context, client *http.Client, peer netip.AddrPort, topic string, offset uint64) (TopicPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	peer := peerv1.NewMeshClient(client, "http://"+from.String())
-	resp, err := peer.Fetch(ctx, connect.NewRequest(&peerv1.FetchRequest{Topic: topic, From: offset}))
+	rpc := peerv1.NewMeshClient(client, "http://"+peer.String())
+	resp, err := rpc.Fetch(ctx, connect.NewRequest(&peerv1.FetchRequest{Topic: topic, From: offset}))
 	if err != nil {
 		return TopicPage{}, err
 	}
-	a := TopicPage{Age: time.Duration(resp.Msg.AgeMs) * time.Millisecond}
-	a.End, a.Full = resp.Msg.End, resp.Msg.Whole
+	page := TopicPage{Age: time.Duration(resp.Msg.AgeMs) * time.Millisecond}
+	page.End, page.Full = resp.Msg.End, resp.Msg.Whole
 	for _, r := range resp.Msg.Records {
 		value := r.Value
 		if r.Dropped {
 			value = nil
 		}
-		a.Records = append(a.Records, feed.Record{Key: r.Key, Value: value, Offset: r.Offset})
+		page.Records = append(page.Records, feed.Record{Key: r.Key, Value: value, Offset: r.Offset})
 	}
-	return a, nil
+	return page, nil
 }
--- a/internal/gateway/mesh/mesh.go
+++ b/internal/gateway/mesh/mesh.go
@@ -1,8 +1,7 @@
-// Package mesh lets the processes of a deployment hear of each other: who
-// lives, what each knows, and what each does.
+// Package mesh exchanges membership and state between the processes of a deployment.
 //
-// Processes send each other heartbeats as datagrams, which are small, frequent
-// and may be lost. What is too large for one is fetched by a call.
+// Processes send each other small, frequent heartbeats as datagrams, any of which may be lost.
+// Data that does not fit into a datagram is fetched by an RPC.
 package mesh
 
 import (
@@ -23,25 +22,26 @@
 )
 
 const (
-	// MaxDatagram bounds a heartbeat; longer ones are not sent. It fits into one
-	// packet of an Ethernet network.
+	// MaxDatagram is the maximum size of a heartbeat, which fits into one Ethernet packet.
+	// Larger ones are not sent.
 	MaxDatagram = 1400
-	// liveFor is how long a process counts as living after its last heartbeat.
-	liveFor = 2500 * time.Millisecond
-	// forgetAfter is how long a silent process is still sent heartbeats: it may
-	// be cut off and come back.
-	forgetAfter = 30 * time.Second
-	// FanOut bounds the receivers of one round. In larger fleets rounds go to one part
-	// of the processes after the other, so that each is reached by every so many.
+	// minHeartbeatTimeout is the shortest time without a heartbeat after which a process is no
+	// longer considered live.
+	minHeartbeatTimeout = 2500 * time.Millisecond
+	// memberRetention is how long heartbeats are still sent to a process that sends none. A
+	// network partition may separate it.
+	memberRetention = 30 * time.Second
+	// FanOut is the maximum number of receivers of a round. In larger fleets successive rounds
+	// go to different processes, so that each is reached once per rotation.
 	FanOut = 24
-	// missedRotations is how many times a process that sends to so many as this one may
-	// fail to be heard before it counts as silent: a datagram is lost now and then.
+	// missedRotations is the number of rotations without a heartbeat after which a process in
+	// a large fleet is no longer considered live. It tolerates lost datagrams.
 	missedRotations = 3
-	// mostReceivers bounds the datagrams that are sent at once, when something has
-	// changed or a process has just started: who is left out hears of it from the others.
-	mostReceivers = FanOut
-	// toldMembers is how many other processes a heartbeat names.
-	toldMembers = 3
+	// maxReceivers is the maximum number of datagrams of one broadcast. The other processes
+	// get the update from those that were reached.
+	maxReceivers = FanOut
+	// gossipMembers is the number of other processes whose addresses a heartbeat includes.
+	gossipMembers = 3
 )
 
 // Member is another process.
@@ -54,38 +54,36 @@
 	Incarnation uint64
 	Sequence    uint64
 	LastSeen    time.Time
-	// AliveSince is when this life of the process was first heard, or heard again after
-	// it had been silent.
+	// AliveSince is when the first heartbeat of this incarnation, or the first one after a
+	// heartbeat timeout, was received.
 	AliveSince time.Time
-	// StoppingSince is when the process was first heard to stop; zero while it does
-	// not.
+	// StoppingSince is when the process first announced that it stops; zero if it has not.
 	StoppingSince time.Time
-	// Heartbeat is the newest heartbeat.
+	// Heartbeat is the newest heartbeat received.
 	Heartbeat *peerv1.Beat
 }
 
-// Options are a mesh's surroundings. The functions are called on the control
-// thread.
+// Options configure a Mesh. The functions are called on the control thread.
 type Options struct {
-	// Self is this process, without its lists; each heartbeat starts from it.
+	// Self is the template of this process's heartbeats.
 	Self *peerv1.Beat
-	// Listen is where heartbeats arrive; every process has the same port.
+	// Listen is the address that receives heartbeats. All processes use the same port.
 	Listen netip.AddrPort
 	// Seeds are hosts on which other processes may run.
 	Seeds []netip.Addr
-	// Hosts returns further hosts on which processes may run.
+	// Hosts returns further hosts on which other processes may run.
 	Hosts func() []netip.Addr
-	// Compose fills in what this process tells of itself.
+	// Compose fills in the state that this process announces.
 	Compose func(*peerv1.Beat)
-	// OnHeartbeat is told of each newer heartbeat.
+	// OnHeartbeat is called for each heartbeat that is newer than the last of its sender.
 	OnHeartbeat func(*Member)
-	// Period returns the time between two rounds to processes of a role.
+	// Period returns the time between rounds to the entries or to the sidecars.
 	Period func(entries bool) time.Duration
 	Logger logr.Logger
 	Now    func() time.Time
 }
 
-// Mesh is this process's part. Its state is used on the control thread.
+// Mesh sends and receives this process's heartbeats. Its state is used on the control thread.
 type Mesh struct {
 	loop     *control.Loop
 	options  Options
@@ -93,78 +91,78 @@
 	members  map[netip.AddrPort]*Member
 	sequence uint64
 	stopped  bool
-	// same is how many members have this process's role, as of the last round.
-	same int
-	// due are the members of a role that this rotation has not reached yet.
-	due map[bool][]netip.AddrPort
+	// sameRole is the number of members with this process's role, as of the last round.
+	sameRole int
+	// pendingReceivers holds, by role, the members that the current rotation has yet to reach.
+	pendingReceivers map[bool][]netip.AddrPort
 }
 
-// New binds the address.
+// New returns a mesh that listens on options.Listen.
 func New(loop *control.Loop, options Options) (*Mesh, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(options.Listen))
 	if err != nil {
 		return nil, errors.Wrap(err, "mesh")
 	}
-	return &Mesh{loop: loop, options: options, conn: conn, members: map[netip.AddrPort]*Member{}, due: map[bool][]netip.AddrPort{}}, nil
+	return &Mesh{loop: loop, options: options, conn: conn, members: map[netip.AddrPort]*Member{}, pendingReceivers: map[bool][]netip.AddrPort{}}, nil
 }
 
-// Start begins to send and to receive.
+// Start starts sending and receiving heartbeats.
 func (m *Mesh) Start() {
 	go m.receive()
-	m.loop.Every(func() time.Duration { return m.options.Period(true) }, func() { m.round(true) })
-	m.loop.Every(func() time.Duration { return m.options.Period(false) }, func() { m.round(false) })
+	m.loop.Every(func() time.Duration { return m.options.Period(true) }, func() { m.sendRound(true) })
+	m.loop.Every(func() time.Duration { return m.options.Period(false) }, func() { m.sendRound(false) })
 }
 
-// Close ends receiving.
+// Close closes the socket.
 func (m *Mesh) Close() { _ = m.conn.Close() }
 
 func (m *Mesh) receive() {
 	datagram.Receive(m.conn, MaxDatagram, func(data []byte, from netip.AddrPort) {
-		beat := &peerv1.Beat{}
-		if proto.Unmarshal(data, beat) == nil {
-			m.loop.Post(func() { m.hear(from, beat) })
+		heartbeat := &peerv1.Beat{}
+		if proto.Unmarshal(data, heartbeat) == nil {
+			m.loop.Post(func() { m.handleHeartbeat(from, heartbeat) })
 		}
 	})
 }
 
-// hear takes in a heartbeat. The failure guarded against is an older one that
-// comes late: it would bring back what its sender has long taken back.
-func (m *Mesh) hear(from netip.AddrPort, beat *peerv1.Beat) {
+// handleHeartbeat processes a received heartbeat. It ignores one that arrives after a newer one,
+// which would restore outdated state.
+func (m *Mesh) handleHeartbeat(from netip.AddrPort, heartbeat *peerv1.Beat) {
 	member := m.members[from]
-	if member != nil && member.Incarnation == beat.Incarnation && member.Sequence >= beat.Sequence {
+	if member != nil && member.Incarnation == heartbeat.Incarnation && member.Sequence >= heartbeat.Sequence {
 		return
 	}
-	if beat.Partial && (member == nil || member.Incarnation != beat.Incarnation) {
-		return // its first whole heartbeat follows
+	if heartbeat.Partial && (member == nil || member.Incarnation != heartbeat.Incarnation) {
+		return // the first full heartbeat of this incarnation has not arrived yet
 	}
-	fresh := member == nil || m.options.Now().Sub(member.LastSeen) > m.liveFor(member.Entry) || member.Incarnation != beat.Incarnation
-	if fresh {
-		m.options.Logger.Info("peer_heard", "peer", beat.Name, "address", from, "entry", beat.Entry, "incarnation", beat.Incarnation)
+	isNew := member == nil || m.options.Now().Sub(member.LastSeen) > m.heartbeatTimeout(member.Entry) || member.Incarnation != heartbeat.Incarnation
+	if isNew {
+		m.options.Logger.Info("peer_heard", "peer", heartbeat.Name, "address", from, "entry", heartbeat.Entry, "incarnation", heartbeat.Incarnation)
 	}
 	if member == nil {
 		member = &Member{Address: from}
 		m.members[from] = member
 	}
-	if fresh {
+	if isNew {
 		member.AliveSince = m.options.Now()
 	}
-	if !beat.Partial {
-		member.noteStop(beat.Leaving, m.options.Now())
-		member.Name, member.Zone, member.Entry, member.Leaving = beat.Name, beat.Zone, beat.Entry, beat.Leaving
+	if !heartbeat.Partial {
+		member.setStopping(heartbeat.Leaving, m.options.Now())
+		member.Name, member.Zone, member.Entry, member.Leaving = heartbeat.Name, heartbeat.Zone, heartbeat.Entry, heartbeat.Leaving
 	}
-	member.Incarnation, member.Sequence = beat.Incarnation, beat.Sequence
-	member.LastSeen, member.Heartbeat = m.options.Now(), beat
-	for _, text := range beat.Members {
+	member.Incarnation, member.Sequence = heartbeat.Incarnation, heartbeat.Sequence
+	member.LastSeen, member.Heartbeat = m.options.Now(), heartbeat
+	for _, text := range heartbeat.Members {
 		if address, err := netip.ParseAddrPort(text); err == nil && address != m.options.Listen && m.members[address] == nil {
-			m.members[address] = &Member{Address: address, LastSeen: m.options.Now().Add(-m.liveFor(false))}
+			m.members[address] = &Member{Address: address, LastSeen: m.options.Now().Add(-m.heartbeatTimeout(false))}
 		}
 	}
 	m.options.OnHeartbeat(member)
 }
 
-func (m *Member) noteStop(stops bool, now time.Time) {
+func (m *Member) setStopping(stopping bool, now time.Time) {
 	switch {
-	case !stops:
+	case !stopping:
 		m.StoppingSince = time.Time{}
 	case m.StoppingSince.IsZero():
 		m.StoppingSince = now
@@ -175,10 +173,10 @@
 // control thread.
 func (m *Mesh) SetSeeds(seeds []netip.Addr) { m.options.Seeds = seeds }
 
-// Live returns the living processes of a role, in the order of their names.
+// Live returns the live entries or the live sidecars, sorted by name.
 func (m *Mesh) Live(entries bool) []*Member {
 	var live []*Member
-	within := m.liveFor(entries)
+	within := m.heartbeatTimeout(entries)
 	for _, member := range m.members {
 		if member.Heartbeat != nil && member.Entry == entries && m.options.Now().Sub(member.LastSeen) <= within {
 			live = append(live, member)
@@ -188,41 +186,40 @@
 	return live
 }
 
-// Known counts the other processes of a role that were heard lately and did not say that
-// they stop, and those of them that were not heard for half of the time in which a living
-// one is.
-func (m *Mesh) Known(entries bool) (known, silent int) {
+// Known returns the number of known processes of a role that are not stopping, and how many of
+// them have sent no heartbeat for half the heartbeat timeout.
+func (m *Mesh) Known(entries bool) (known, overdue int) {
 	for _, member := range m.members {
 		if member.Heartbeat == nil || member.Entry != entries || !member.StoppingSince.IsZero() {
 			continue
 		}
 		known++
-		if m.options.Now().Sub(member.LastSeen) > m.liveFor(entries)/2 {
-			silent++
+		if m.options.Now().Sub(member.LastSeen) > m.heartbeatTimeout(entries)/2 {
+			overdue++
 		}
 	}
-	return known, silent
+	return known, overdue
 }
 
-// lives reports whether a process was heard lately.
-func (m *Mesh) lives(member *Member) bool {
-	return m.options.Now().Sub(member.LastSeen) <= m.liveFor(member.Entry)
+// isLive reports whether a member's heartbeat timeout has not expired.
+func (m *Mesh) isLive(member *Member) bool {
+	return m.options.Now().Sub(member.LastSeen) <= m.heartbeatTimeout(member.Entry)
 }
 
-// liveFor is how long a process of a role counts as living after its last heartbeat. It
-// sends to all processes of this one's role in turn, as many a round as this one does.
-func (m *Mesh) liveFor(entry bool) time.Duration {
-	rounds := (m.same + FanOut) / FanOut
-	return max(liveFor, missedRotations*time.Duration(rounds)*m.options.Period(entry))
+// heartbeatTimeout returns how long a process of a role is considered live after its last
+// heartbeat. It grows with the number of rounds in a rotation through this process's role.
+func (m *Mesh) heartbeatTimeout(entry bool) time.Duration {
+	rounds := (m.sameRole + FanOut) / FanOut
+	return max(minHeartbeatTimeout, missedRotations*time.Duration(rounds)*m.options.Period(entry))
 }
 
-// ByAddress returns the process at an address, or nil.
+// ByAddress returns the member at an address, or nil.
 func (m *Mesh) ByAddress(address netip.AddrPort) *Member { return m.members[address] }
 
-// round sends one heartbeat to the processes of a role, and to the hosts of
-// which no process is known.
-func (m *Mesh) round(entries bool) {
-	m.forget()
+// sendRound sends a heartbeat to the members of a role. The sidecars' round also goes to hosts
+// without a known process.
+func (m *Mesh) sendRound(entries bool) {
+	m.expireMembers()
 	var to []netip.AddrPort
 	for _, member := range m.members {
 		if member.Heartbeat == nil && !entries || member.Heartbeat != nil && member.Entry == entries {
@@ -230,72 +227,68 @@
 		}
 	}
 	if len(to) > FanOut {
-		to = m.nextDue(entries, to)
+		to = m.nextReceivers(entries, to)
 	}
 	if !entries {
-		to = append(to, m.unheard()...)
+		to = append(to, m.unknownHosts()...)
 	}
-	m.send(to)
+	m.sendFull(to)
 }
 
-// nextDue returns the members that this round goes to.
-//
-// The failure guarded against: drawn anew for each round, one in four of the processes is
-// not reached in five rounds that could have reached all, and counts as silent.
-func (m *Mesh) nextDue(entries bool, all []netip.AddrPort) []netip.AddrPort {
-	due := m.due[entries]
+// nextReceivers returns the receivers of this round, up to FanOut. It goes through all members
+// in a random order before it starts again, so that none is left out for several rounds.
+func (m *Mesh) nextReceivers(entries bool, all []netip.AddrPort) []netip.AddrPort {
+	due := m.pendingReceivers[entries]
 	if len(due) == 0 {
 		due = all
 		rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	}
 	n := min(FanOut, len(due))
-	m.due[entries] = due[n:]
+	m.pendingReceivers[entries] = due[n:]
 	return due[:n:n]
 }
 
-// Broadcast sends a heartbeat to all living processes at once, when something has
-// changed that they should not learn a round later.
+// Broadcast sends a heartbeat to the live processes at once, for changes that should not wait
+// for the next round.
 func (m *Mesh) Broadcast() {
 	var to []netip.AddrPort
 	for _, member := range m.members {
-		if m.lives(member) {
+		if m.isLive(member) {
 			to = append(to, member.Address)
 		}
 	}
-	m.send(to)
+	m.sendFull(to)
 }
 
-// BroadcastToEntries sends the living entries a partial heartbeat, which holds only
-// what fill adds.
+// BroadcastToEntries sends the live entries a partial heartbeat with only what fill adds.
 func (m *Mesh) BroadcastToEntries(fill func(*peerv1.Beat)) {
 	var to []netip.AddrPort
 	for _, member := range m.members {
-		if member.Entry && m.lives(member) {
+		if member.Entry && m.isLive(member) {
 			to = append(to, member.Address)
 		}
 	}
-	m.sendBeat(to, func(beat *peerv1.Beat) {
-		beat.Partial, beat.Name, beat.Zone = true, "", ""
-		fill(beat)
+	m.sendHeartbeat(to, func(heartbeat *peerv1.Beat) {
+		heartbeat.Partial, heartbeat.Name, heartbeat.Zone = true, "", ""
+		fill(heartbeat)
 	})
 }
 
-// Introduce sends a heartbeat to the hosts of which no process is known. A process that
-// has just started hears of all others within a round trip, and not a period later.
-func (m *Mesh) Introduce() { m.send(m.unheard()) }
+// Introduce sends a heartbeat to the hosts without a known process. A process that has just
+// started thus learns of the others within a round trip.
+func (m *Mesh) Introduce() { m.sendFull(m.unknownHosts()) }
 
-// SendTo sends one process a whole heartbeat, with what fill adds: one that has
-// just started knows the sender from then on.
+// SendTo sends one process a full heartbeat with what fill adds. The receiver may not know this
+// process yet.
 func (m *Mesh) SendTo(to netip.AddrPort, fill func(*peerv1.Beat)) {
-	m.sendBeat([]netip.AddrPort{to}, func(beat *peerv1.Beat) {
-		m.options.Compose(beat)
-		fill(beat)
+	m.sendHeartbeat([]netip.AddrPort{to}, func(heartbeat *peerv1.Beat) {
+		m.options.Compose(heartbeat)
+		fill(heartbeat)
 	})
 }
 
-// unheard returns the addresses at hosts where a process may run that has not
-// been heard.
-func (m *Mesh) unheard() []netip.AddrPort {
+// unknownHosts returns the addresses of configured hosts without a known process.
+func (m *Mesh) unknownHosts() []netip.AddrPort {
 	var to []netip.AddrPort
 	for _, host := range append(m.options.Hosts(), m.options.Seeds...) {
 		address := netip.AddrPortFrom(host, m.options.Listen.Port())
@@ -306,64 +299,64 @@
 	return to
 }
 
-func (m *Mesh) forget() {
-	m.same = 0
+func (m *Mesh) expireMembers() {
+	m.sameRole = 0
 	for address, member := range m.members {
-		silent := m.options.Now().Sub(member.LastSeen)
+		silence := m.options.Now().Sub(member.LastSeen)
 		if member.Entry == m.options.Self.Entry {
-			m.same++
+			m.sameRole++
 		}
-		if silent > forgetAfter {
+		if silence > memberRetention {
 			delete(m.members, address)
 			continue
 		}
-		if silent > m.liveFor(member.Entry) && member.Heartbeat != nil && member.Name != "" && !member.Leaving {
-			member.Leaving = true // said once
-			m.options.Logger.Info("peer_silent", "peer", member.Name, "address", address, "silent_for", silent)
+		if silence > m.heartbeatTimeout(member.Entry) && member.Heartbeat != nil && member.Name != "" && !member.Leaving {
+			member.Leaving = true // log the event once
+			m.options.Logger.Info("peer_silent", "peer", member.Name, "address", address, "silent_for", silence)
 		}
 	}
 }
 
-// send sends a whole heartbeat.
-func (m *Mesh) send(to []netip.AddrPort) {
-	m.sendBeat(to, func(beat *peerv1.Beat) {
-		beat.Members = m.someMembers()
-		m.options.Compose(beat)
+// sendFull sends a full heartbeat.
+func (m *Mesh) sendFull(to []netip.AddrPort) {
+	m.sendHeartbeat(to, func(heartbeat *peerv1.Beat) {
+		heartbeat.Members = m.sampleMembers()
+		m.options.Compose(heartbeat)
 	})
 }
 
-func (m *Mesh) sendBeat(to []netip.AddrPort, fill func(*peerv1.Beat)) {
+func (m *Mesh) sendHeartbeat(to []netip.AddrPort, fill func(*peerv1.Beat)) {
 	if len(to) == 0 || m.stopped {
 		return
 	}
-	if len(to) > mostReceivers {
+	if len(to) > maxReceivers {
 		rand.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
-		to = to[:mostReceivers]
+		to = to[:maxReceivers]
 	}
-	beat := proto.Clone(m.options.Self).(*peerv1.Beat)
+	heartbeat := proto.Clone(m.options.Self).(*peerv1.Beat)
 	m.sequence++
-	beat.Sequence = m.sequence
-	fill(beat)
-	data, err := proto.Marshal(beat)
+	heartbeat.Sequence = m.sequence
+	fill(heartbeat)
+	data, err := proto.Marshal(heartbeat)
 	if err != nil || len(data) > MaxDatagram {
 		m.options.Logger.Info("beat_not_sent", "bytes", len(data), "error", err)
 		return
 	}
 	for _, address := range to {
-		// A datagram that cannot be sent is as good as lost; the next round follows.
+		// A datagram that cannot be sent counts as lost. The next round sends another.
 		_, _ = m.conn.WriteToUDPAddrPort(data, address)
 	}
 }
 
-func (m *Mesh) someMembers() []string {
-	var told []string
-	for address, member := range m.members { // in random order
-		if len(told) == toldMembers {
+func (m *Mesh) sampleMembers() []string {
+	var addresses []string
+	for address, member := range m.members { // map iteration order is random
+		if len(addresses) == gossipMembers {
 			break
 		}
-		if member.Heartbeat != nil && m.lives(member) {
-			told = append(told, address.String())
+		if member.Heartbeat != nil && m.isLive(member) {
+			addresses = append(addresses, address.String())
 		}
 	}
-	return told
+	return addresses
 }
--- a/internal/gateway/mesh/mesh_test.go
+++ b/internal/gateway/mesh/mesh_test.go
@@ -10,44 +10,44 @@
 	peerv1 "github.com/toucanwell/toucanwell/api/peer/v1"
 )
 
-// bench is a mesh without sockets, on a clock of the test's.
-type bench struct {
+// fakeMesh is a mesh without sockets and with a manual clock.
+type fakeMesh struct {
 	*Mesh
 	now time.Time
 }
 
-func newBench(period time.Duration) *bench {
-	b := &bench{now: time.Unix(1000, 0)}
-	b.Mesh = &Mesh{
+func newFakeMesh(period time.Duration) *fakeMesh {
+	f := &fakeMesh{now: time.Unix(1000, 0)}
+	f.Mesh = &Mesh{
 		options: Options{
 			Self: &peerv1.Beat{Name: "self", Entry: true}, Listen: netip.MustParseAddrPort("10.0.0.1:7000"),
 			OnHeartbeat: func(*Member) {}, Period: func(bool) time.Duration { return period },
-			Now: func() time.Time { return b.now }, Logger: logr.Discard(),
+			Now: func() time.Time { return f.now }, Logger: logr.Discard(),
 		},
-		members: map[netip.AddrPort]*Member{}, due: map[bool][]netip.AddrPort{},
+		members: map[netip.AddrPort]*Member{}, pendingReceivers: map[bool][]netip.AddrPort{},
 	}
-	return b
+	return f
 }
 
 func address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i / 250), byte(i%250 + 1)}), 7000)
 }
 
-func (b *bench) beat(i int, sequence uint64) {
-	b.hear(address(i), &peerv1.Beat{Name: address(i).String(), Entry: true, Incarnation: 1, Sequence: sequence})
+func (f *fakeMesh) heartbeat(i int, sequence uint64) {
+	f.handleHeartbeat(address(i), &peerv1.Beat{Name: address(i).String(), Entry: true, Incarnation: 1, Sequence: sequence})
 }
 
-// 102 other entries live, more than a round reaches. Drawn anew each round, some are not
-// reached for seconds and take this entry for dead. Each is reached once in five rounds.
-func TestEveryMemberIsReachedInTurn(t *testing.T) {
-	b := newBench(400 * time.Millisecond)
+// Each of 102 members, more than one round reaches, must be reached once in five rounds. Members
+// that are left out for seconds would consider this entry dead.
+func TestRotationReachesEveryMember(t *testing.T) {
+	f := newFakeMesh(400 * time.Millisecond)
 	var all []netip.AddrPort
 	for i := range 102 {
 		all = append(all, address(i))
 	}
 	reached := map[netip.AddrPort]int{}
 	for range 5 {
-		for _, to := range b.nextDue(true, append([]netip.AddrPort(nil), all...)) {
+		for _, to := range f.nextReceivers(true, append([]netip.AddrPort(nil), all...)) {
 			reached[to]++
 		}
 	}
@@ -61,43 +61,44 @@
 	}
 }
 
-// In a large fleet a heartbeat of a given entry comes every two seconds. One that is lost
-// must not make its sender look dead; a sender that died must be found out all the same.
-func TestLostHeartbeatIsNoDeath(t *testing.T) {
-	b := newBench(400 * time.Millisecond)
+// In a large fleet, where a member sends a heartbeat every two seconds, one lost heartbeat must
+// not make it look dead. A member that has died must still be detected.
+func TestLostHeartbeatDoesNotEndMember(t *testing.T) {
+	f := newFakeMesh(400 * time.Millisecond)
 	for i := range 102 {
-		b.beat(i, 1)
+		f.heartbeat(i, 1)
 	}
-	b.forget()
-	b.now = b.now.Add(2 * 5 * 400 * time.Millisecond) // two rotations
-	if live := len(b.Live(true)); live != 102 {
+	f.expireMembers()
+	f.now = f.now.Add(2 * 5 * 400 * time.Millisecond) // two rotations
+	if live := len(f.Live(true)); live != 102 {
 		t.Errorf("%d of 102 live after one lost heartbeat", live)
 	}
-	b.now = b.now.Add(10 * time.Second)
-	if live := len(b.Live(true)); live != 0 {
-		t.Errorf("%d of 102 live after ten silent seconds", live)
+	f.now = f.now.Add(10 * time.Second)
+	if live := len(f.Live(true)); live != 0 {
+		t.Errorf("%d of 102 live after ten seconds without heartbeats", live)
 	}
 }
 
-// A small fleet's heartbeats reach all in each round: a death is found as soon as ever.
-func TestSmallFleetFindsDeathsSoon(t *testing.T) {
-	b := newBench(100 * time.Millisecond)
+// In a small fleet, where each round reaches all members, a dead member must be detected within
+// minHeartbeatTimeout.
+func TestSmallFleetDetectsDeadMember(t *testing.T) {
+	f := newFakeMesh(100 * time.Millisecond)
 	for i := range 12 {
-		b.beat(i, 1)
+		f.heartbeat(i, 1)
 	}
-	b.forget()
-	b.now = b.now.Add(liveFor + time.Millisecond)
-	if live := len(b.Live(true)); live != 0 {
-		t.Errorf("%d live after %v", live, liveFor)
+	f.expireMembers()
+	f.now = f.now.Add(minHeartbeatTimeout + time.Millisecond)
+	if live := len(f.Live(true)); live != 0 {
+		t.Errorf("%d live after %v", live, minHeartbeatTimeout)
 	}
 }
 
-// An older heartbeat comes late. It must not bring back what its sender took back.
-func TestOlderHeartbeatChangesNothing(t *testing.T) {
-	b := newBench(100 * time.Millisecond)
-	b.beat(1, 5)
-	b.hear(address(1), &peerv1.Beat{Name: "late", Entry: true, Incarnation: 1, Sequence: 4, Leaving: true})
-	if m := b.ByAddress(address(1)); m.Name == "late" || m.Leaving {
+// A delayed heartbeat must not overwrite the state of a newer one.
+func TestDelayedHeartbeatIsIgnored(t *testing.T) {
+	f := newFakeMesh(100 * time.Millisecond)
+	f.heartbeat(1, 5)
+	f.handleHeartbeat(address(1), &peerv1.Beat{Name: "late", Entry: true, Incarnation: 1, Sequence: 4, Leaving: true})
+	if m := f.ByAddress(address(1)); m.Name == "late" || m.Leaving {
 		t.Errorf("member %+v", m)
 	}
 }
