--- a/internal/gateway/feed/feed.go
+++ b/internal/gateway/feed/feed.go
@@ -1,9 +1,8 @@
-// Package feed keeps copies of keyed topics: logs of which only the newest
-// record of each key counts.
+// Package feed keeps replicas of keyed topics: logs in which only the newest record of each
+// key counts.
 //
-// A copy is filled from the platform's store and from other processes alike.
-// Offsets decide which record of a key is newer, so that it does not matter in
-// which order and by which way records come, and a copy never goes back.
+// A replica is updated from the platform's store and from other processes. The record with
+// the highest offset wins, so records may arrive in any order and from any source.
 package feed
 
 import (
@@ -14,118 +13,116 @@
 // Record is the newest record of one key.
 type Record struct {
 	Key string
-	// Value is nil when the key was dropped.
+	// Value is nil if the record drops the key.
 	Value []byte
-	// Offset of the record in its topic.
+	// Offset is the record's position in its topic.
 	Offset uint64
 }
 
-// Snapshot is every key of a topic at some moment.
+// Snapshot holds the newest records of all keys of a topic.
 type Snapshot struct {
 	Records []Record
-	// End is the offset that the next append gets.
+	// End is the offset of the next record to be appended.
 	End uint64
 }
 
-// Page is what one copy of a topic hands to another.
+// Page holds records that one replica sends to another.
 type Page struct {
 	Snapshot
-	// Full pages hold every key that was not dropped. Other pages hold the
-	// records from the asked offset on, dropped keys included.
+	// Full is set if the page holds every key that was not dropped. Otherwise it holds the
+	// records from the requested offset on, including those that drop keys.
 	Full bool
 }
 
-// Replica is a copy of a topic. It is used by one thread.
+// Replica is a process's replica of a topic. It is not safe for concurrent use.
 type Replica struct {
 	records map[string]Record
-	// end is the offset up to which nothing is missing.
+	// end is the offset below which no record is missing.
 	end uint64
-	// dropsFrom is the offset from which on the copy knows which keys were
-	// dropped. A snapshot lacks the keys that were dropped before it.
-	dropsFrom uint64
-	// dropEnd is the offset after that of the newest drop.
+	// seenFrom is the offset from which on the replica has seen every drop. A snapshot does
+	// not include keys that were dropped before it.
+	seenFrom uint64
+	// dropEnd is the offset after the newest drop.
 	dropEnd uint64
-	// currentAt is the latest time at which the copy was known to hold all
-	// that the store had acknowledged.
+	// currentAt is the latest time at which the replica held all records that the store had
+	// acknowledged.
 	currentAt time.Time
-	// outageEnd is when the copy last became current again after it had not
-	// been for longer than outageGap.
+	// outageEnd is when the replica last became current after more than outageGap.
 	outageEnd time.Time
-	// outageBegin is when the copy was current last before that.
+	// outageBegin is when the replica was last current before outageEnd.
 	outageBegin time.Time
-	// firstCurrentAt is when the copy was current for the first time.
+	// firstCurrentAt is when the replica first became current.
 	firstCurrentAt time.Time
-	// followedSince is the time since which the copy has missed no change: that of the
-	// last snapshot, or of the first records.
-	followedSince time.Time
+	// completeSince is the time since which the replica has missed no change: that of the
+	// last snapshot or, without one, of the first records.
+	completeSince time.Time
 	outageGap     time.Duration
 }
 
-// NewReplica returns an empty copy. A time without word of the store that exceeds
-// outageGap counts as an outage.
+// NewReplica returns an empty replica. It regards more than outageGap between two times at
+// which it is current as an outage of the store.
 func NewReplica(outageGap time.Duration) *Replica {
 	return &Replica{records: map[string]Record{}, outageGap: outageGap}
 }
 
-// End is the offset from which to read on.
-func (c *Replica) End() uint64 { return c.end }
+// End returns the offset of the next record to read.
+func (r *Replica) End() uint64 { return r.end }
 
-// Position is how far a copy has got.
+// Position describes the offsets that a replica covers.
 type Position struct {
-	// End is the offset up to which nothing is missing.
+	// End is the offset below which no record is missing.
 	End uint64
 	// SeenFrom is the offset from which on every change was seen.
 	SeenFrom uint64
-	// DropEnd is the offset after that of the newest drop that was seen.
+	// DropEnd is the offset after the newest drop that was seen.
 	DropEnd uint64
 }
 
-// Position is how far the copy has got.
-func (c *Replica) Position() Position {
-	return Position{End: c.end, SeenFrom: c.dropsFrom, DropEnd: c.dropEnd}
+// Position returns the offsets that the replica covers.
+func (r *Replica) Position() Position {
+	return Position{End: r.end, SeenFrom: r.seenFrom, DropEnd: r.dropEnd}
 }
 
-// LacksDrop reports whether a copy at a position knows a drop that this one has not reached:
-// of a key that came and went since, perhaps, which neither holds.
-func (c *Replica) LacksDrop(p Position) bool { return p.DropEnd > c.end }
+// LacksDrop reports whether a replica at the position has seen a drop beyond this one's end. The
+// key may have been added and dropped in between, so that neither replica holds it.
+func (r *Replica) LacksDrop(p Position) bool { return p.DropEnd > r.end }
 
-// CoveredBy reports whether a copy at a position has seen every change since this one's end.
-// One that has not may miss drops, and its word shows nothing of them.
-func (c *Replica) CoveredBy(p Position) bool { return p.SeenFrom <= c.end }
+// CoveredBy reports whether a replica at the position has seen every change since this one's
+// end. Otherwise it may have missed drops.
+func (r *Replica) CoveredBy(p Position) bool { return p.SeenFrom <= r.end }
 
-// CurrentAt is when the copy last held all that the store had acknowledged;
-// zero when it never did.
-func (c *Replica) CurrentAt() time.Time { return c.currentAt }
+// CurrentAt returns when the replica last held all records that the store had acknowledged, or
+// zero if it never did.
+func (r *Replica) CurrentAt() time.Time { return r.currentAt }
 
-// OutageEnd is when the last outage of the store ended, as seen by this copy;
-// zero when there was none.
-func (c *Replica) OutageEnd() time.Time { return c.outageEnd }
+// OutageEnd returns when the replica first became current after the store's last outage, or zero
+// if there was none.
+func (r *Replica) OutageEnd() time.Time { return r.outageEnd }
 
-// OutageBegin is when the copy was current last before the last outage; zero when there was
-// none.
-func (c *Replica) OutageBegin() time.Time { return c.outageBegin }
+// OutageBegin returns when the replica was last current before the store's last outage, or zero
+// if there was none.
+func (r *Replica) OutageBegin() time.Time { return r.outageBegin }
 
-// FirstCurrentAt is when the copy held all that the store had acknowledged for the first
-// time; zero when it never did.
-func (c *Replica) FirstCurrentAt() time.Time { return c.firstCurrentAt }
+// FirstCurrentAt returns when the replica first held all records that the store had
+// acknowledged, or zero if it never did.
+func (r *Replica) FirstCurrentAt() time.Time { return r.firstCurrentAt }
 
-// CompleteSince is the time since which the copy has seen every change: that of the last
-// snapshot, or of the first records where there was none. It is zero before either.
-func (c *Replica) CompleteSince() time.Time { return c.followedSince }
+// CompleteSince returns the time since which the replica has seen every change: that of the last
+// snapshot or, without one, of the first records. It is zero before either.
+func (r *Replica) CompleteSince() time.Time { return r.completeSince }
 
 // Get returns the newest record of a key.
-func (c *Replica) Get(key string) (Record, bool) {
-	r, ok := c.records[key]
-	return r, ok && r.Value != nil
+func (r *Replica) Get(key string) (Record, bool) {
+	record, ok := r.records[key]
+	return record, ok && record.Value != nil
 }
 
-// Records returns the newest record of each key that was not dropped, in the
-// order of keys.
-func (c *Replica) Records() []Record {
-	all := make([]Record, 0, len(c.records))
-	for _, r := range c.records {
-		if r.Value != nil {
-			all = append(all, r)
+// Records returns the newest record of each key that was not dropped, sorted by key.
+func (r *Replica) Records() []Record {
+	all := make([]Record, 0, len(r.records))
+	for _, record := range r.records {
+		if record.Value != nil {
+			all = append(all, record)
 		}
 	}
 	slices.SortFunc(all, func(a, b Record) int {
@@ -137,109 +134,104 @@
 	return all
 }
 
-// PageFrom returns what a copy needs that has everything before the offset from.
+// PageFrom returns the records that a replica needs if it has all below offset from.
 //
-// The failure guarded against: a process that began with a snapshot does not know
-// which keys were dropped before it. Were it to hand on its records alone, the
-// other copy would move to its end and keep the dropped key for ever: requests
-// went to an engine seconds after it had left.
-func (c *Replica) PageFrom(from uint64) Page {
-	if from < c.dropsFrom {
-		return Page{Snapshot: Snapshot{Records: c.Records(), End: c.end}, Full: true}
+// A replica that began with a snapshot does not know which keys were dropped before it. If from
+// is that old it returns a full page, from which the receiver learns which keys are gone.
+func (r *Replica) PageFrom(from uint64) Page {
+	if from < r.seenFrom {
+		return Page{Snapshot: Snapshot{Records: r.Records(), End: r.end}, Full: true}
 	}
-	p := Page{Snapshot: Snapshot{End: c.end}}
-	for _, r := range c.records {
-		if r.Offset >= from {
-			p.Records = append(p.Records, r)
+	p := Page{Snapshot: Snapshot{End: r.end}}
+	for _, record := range r.records {
+		if record.Offset >= from {
+			p.Records = append(p.Records, record)
 		}
 	}
 	return p
 }
 
-// Apply takes in a page of another copy and returns the keys that changed.
-func (c *Replica) Apply(p Page, current time.Time) []string {
+// Apply applies a page of another replica and returns the keys that changed. current is when
+// that replica was current.
+func (r *Replica) Apply(p Page, current time.Time) []string {
 	if p.Full {
-		return c.Replace(p.Snapshot, current)
+		return r.Replace(p.Snapshot, current)
 	}
-	return c.Merge(p.Records, p.End, current)
+	return r.Merge(p.Records, p.End, current)
 }
 
-// Merge takes in the records from the copy's end, or before it, up to end, and
-// returns the keys that changed. current is when they were all that the store
-// had acknowledged; zero when that is not known.
-//
-// Records that leave a gap behind the copy's end are refused by the caller; see
-// Continues.
-func (c *Replica) Merge(records []Record, end uint64, current time.Time) []string {
+// Merge applies the records from the replica's end, or from before it, up to end, and returns
+// the keys that changed. current is when they were all that the store had acknowledged, or zero
+// if that is unknown. The caller must check that the records are Contiguous.
+func (r *Replica) Merge(records []Record, end uint64, current time.Time) []string {
 	var changed []string
-	for _, r := range records {
-		if c.put(r) {
-			changed = append(changed, r.Key)
+	for _, record := range records {
+		if r.put(record) {
+			changed = append(changed, record.Key)
 		}
 	}
-	c.end = max(c.end, end)
-	if end >= c.end {
-		c.noteCurrent(current)
+	r.end = max(r.end, end)
+	if end >= r.end {
+		r.advanceCurrent(current)
 	}
-	if c.followedSince.IsZero() {
-		c.followedSince = current
+	if r.completeSince.IsZero() {
+		r.completeSince = current
 	}
 	return changed
 }
 
-// Contiguous reports whether records from that offset on leave no gap.
-func (c *Replica) Contiguous(from uint64) bool { return from <= c.end }
+// Contiguous reports whether records from that offset on leave no gap after the replica's end.
+func (r *Replica) Contiguous(from uint64) bool { return from <= r.end }
 
-// Replace takes in a snapshot and returns the keys that changed. Keys that it
-// lacks were dropped while their history was not to be had. A snapshot that is
-// older than the copy changes nothing: stale reads show so.
-func (c *Replica) Replace(s Snapshot, current time.Time) []string {
-	if s.End < c.end {
+// Replace applies a snapshot and returns the keys that changed. Keys that the snapshot does not
+// include were dropped. A snapshot older than the replica, from a stale read, is ignored.
+func (r *Replica) Replace(s Snapshot, current time.Time) []string {
+	if s.End < r.end {
 		return nil
 	}
 	present := make(map[string]bool, len(s.Records))
-	for _, r := range s.Records {
-		present[r.Key] = true
+	for _, record := range s.Records {
+		present[record.Key] = true
 	}
 	records := slices.Clone(s.Records)
-	for key, r := range c.records {
-		if !present[key] && r.Value != nil && r.Offset < s.End {
+	for key, record := range r.records {
+		if !present[key] && record.Value != nil && record.Offset < s.End {
 			records = append(records, Record{Key: key, Offset: s.End - 1})
 		}
 	}
-	c.dropsFrom = s.End
-	if current.After(c.followedSince) {
-		c.followedSince = current
+	r.seenFrom = s.End
+	if current.After(r.completeSince) {
+		r.completeSince = current
 	}
-	return c.Merge(records, s.End, current)
+	return r.Merge(records, s.End, current)
 }
 
-// MarkCurrent notes that the copy held all that matters at a time.
-func (c *Replica) MarkCurrent(at time.Time) { c.noteCurrent(at) }
+// MarkCurrent records that the replica was current at a time.
+func (r *Replica) MarkCurrent(at time.Time) { r.advanceCurrent(at) }
 
-func (c *Replica) put(r Record) bool {
-	old, ok := c.records[r.Key]
-	if ok && old.Offset >= r.Offset {
+func (r *Replica) put(record Record) bool {
+	old, ok := r.records[record.Key]
+	if ok && old.Offset >= record.Offset {
 		return false
 	}
-	c.records[r.Key] = r
-	if r.Value == nil {
-		c.dropEnd = max(c.dropEnd, r.Offset+1)
+	r.records[record.Key] = record
+	if record.Value == nil {
+		r.dropEnd = max(r.dropEnd, record.Offset+1)
 	}
 	return true
 }
 
-// noteCurrent moves the time of being current on. The failure guarded against
-// is a peer's older word: it must not make the copy look older.
-func (c *Replica) noteCurrent(at time.Time) {
-	if !at.After(c.currentAt) {
+// advanceCurrent advances currentAt and detects outages. It ignores earlier times, which peers
+// may report.
+func (r *Replica) advanceCurrent(at time.Time) {
+	if !at.After(r.currentAt) {
 		return
 	}
 	switch {
-	case c.currentAt.IsZero():
-		c.firstCurrentAt = at
-	case at.Sub(c.currentAt) > c.outageGap:
-		c.outageBegin, c.outageEnd = c.currentAt, at
+	case r.currentAt.IsZero():
+		r.firstCurrentAt = at
+	case at.Sub(r.currentAt) > r.outageGap:
+		r.outageBegin, r.outageEnd = r.currentAt, at
 	}
-	c.currentAt = at
+	r.currentAt = at
 }
--- a/internal/gateway/feed/follower.go
+++ b/internal/gateway/feed/follower.go
@@ -12,138 +12,133 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-// ErrTrimmed says that records from the asked offset on were deleted: only a
-// snapshot brings the copy up to date.
+// ErrTrimmed is returned by Source.Read if some of the requested records were deleted. The
+// replica then needs a snapshot.
 var ErrTrimmed = errors.New("records were deleted")
 
-// Source is a topic at the platform's store.
+// Source is a topic in the platform's store.
 type Source interface {
 	// Newest returns the newest record of every key.
 	Newest(ctx context.Context) (Snapshot, error)
-	// Read returns the records from an offset on and the topic's end. It waits
-	// up to wait for one to come. ErrTrimmed means that some are gone.
+	// Read returns the records from an offset on and the topic's end. Without new records it
+	// waits up to wait for one. It returns ErrTrimmed if some of the records were deleted.
 	Read(ctx context.Context, from uint64, wait time.Duration) (Snapshot, error)
 }
 
-// Options are a follower's name and pace.
+// Options configure a Follower.
 type Options struct {
 	// Name of the topic, for logs and metrics.
 	Name string
-	// Wait is how long one read waits at the store for a record; zero reads
-	// what is there.
+	// Wait is how long a read waits at the store for a new record; zero returns at once.
 	Wait time.Duration
 	// Pause between two reads.
 	Pause time.Duration
-	// ShouldRead reports whether this process reads the store now. Others hear from
-	// those that do. It is asked on the control thread.
+	// ShouldRead reports whether this process reads the store now; if not, it gets records
+	// from peers. It is called on the control thread. Nil means always.
 	ShouldRead func(currentAt time.Time) bool
-	// OnChange is told, on the control thread, of keys that have new records.
+	// OnChange is called on the control thread with the keys that have new records.
 	OnChange func(keys []string)
-	// OnCall is told of each call of the store, its duration and its error.
+	// OnCall is called after each call to the store.
 	OnCall func(topic string, took time.Duration, err error)
-	// OnRecovered is told, on the control thread, when the store answers again.
+	// OnRecovered is called on the control thread when a call succeeds after a failed one.
 	OnRecovered func()
 	Logger      logr.Logger
 	Now         func() time.Time
 }
 
 const (
-	// callTimeout is added to a read's wait: a store that is slow answers
-	// within it, one that is silent or cut off does not.
+	// callTimeout is the timeout of a call, in addition to a read's wait.
 	callTimeout = 1500 * time.Millisecond
-	// firstRetry and maxRetry bound the pause after a failed call. It doubles
-	// from the first to the last: a store that is back is used at once, one that
-	// is down is not pressed by every process.
+	// firstRetry and maxRetry bound the exponential backoff after failed calls.
 	firstRetry = 100 * time.Millisecond
 	maxRetry   = 800 * time.Millisecond
-	// idlePause is how soon a process that does not read asks again whether it
-	// should.
-	idlePause = 100 * time.Millisecond
+	// idlePeriod is the interval at which a process that does not read checks ShouldRead.
+	idlePeriod = 100 * time.Millisecond
 )
 
-// Follower fills a copy from the store. It is a controller: its copy is
-// changed on the control thread alone.
+// Follower keeps a replica up to date from the store. The replica is used on the control
+// thread only.
 type Follower struct {
 	loop    *control.Loop
 	source  Source
-	copy    *Replica
+	replica *Replica
 	options Options
-	// snapshot is set when the next call must be for a snapshot.
-	snapshot bool
-	lost     bool
-	// cancel ends the call that is under way.
+	// needSnapshot is set if the next call must read a snapshot.
+	needSnapshot bool
+	storeDown    bool
+	// cancel cancels the current call.
 	cancelMu sync.Mutex
 	cancel   context.CancelFunc
 }
 
 // NewFollower returns a follower that has not started.
-func NewFollower(loop *control.Loop, source Source, c *Replica, options Options) *Follower {
-	return &Follower{loop: loop, source: source, copy: c, options: options, snapshot: true}
+func NewFollower(loop *control.Loop, source Source, replica *Replica, options Options) *Follower {
+	return &Follower{loop: loop, source: source, replica: replica, options: options, needSnapshot: true}
 }
 
-// Replica returns the copy, for use on the control thread.
-func (f *Follower) Replica() *Replica { return f.copy }
+// Replica returns the replica, for use on the control thread.
+func (f *Follower) Replica() *Replica { return f.replica }
 
-// Start begins to follow.
+// Start starts reading the topic.
 func (f *Follower) Start() { f.loop.Go(f.run) }
 
-// request is what the next call asks for.
+// request describes the next call to the store.
 type request struct {
-	reads    bool
-	snapshot bool
-	from     uint64
+	shouldRead   bool
+	wantSnapshot bool
+	from         uint64
 }
 
-// run makes one call after another off the control thread, and hands each
-// result to it.
+// run calls the store repeatedly. The calls run off the control thread, which applies their
+// results.
 func (f *Follower) run(ctx context.Context) {
-	retry := firstRetry
+	backoff := firstRetry
 	for ctx.Err() == nil {
-		next, ok := control.Ask(ctx, f.loop, f.next)
+		next, ok := control.Ask(ctx, f.loop, f.nextRequest)
 		if !ok {
 			return
 		}
-		if !next.reads {
-			sleep.For(ctx, idlePause)
+		if !next.shouldRead {
+			sleep.For(ctx, idlePeriod)
 			continue
 		}
 		err := f.call(ctx, next)
 		if err == nil || errors.Is(err, ErrTrimmed) {
-			retry = firstRetry
+			backoff = firstRetry
 			sleep.For(ctx, f.options.Pause)
 			continue
 		}
-		sleep.For(ctx, f.loop.Spread(retry))
-		retry = min(2*retry, maxRetry)
+		sleep.For(ctx, f.loop.Spread(backoff))
+		backoff = min(2*backoff, maxRetry)
 	}
 }
 
-func (f *Follower) next() request {
+func (f *Follower) nextRequest() request {
 	return request{
-		reads:    f.options.ShouldRead == nil || f.options.ShouldRead(f.copy.CurrentAt()),
-		snapshot: f.snapshot,
-		from:     f.copy.End(),
+		shouldRead:   f.options.ShouldRead == nil || f.options.ShouldRead(f.replica.CurrentAt()),
+		wantSnapshot: f.needSnapshot,
+		from:         f.replica.End(),
 	}
 }
 
-// call makes one call of the store and merges what it brings.
+// call makes one call to the store and merges its result.
 func (f *Follower) call(ctx context.Context, r request) error {
 	ctx, cancel := context.WithTimeout(ctx, f.options.Wait+callTimeout)
 	defer cancel()
 	f.setCancel(cancel)
-	asked := f.options.Now()
+	startedAt := f.options.Now()
 	var s Snapshot
 	var err error
-	if r.snapshot {
+	if r.wantSnapshot {
 		s, err = f.source.Newest(ctx)
 	} else {
 		s, err = f.source.Read(ctx, r.from, f.options.Wait)
 	}
-	f.options.OnCall(f.options.Name, f.options.Now().Sub(asked), err)
+	f.options.OnCall(f.options.Name, f.options.Now().Sub(startedAt), err)
 	merged := make(chan struct{})
 	f.loop.Post(func() {
 		defer close(merged)
-		f.merge(r, s, asked, err)
+		f.merge(r, s, startedAt, err)
 	})
 	select {
 	case <-merged:
@@ -158,9 +153,8 @@
 	f.cancel = cancel
 }
 
-// RestartCall ends the call that is under way, so that a new one begins. The failure
-// guarded against is a read that waits on a connection which went silent with
-// the store: it would wait on after the store is back.
+// RestartCall cancels the current call so that a new one starts. A read whose connection stalled
+// during a store outage would otherwise wait until its timeout.
 func (f *Follower) RestartCall() {
 	f.cancelMu.Lock()
 	defer f.cancelMu.Unlock()
@@ -169,50 +163,49 @@
 	}
 }
 
-// merge takes in a call's result. What a read that waited brings was complete
-// when it was answered; a snapshot may have taken several calls, and is only
-// known to be complete as of the first.
-func (f *Follower) merge(r request, s Snapshot, asked time.Time, err error) {
+// merge applies the result of a call. A read is current as of its response. A snapshot may take
+// several calls to the store, so it is current only as of its start.
+func (f *Follower) merge(r request, s Snapshot, startedAt time.Time, err error) {
 	if errors.Is(err, ErrTrimmed) {
 		f.options.Logger.Info("feed_trimmed", "topic", f.options.Name, "from", r.from)
-		f.snapshot = true
+		f.needSnapshot = true
 		return
 	}
 	if err != nil {
-		if !f.lost {
-			f.lost = true
-			f.options.Logger.Info("store_lost", "topic", f.options.Name, "end", f.copy.End(), "error", err.Error())
+		if !f.storeDown {
+			f.storeDown = true
+			f.options.Logger.Info("store_lost", "topic", f.options.Name, "end", f.replica.End(), "error", err.Error())
 		}
 		return
 	}
-	if f.lost {
-		f.lost = false
-		f.options.Logger.Info("store_regained", "topic", f.options.Name, "silent_for", asked.Sub(f.copy.CurrentAt()))
+	if f.storeDown {
+		f.storeDown = false
+		f.options.Logger.Info("store_regained", "topic", f.options.Name, "silent_for", startedAt.Sub(f.replica.CurrentAt()))
 		f.options.OnRecovered()
 	}
 	var changed []string
-	if r.snapshot {
-		f.snapshot = false
-		changed = f.copy.Replace(s, asked)
+	if r.wantSnapshot {
+		f.needSnapshot = false
+		changed = f.replica.Replace(s, startedAt)
 	} else {
-		changed = f.copy.Merge(s.Records, s.End, f.options.Now())
+		changed = f.replica.Merge(s.Records, s.End, f.options.Now())
 	}
 	if len(changed) > 0 {
 		f.options.OnChange(changed)
 	}
 }
 
-// ApplyPage takes in a page that a peer sent for the records from an offset on.
-// current is when the peer's copy was current. It runs on the control thread and
-// reports whether the page was taken.
+// ApplyPage applies a page that a peer returned for the records from an offset on, and reports
+// whether it could be applied. current is when the peer's replica was current. It runs on the
+// control thread.
 func (f *Follower) ApplyPage(p Page, from uint64, current time.Time) bool {
-	if !p.Full && !f.copy.Contiguous(from) {
+	if !p.Full && !f.replica.Contiguous(from) {
 		return false
 	}
-	if f.snapshot && p.End > 0 {
-		f.snapshot = false
+	if f.needSnapshot && p.End > 0 {
+		f.needSnapshot = false
 	}
-	if changed := f.copy.Apply(p, current); len(changed) > 0 {
+	if changed := f.replica.Apply(p, current); len(changed) > 0 {
 		f.options.OnChange(changed)
 	}
 	return true
