--- a/internal/gateway/hostclock/hostclock.go
+++ b/internal/gateway/hostclock/hostclock.go
@@ -1,8 +1,7 @@
-// Package hostclock tells how old things are on a host that may be suspended.
+// Package hostclock provides a clock that includes the time in which the host was suspended.
 //
-// While a host stands still its steady clock stands still too: a lease or a
-// belief would look as fresh after the pause as before it. The clock here adds
-// the time that the host was suspended.
+// Go's monotonic clock stops during a suspension, so a lease or a cached state would look as
+// fresh after the resume as before.
 package hostclock
 
 import (
@@ -16,67 +15,68 @@
 )
 
 const (
-	// clockMonotonic and clockBoottime are the clocks' numbers on Linux. The
-	// second counts the time in which the host was suspended.
+	// clockMonotonic and clockBoottime are Linux clock IDs. CLOCK_BOOTTIME includes the time
+	// in which the host was suspended, CLOCK_MONOTONIC does not.
 	clockMonotonic = 1
 	clockBoottime  = 7
 	// checkPeriod is how often the two clocks are compared.
 	checkPeriod = 100 * time.Millisecond
-	// noticeable is the least pause that counts; less is within the clocks'
-	// reading.
-	noticeable = 50 * time.Millisecond
+	// minPause is the shortest suspension that is detected. The two clocks are not read at the
+	// same instant.
+	minPause = 50 * time.Millisecond
 )
 
-// Clock is safe for concurrent use.
+// Clock measures time across suspensions of the host. It is safe for concurrent use.
 type Clock struct {
 	suspended atomic.Int64
-	wokeAt    atomic.Pointer[time.Time]
-	base      time.Duration
+	resumedAt atomic.Pointer[time.Time]
+	baseline  time.Duration
 }
 
-// New returns a clock that counts pauses from now on.
-func New() *Clock { return &Clock{base: gap()} }
+// New returns a clock that accounts for suspensions from now on.
+func New() *Clock { return &Clock{baseline: suspendedTotal()} }
 
-// Now is the time with all pauses added, for taking differences.
+// Now returns the current time plus the time suspended so far. Only differences between its
+// results are meaningful.
 func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.suspended.Load())) }
 
-// SinceResume is the time since the host last woke, or a long time.
+// SinceResume returns the time since the host last resumed, or an hour if it was not suspended.
 func (c *Clock) SinceResume() time.Duration {
-	at := c.wokeAt.Load()
-	if at == nil {
+	resumedAt := c.resumedAt.Load()
+	if resumedAt == nil {
 		return time.Hour
 	}
-	return time.Since(*at)
+	return time.Since(*resumedAt)
 }
 
-// Check compares the clocks now and returns the pause found, if any.
+// Check compares the clocks and returns the length of a suspension since the last check, or zero.
 func (c *Clock) Check() time.Duration {
-	suspended := gap() - c.base
+	suspended := suspendedTotal() - c.baseline
 	pause := suspended - time.Duration(c.suspended.Load())
-	if pause < noticeable {
+	if pause < minPause {
 		return 0
 	}
 	c.suspended.Store(int64(suspended))
 	now := time.Now()
-	c.wokeAt.Store(&now)
+	c.resumedAt.Store(&now)
 	return pause
 }
 
-// Watch checks regularly until the context ends, and tells of each pause.
-func (c *Clock) Watch(ctx context.Context, woke func(pause time.Duration)) {
+// Watch checks periodically until the context is done, and calls onResume after each suspension.
+func (c *Clock) Watch(ctx context.Context, onResume func(pause time.Duration)) {
 	for sleep.For(ctx, checkPeriod) {
 		if pause := c.Check(); pause > 0 {
-			woke(pause)
+			onResume(pause)
 		}
 	}
 }
 
-// gap is by how much the clock that counts pauses is ahead.
-func gap() time.Duration { return read(clockBoottime) - read(clockMonotonic) }
+// suspendedTotal returns how long the host has been suspended since boot.
+func suspendedTotal() time.Duration { return readClock(clockBoottime) - readClock(clockMonotonic) }
 
-func read(clock uintptr) time.Duration {
+func readClock(clock uintptr) time.Duration {
 	var t syscall.Timespec
-	// A failing call leaves zero, which reads as no pause.
+	// A failed call leaves zero, which counts as no suspension.
 	_, _, _ = syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clock, uintptr(unsafe.Pointer(&t)), 0)
 	return time.Duration(t.Nano())
 }
