--- a/internal/gateway/estate/estate.go
+++ b/internal/gateway/estate/estate.go
@@ -1,10 +1,8 @@
-// Package estate holds what the operators of a deployment declare: the routes
-// that callers use, the services behind them, the workspaces with their keys,
-// and the limits on what callers may send.
+// Package estate holds the configuration that operators declare: routes, the services behind
+// them, workspaces with their keys, and limits on requests.
 //
-// An Estate is one whole version. It is checked before it exists and does not
-// change afterwards, so that traffic reads it without locks and never sees half
-// of a version.
+// An Estate is one validated, immutable version of it, so the request path reads it without
+// locks and never sees a partial update.
 package estate
 
 import (
@@ -18,17 +16,17 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/ratelimit"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind is the kind of a route's requests, which decides whether they may be retried.
 type Kind uint8
 
-// The kinds.
+// The kinds of requests.
 const (
 	// NonIdempotent requests run at most once.
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered as a series of events. They run at most
-	// once, unless their route is resumable.
+	// Stream requests are answered by a stream of events. They run at most once unless their
+	// route is resumable.
 	Stream
 )
 
@@ -44,89 +42,88 @@
 	}
 }
 
-// Backend is one of the services that a route sends to.
+// Backend is one of the services of a route.
 type Backend struct {
 	Service string
-	// Weight is the service's share of the route's requests, against the sum
-	// of the weights.
+	// Weight is the service's share of the route's requests, relative to the sum of weights.
 	Weight int
 }
 
-// Route is one way in: a host name with a path prefix.
+// Route matches requests by host name and path prefix.
 type Route struct {
 	Name string
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a request is kept without its final
-	// answer; zero means no bound but the caller's.
+	// Timeout is the maximum time to the complete response; zero means that only the caller's
+	// deadline applies.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer is of full use: to the
-	// first event of a stream, else to the whole answer.
+	// TargetLatency is the latency objective: to the first event of a stream, otherwise to the
+	// complete response.
 	TargetLatency time.Duration
-	// GapTarget is the longest pause between the events of a stream that is
-	// still of full use.
+	// GapTarget is the latency objective between two events of a stream.
 	GapTarget time.Duration
-	// MaxWait is how long a caller waits for the next event of a stream, the first
-	// one included, before it leaves; zero when that is not known.
+	// MaxWait is how long a caller waits for the next event of a stream, including the first,
+	// before it disconnects; zero if unknown.
 	MaxWait time.Duration
-	// MaxAttempts is how many targets may run one request.
+	// MaxAttempts is the maximum number of targets that may run one request.
 	MaxAttempts int
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority ranks routes; 0 is the highest priority.
 	Priority int
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool
-	// HasPrompts routes carry prompts whose parts are shared.
+	// HasPrompts is set if requests carry prompts that may share parts.
 	HasPrompts bool
-	// Resumable streams may be continued at another target after an event.
+	// Resumable streams may continue at another target after an event.
 	Resumable bool
-	// Backends are the services; at least one, and the weights sum above zero.
+	// Backends holds at least one service. The sum of the weights is positive.
 	Backends []Backend
 }
 
-// Retryable reports whether a request may run more than once.
+// Retryable reports whether the route's requests may run more than once.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// PickBackend picks the service for a request by a number that is uniform in
-// [0, 1).
+// PickBackend returns the service for a request, chosen by weight with a number that is uniformly
+// distributed in [0, 1).
 func (r *Route) PickBackend(uniform float64) string {
 	sum := 0
 	for _, b := range r.Backends {
 		sum += b.Weight
 	}
-	at := int(uniform * float64(sum))
+	point := int(uniform * float64(sum))
 	for _, b := range r.Backends {
-		if at < b.Weight {
+		if point < b.Weight {
 			return b.Service
 		}
-		at -= b.Weight
+		point -= b.Weight
 	}
 	return r.Backends[len(r.Backends)-1].Service
 }
 
 // Engine describes the engines of a service that serves models.
 type Engine struct {
-	// Slots is how many requests an engine works on at once.
+	// Slots is how many requests an engine runs concurrently.
 	Slots int
-	// CacheTokens is an engine's memory, in tokens.
+	// CacheTokens is the capacity of an engine's KV cache, in tokens.
 	CacheTokens int
 	// TokenBytes is the size of one token's KV cache.
 	TokenBytes int
-	// LinkMbps is the speed of an engine's link to other engines.
+	// LinkMbps is the bandwidth of an engine's link to other engines.
 	LinkMbps float64
-	// AllowsMoves and Backups say whether runs may be moved and backed up.
+	// AllowsMoves and AllowsBackups report whether running requests may be migrated and backed
+	// up.
 	AllowsMoves   bool
 	AllowsBackups bool
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 	// Models are the names of the models served.
 	Models []string
 }
 
-// KVStore describes a store of cached prompt parts.
+// KVStore describes a store to which the KV cache of prompt parts is offloaded.
 type KVStore struct {
 	Address     netip.AddrPort
 	Zone        string
@@ -134,15 +131,15 @@
 	LinkMbps    float64
 }
 
-// Service is one service that routes send to.
+// Service is a group of targets with one function.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections a target takes from all callers.
+	// MaxConns is the maximum number of connections to a target, over all clients.
 	MaxConns int
 	// Engine is set for services that serve models.
 	Engine *Engine
-	// Store is set for a store of cached prompt parts; no route leads there.
+	// Store is set for KV stores, which are no backends of routes.
 	Store *KVStore
 }
 
@@ -150,16 +147,16 @@
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority goes before a route's, when HasPriority is set.
+	// Priority overrides a route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Isolated workspaces share no cached part of a prompt with another.
+	// Isolated workspaces share no cached prompt parts with others.
 	Isolated bool
-	// Rate limits what the workspace may use over all entries together.
+	// Rate is the rate limit of the workspace over all entries.
 	Rate ratelimit.Terms
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -167,9 +164,9 @@
 	IdleTimeout   time.Duration
 }
 
-// Estate is one version of all that operators declare.
+// Estate is one version of the declared configuration.
 type Estate struct {
-	// Version orders estates; they increase in uneven steps.
+	// Version increases with each estate, not necessarily by one.
 	Version    int64
 	Limits     Limits
 	workspaces []Workspace
@@ -180,7 +177,7 @@
 	byName     map[string]*Workspace
 }
 
-// New checks the parts and returns the estate made of them.
+// New validates a configuration and returns its estate.
 func New(version int64, routes []Route, services []Service, workspaces []Workspace, limits Limits) (*Estate, error) {
 	e := &Estate{
 		Version: version, Limits: limits, workspaces: workspaces,
@@ -208,7 +205,7 @@
 			return errors.Newf("service %d has no name", i)
 		}
 		if e.services[s.Name] != nil {
-			return errors.Newf("service %q stands twice", s.Name)
+			return errors.Newf("service %q is declared twice", s.Name)
 		}
 		e.services[s.Name] = s
 		if s.Store != nil {
@@ -255,10 +252,10 @@
 			return errors.Newf("unknown service %q", b.Service)
 		}
 		if s.Store != nil {
-			return errors.Newf("service %q is a store of cached parts, which takes no requests", b.Service)
+			return errors.Newf("service %q is a KV store, which takes no requests", b.Service)
 		}
 		if b.Weight < 0 {
-			return errors.Newf("weight %d of service %q is below zero", b.Weight, b.Service)
+			return errors.Newf("weight %d of service %q is negative", b.Weight, b.Service)
 		}
 		sum += b.Weight
 	}
@@ -273,10 +270,10 @@
 	for i := range workspaces {
 		w := &workspaces[i]
 		if w.Name == "" || e.byName[w.Name] != nil {
-			return errors.Newf("workspace %q: the name is empty or stands twice", w.Name)
+			return errors.Newf("workspace %q: the name is empty or declared twice", w.Name)
 		}
 		if w.Rate.PerSecond < 0 || w.Rate.Burst < 0 || w.Rate.Unstated < 0 {
-			return errors.Newf("workspace %q: a rate limit below zero", w.Name)
+			return errors.Newf("workspace %q: a rate limit is negative", w.Name)
 		}
 		e.byName[w.Name] = w
 		for _, key := range w.Keys {
@@ -289,8 +286,8 @@
 	return nil
 }
 
-// Match returns the route of a request, or nil: of the host's routes the one
-// with the longest prefix that begins the path. host may carry a port.
+// Match returns the host's route with the longest matching path prefix, or nil. host may include
+// a port.
 func (e *Estate) Match(host, path string) *Route {
 	name, _, _ := strings.Cut(host, ":")
 	for _, r := range e.byHost[strings.ToLower(name)] {
@@ -301,7 +298,7 @@
 	return nil
 }
 
-// NeedsKey reports whether requests on the route carry a workspace's key.
+// NeedsKey reports whether requests on the route must carry a workspace's key.
 func (e *Estate) NeedsKey(r *Route) bool { return len(e.workspaces) > 0 && !r.Public }
 
 // WorkspaceByKey returns the workspace that holds a key, or nil.
@@ -338,7 +335,7 @@
 	return all
 }
 
-// Stores returns the stores of cached prompt parts.
+// Stores returns the KV stores.
 func (e *Estate) Stores() []*Service { return e.stores }
 
 // Routes returns all routes, in no particular order.
--- a/internal/gateway/estate/estate_test.go
+++ b/internal/gateway/estate/estate_test.go
@@ -9,9 +9,10 @@
 	return Route{Name: name, Host: host, PathPrefix: prefix, Backends: []Backend{{Service: "s", Weight: 1}}}
 }
 
-var services = []Service{{Name: "s"}, {Name: "kept", Store: &KVStore{Zone: "a"}}}
+var services = []Service{{Name: "s"}, {Name: "store", Store: &KVStore{Zone: "a"}}}
 
-func TestLongestPrefixOfTheHostMatches(t *testing.T) {
+// Match must choose the longest matching prefix among the routes of the host.
+func TestLongestPrefixMatches(t *testing.T) {
 	e, err := New(1, []Route{route("short", "A.example", "/x/"), route("long", "a.example", "/x/y/"), route("other", "b.example", "/")}, services, nil, Limits{})
 	if err != nil {
 		t.Fatal(err)
@@ -36,16 +37,16 @@
 	}
 }
 
-// A text with a mistake is refused whole, with what is wrong.
-func TestMistakesAreRefused(t *testing.T) {
-	weighed := route("r", "a", "/x/")
-	weighed.Backends = []Backend{{Service: "s", Weight: 0}}
+// New must reject an invalid configuration with an error that names the mistake.
+func TestInvalidConfigurationIsRejected(t *testing.T) {
+	zeroWeight := route("r", "a", "/x/")
+	zeroWeight.Backends = []Backend{{Service: "s", Weight: 0}}
 	toStore := route("r", "a", "/x/")
-	toStore.Backends = []Backend{{Service: "kept", Weight: 1}}
-	unknown := route("r", "a", "/x/")
-	unknown.Backends = []Backend{{Service: "nobody", Weight: 1}}
-	none := route("r", "a", "/x/")
-	none.Backends = nil
+	toStore.Backends = []Backend{{Service: "store", Weight: 1}}
+	unknownService := route("r", "a", "/x/")
+	unknownService.Backends = []Backend{{Service: "nobody", Weight: 1}}
+	noBackend := route("r", "a", "/x/")
+	noBackend.Backends = nil
 	cases := []struct {
 		name       string
 		routes     []Route
@@ -54,9 +55,9 @@
 		want       string
 	}{
 		{"route twice", []Route{route("r", "a", "/x/"), route("q", "a", "/x/")}, services, nil, "twice"},
-		{"unknown service", []Route{unknown}, services, nil, "unknown service"},
-		{"no backend", []Route{none}, services, nil, "no backend"},
-		{"no weight", []Route{weighed}, services, nil, "sum to zero"},
+		{"unknown service", []Route{unknownService}, services, nil, "unknown service"},
+		{"no backend", []Route{noBackend}, services, nil, "no backend"},
+		{"zero weight", []Route{zeroWeight}, services, nil, "sum to zero"},
 		{"to a store", []Route{toStore}, services, nil, "takes no requests"},
 		{"prefix without slash", []Route{route("r", "a", "/x")}, services, nil, "slash"},
 		{"no host", []Route{route("r", "", "/x/")}, services, nil, "no host"},
@@ -66,11 +67,12 @@
 	}
 	for _, c := range cases {
 		if _, err := New(1, c.routes, c.services, c.workspaces, Limits{}); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error %v, want one with %q", c.name, err, c.want)
+			t.Errorf("%s: error %v, want one that contains %q", c.name, err, c.want)
 		}
 	}
 }
 
+// Backends must receive requests in proportion to their weights.
 func TestBackendsShareByWeight(t *testing.T) {
 	r := Route{Backends: []Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
@@ -78,10 +80,11 @@
 		counts[r.PickBackend(float64(i)/1000)]++
 	}
 	if counts["a"] != 900 || counts["b"] != 100 {
-		t.Errorf("%v", counts)
+		t.Errorf("requests by service %v, want 900 and 100", counts)
 	}
 }
 
+// Keys must map to their workspaces, and public routes must need none.
 func TestKeysBelongToWorkspaces(t *testing.T) {
 	public := route("p", "a", "/p/")
 	public.Public = true
@@ -90,12 +93,12 @@
 		t.Fatal(err)
 	}
 	if w := e.WorkspaceByKey("k2"); w == nil || w.Name != "w" {
-		t.Errorf("%v", w)
+		t.Errorf("workspace of key k2: %v", w)
 	}
 	if e.WorkspaceByKey("") != nil || e.WorkspaceByKey("other") != nil {
 		t.Error("an unknown key has a workspace")
 	}
 	if e.NeedsKey(e.Match("a", "/p/x")) || !e.NeedsKey(e.Match("a", "/x/x")) {
-		t.Error("who needs a key")
+		t.Error("NeedsKey must be false for the public route only")
 	}
 }
