--- a/internal/gateway/events/events.go
+++ b/internal/gateway/events/events.go
@@ -1,4 +1,4 @@
-// Package events splits a stream of server-sent events into whole events.
+// Package events splits a stream of server-sent events into complete events.
 package events
 
 import (
@@ -10,36 +10,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEvent bounds one event. Longer ones are refused: they would be held in
-// memory until their end.
+// maxEvent is the maximum size of an event, which is buffered in memory until it is complete.
 const maxEvent = 1 << 20
 
-// ErrTooLong says that an event exceeds the bound.
+// ErrTooLong is returned if an event exceeds maxEvent.
 var ErrTooLong = errors.New("event is too long")
 
-// ErrTruncated says that a stream ended within an event.
+// ErrTruncated is returned if the stream ends within an event.
 var ErrTruncated = errors.New("stream ended within an event")
 
-// Event is one whole event as it came, its closing blank line included.
+// Event is one complete event.
 type Event struct {
+	// Raw holds the event's bytes, including the blank line that ends it.
 	Raw []byte
-	// ID is the event's number, and HasID whether it has one.
+	// ID is the event's number; HasID is set if it has one.
 	ID    int64
 	HasID bool
 }
 
-// Reader yields whole events. The failure guarded against is a target that
-// stops in the middle of one: the half that came must not reach a caller whose
-// stream goes on elsewhere.
+// Reader reads complete events. If a target stops within an event, the incomplete part must not
+// reach a caller whose stream continues at another target.
 type Reader struct {
 	in *bufio.Reader
 }
 
-// NewReader returns a reader of a stream.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReader(in)} }
 
-// Next returns the next event; its bytes are valid until the next call. It
-// returns io.EOF at the stream's end, and ErrHalf at an end within an event.
+// Next returns the next event, whose bytes are valid until the next call. It returns io.EOF at the
+// end of the stream, or ErrTruncated if the stream ends within an event.
 func (r *Reader) Next() (Event, error) {
 	var e Event
 	for {
@@ -57,7 +56,7 @@
 		if err != nil {
 			return Event{}, err
 		}
-		e.noteID(line)
+		e.parseID(line)
 		if isBlank(line) && len(bytes.TrimSpace(e.Raw)) > 0 {
 			return e, nil
 		}
@@ -66,7 +65,7 @@
 
 func isBlank(line []byte) bool { return len(bytes.TrimRight(line, "\r\n")) == 0 }
 
-func (e *Event) noteID(line []byte) {
+func (e *Event) parseID(line []byte) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
 		return
--- a/internal/gateway/events/events_test.go
+++ b/internal/gateway/events/events_test.go
@@ -14,9 +14,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// A stream is cut at any byte and comes in pieces of any size. The reader
-// yields the whole events before the cut, as they were, and says whether one
-// was cut.
+// For a stream that is cut at any byte and read in pieces of any size, the reader must return the
+// complete events before the cut unchanged, and ErrTruncated if the cut is within an event.
 func TestWholeEventsBeforeACut(t *testing.T) {
 	all := []string{"id: 1\ndata: a\n\n", "weights: 3\nid: 2\ndata: b\ndata: c\n\n", "id: 3\r\ndata: d\r\n\r\n", "data: no id\n\n"}
 	stream := strings.Join(all, "")
@@ -51,7 +50,8 @@
 	})
 }
 
-func TestEventNumbers(t *testing.T) {
+// Next must parse numeric IDs and ignore other ones.
+func TestEventIDs(t *testing.T) {
 	r := NewReader(strings.NewReader("id: 12\ndata: x\n\ndata: id: 9\n\nid: none\ndata: y\n\n"))
 	want := []struct {
 		id  int64
@@ -65,8 +65,8 @@
 	}
 }
 
-// An event without an end would fill the memory.
-func TestEndlessEventIsRefused(t *testing.T) {
+// The size of an event must be limited, because it is buffered in memory.
+func TestOversizedEventIsRejected(t *testing.T) {
 	r := NewReader(strings.NewReader("data: " + strings.Repeat("x", 2*maxEvent)))
 	if _, err := r.Next(); !errors.Is(err, ErrTooLong) {
 		t.Errorf("error %v", err)
