--- a/internal/gateway/wire/wire.go
+++ b/internal/gateway/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire holds what the request path knows of the protocol that callers
-// and targets speak: the facts that headers carry, without their names. An
-// adapter reads and writes the names.
+// Package wire defines the protocol metadata that the request path exchanges with callers and
+// targets, independent of header names. A Protocol implementation maps it to headers.
 package wire
 
 import (
@@ -8,97 +7,91 @@
 	"time"
 )
 
-// Part is one part of a prompt. Requests share parts; a part is only of use
-// together with all parts before it.
+// Part is one part of a prompt. Requests may share parts. The cache of a part is usable only
+// together with that of all parts before it.
 type Part struct {
-	// ID names the part.
+	// ID identifies the part.
 	ID string
 	// Tokens is the part's length.
 	Tokens int
 }
 
-// Request is what a caller says of a request besides its method, path and body.
+// Request is the metadata of a caller's request.
 type Request struct {
-	// ID names this try of the caller; each try has its own.
+	// ID identifies the request. A caller's retry has another ID.
 	ID string
-	// TimeLeft is how long the caller waits; zero when it does not say.
+	// TimeLeft is the time until the caller's deadline; zero if it has none.
 	TimeLeft time.Duration
-	// Key is the caller's secret. It is not passed on.
+	// Key is the caller's API key. It is not forwarded.
 	Key string
-	// Model that a prompt is for; empty for other requests.
+	// Model is the model of a prompt; empty for other requests.
 	Model string
-	// PromptTokens and MaxTokens are the sizes of the prompt and, at most, of the answer;
-	// Sized is set when the request states them.
+	// PromptTokens is the length of the prompt and MaxTokens the maximum length of the
+	// response. HasSizes is set if the request states them.
 	PromptTokens int
 	MaxTokens    int
 	HasSizes     bool
-	// Parts of the prompt in their order; the last belongs to the request or its
-	// session alone.
+	// Parts of the prompt, in order. The last is specific to the request or its session.
 	Parts []Part
-	// LastEventID is the event after which a stream is to go on; empty for a new
-	// one.
+	// LastEventID is the ID of the event after which a stream resumes; empty for a new one.
 	LastEventID string
 }
 
-// Attempt is what the system says to a target of one send.
+// Attempt is the metadata that is sent to a target with one attempt of a request.
 type Attempt struct {
-	// TimeLeft is after how long the target stops work.
+	// TimeLeft is the time after which the target stops working on the request.
 	TimeLeft time.Duration
-	// Instance is the only target that may run it.
+	// Instance is the only target that may run the request.
 	Instance string
-	// Workspace is the caller's; empty when the route needs no key.
+	// Workspace is the caller's workspace; empty if the route needs no key.
 	Workspace string
-	// Priority ranks requests that wait at an engine; 0 is first. Below zero it
-	// is left out.
+	// Priority ranks requests in an engine's queue, with 0 first. It is omitted if negative.
 	Priority int
-	// CacheScope separates cached parts: a part is only found under the scope it
-	// was stored under. Empty is left out.
+	// CacheScope restricts cache lookups to parts that were stored under the same scope. It
+	// is omitted if empty.
 	CacheScope string
-	// Weights is the version of the model that the engine must have; zero for
-	// any.
+	// Weights is the version of the model that the engine must have; zero for any.
 	Weights int64
-	// FetchFrom is the address of an engine or store that holds parts of the
-	// prompt; empty for none.
+	// FetchFrom is the address of an engine or KV store that has parts of the prompt cached;
+	// empty for none.
 	FetchFrom string
-	// OffloadTo is the address of a store that the parts are sent to once they are
-	// read; empty for none.
+	// OffloadTo is the address of a KV store to which the parts are offloaded after prefill;
+	// empty for none.
 	OffloadTo string
-	// LastEventID is the event after which the stream goes on; empty for a new one.
+	// LastEventID is the ID of the event after which the stream resumes; empty for a new one.
 	LastEventID string
-	// TransferHandle names a copy of a run's memory to go on from; empty for none.
+	// TransferHandle identifies a copy of a run's KV cache from which to resume; empty for
+	// none.
 	TransferHandle string
 }
 
-// Reply is what a target says of its answer besides status and body.
+// Reply is the metadata of a target's response.
 type Reply struct {
-	// ID is that of the request that the answer belongs to; empty when the target
-	// names none.
+	// ID is the ID of the request that the response belongs to; empty if not stated.
 	ID string
-	// Sealed answers bear the target's proof of origin.
+	// Sealed is set if the response includes the target's proof of origin.
 	Sealed bool
-	// NotRun is set when the target certainly did not run the request.
+	// NotRun is set if the target certainly did not run the request.
 	NotRun bool
-	// Instance that answered, where it says so.
+	// Instance is the target that responded; empty if not stated.
 	Instance string
-	// Encoded answers have a content encoding, which no caller asked for.
+	// Encoded is set if the response has a content encoding, which no caller requests.
 	Encoded bool
-	// IdleTimeout is how long the target keeps an idle connection; zero when it
-	// does not say.
+	// IdleTimeout is how long the target keeps an idle connection open; zero if not stated.
 	IdleTimeout time.Duration
 }
 
-// Protocol reads and writes the names of a protocol.
+// Protocol maps metadata to the headers of a protocol.
 type Protocol interface {
 	// ReadRequest decodes a caller's headers.
 	ReadRequest(h http.Header) (Request, error)
-	// WriteSend returns the headers of one send: the caller's without those that
-	// concern one connection, are secret, or are the system's to set, and with
-	// the system's own.
-	WriteSend(caller http.Header, s Attempt) http.Header
+	// WriteSend returns the headers of an attempt: those of the caller, without hop-by-hop
+	// headers, secrets and headers that only the router may set, plus those of the attempt.
+	WriteSend(caller http.Header, a Attempt) http.Header
 	// ReadReply decodes a target's headers.
 	ReadReply(status int, h http.Header) Reply
-	// WriteReply copies a target's headers to the caller's answer.
+	// WriteReply copies a target's headers to the response to the caller.
 	WriteReply(to, target http.Header)
-	// WriteRetryAfter tells a caller when to come back.
+	// WriteRetryAfter sets the time after which a caller may retry.
 	WriteRetryAfter(to http.Header, after time.Duration)
 }
--- a/internal/gateway/wire/wiretest/wiretest.go
+++ b/internal/gateway/wire/wiretest/wiretest.go
@@ -1,5 +1,5 @@
-// Package wiretest is a small protocol of its own for tests of the request
-// path, with the same facts as a platform's under other names.
+// Package wiretest provides a minimal wire.Protocol with its own header names, for tests of the
+// request path.
 package wiretest
 
 import (
@@ -54,11 +54,11 @@
 }
 
 // WriteSend implements wire.Protocol.
-func (Protocol) WriteSend(caller http.Header, s wire.Attempt) http.Header {
+func (Protocol) WriteSend(caller http.Header, a wire.Attempt) http.Header {
 	h := http.Header{}
 	for _, name := range []string{ID, Model, Prompt, Parts, "Content-Type"} {
-		if v := caller.Get(name); v != "" {
-			h.Set(name, v)
+		if value := caller.Get(name); value != "" {
+			h.Set(name, value)
 		}
 	}
 	set := func(name, value string) {
@@ -66,18 +66,18 @@
 			h.Set(name, value)
 		}
 	}
-	set(TimeLeft, s.TimeLeft.String())
-	set(Instance, s.Instance)
-	set(Workspace, s.Workspace)
-	set(CacheScope, s.CacheScope)
-	set(LastEventID, s.LastEventID)
-	set(FetchFrom, s.FetchFrom)
-	set(OffloadTo, s.OffloadTo)
-	if s.Weights > 0 {
-		set(Weights, strconv.FormatInt(s.Weights, 10))
+	set(TimeLeft, a.TimeLeft.String())
+	set(Instance, a.Instance)
+	set(Workspace, a.Workspace)
+	set(CacheScope, a.CacheScope)
+	set(LastEventID, a.LastEventID)
+	set(FetchFrom, a.FetchFrom)
+	set(OffloadTo, a.OffloadTo)
+	if a.Weights > 0 {
+		set(Weights, strconv.FormatInt(a.Weights, 10))
 	}
-	if s.Priority >= 0 {
-		set(Priority, strconv.Itoa(s.Priority))
+	if a.Priority >= 0 {
+		set(Priority, strconv.Itoa(a.Priority))
 	}
 	return h
 }
