--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -167,10 +167,10 @@
 	}
 }
 
-// newestByAddress returns the newest listed target at each address, of declared services.
+// newestByAddress returns the newest listed target of a declared service at each address.
 //
-// After a target restarts under another name, its earlier incarnation stays listed for a
-// second or two. The new process refuses requests that name the earlier incarnation.
+// A target that restarts under another name stays listed under the earlier one for a second or
+// two. The new process refuses requests that name the earlier incarnation.
 func (d *Directory) newestByAddress(declared func(service string) bool) map[netip.AddrPort]*targetState {
 	newest := make(map[netip.AddrPort]*targetState, len(d.states))
 	for _, s := range d.states {
--- a/internal/gateway/fleet/fleet_test.go
+++ b/internal/gateway/fleet/fleet_test.go
@@ -23,11 +23,11 @@
 }
 
 func unconfirmedByName(d *Directory, now, outageEnd time.Time) map[string]bool {
-	doubtful := map[string]bool{}
+	unconfirmed := map[string]bool{}
 	for _, t := range d.Targets(declared, now, SyncState{OutageEnded: outageEnd})["s"] {
-		doubtful[t.Instance] = t.Unconfirmed
+		unconfirmed[t.Instance] = t.Unconfirmed
 	}
-	return doubtful
+	return unconfirmed
 }
 
 // A target must not be used once it is removed from the list.
@@ -66,12 +66,12 @@
 func TestTargetRemovedBeforeOutageIsNotUnconfirmed(t *testing.T) {
 	d := NewDirectory()
 	d.Add(listing("left", 1), 1, start)
-	d.Add(listing("lapsed", 2), 2, start)
+	d.Add(listing("expired", 2), 2, start)
 	d.Remove("left", start.Add(4*time.Second))
-	f := SyncState{OutageBegan: start.Add(4 * time.Second), OutageEnded: start.Add(9 * time.Second)}
-	d.Remove("lapsed", f.OutageEnded)
-	targets := d.Targets(declared, f.OutageEnded.Add(time.Second), f)["s"]
-	if len(targets) != 1 || targets[0].Instance != "lapsed" || !targets[0].Unconfirmed {
+	sync := SyncState{OutageBegan: start.Add(4 * time.Second), OutageEnded: start.Add(9 * time.Second)}
+	d.Remove("expired", sync.OutageEnded)
+	targets := d.Targets(declared, sync.OutageEnded.Add(time.Second), sync)["s"]
+	if len(targets) != 1 || targets[0].Instance != "expired" || !targets[0].Unconfirmed {
 		t.Errorf("targets %v", targets)
 	}
 }
@@ -122,8 +122,8 @@
 	if got := unconfirmedByName(d, start, time.Time{}); len(got) != 1 || got["new"] {
 		t.Errorf("targets %v", got)
 	}
-	if at, ok := d.ByAddress(declared, listing("new", 1).Address); !ok || at.Instance != "new" {
-		t.Errorf("at the address: %v %v", at, ok)
+	if target, ok := d.ByAddress(declared, listing("new", 1).Address); !ok || target.Instance != "new" {
+		t.Errorf("at the address: %v %v", target, ok)
 	}
 	d.Remove("old", start)
 	d.Remove("new", start)
--- a/internal/gateway/fleet/incarnation_test.go
+++ b/internal/gateway/fleet/incarnation_test.go
@@ -49,13 +49,13 @@
 func TestDelayedListingOfEarlierIncarnation(t *testing.T) {
 	d := NewDirectory()
 	d.Add(startedListing("x", 1, 200), 1, start)
-	late := startedListing("x", 1, 100)
-	late.Leaving = true
-	if d.Add(late, 2, start.Add(time.Second)) {
+	delayed := startedListing("x", 1, 100)
+	delayed.Leaving = true
+	if d.Add(delayed, 2, start.Add(time.Second)) {
 		t.Error("the delayed listing was accepted")
 	}
 	if got := onlyTarget(t, d, start.Add(time.Second)); got.StartedMs != 200 || got.Leaving {
-		t.Errorf("%+v", got)
+		t.Errorf("target %+v", got)
 	}
 }
 
@@ -102,16 +102,16 @@
 func TestUndeclaredServiceDisplacesNoTarget(t *testing.T) {
 	d := NewDirectory()
 	d.Add(startedListing("x", 1, 100), 1, start)
-	foreign := startedListing("y", 1, 300)
-	foreign.Service = "nobody's"
-	d.Add(foreign, 2, start)
+	undeclared := startedListing("y", 1, 300)
+	undeclared.Service = "undeclared"
+	d.Add(undeclared, 2, start)
 	if got := onlyTarget(t, d, start); got.Instance != "x" {
-		t.Errorf("%v", got.Incarnation)
+		t.Errorf("target %v", got.Incarnation)
 	}
-	if at, ok := d.ByAddress(declared, foreign.Address); !ok || at.Instance != "x" {
-		t.Errorf("at the address: %v, %v", at.Incarnation, ok)
+	if target, ok := d.ByAddress(declared, undeclared.Address); !ok || target.Instance != "x" {
+		t.Errorf("at the address: %v, %v", target.Incarnation, ok)
 	}
-	if _, ok := d.Targets(declared, start, SyncState{})["nobody's"]; ok {
+	if _, ok := d.Targets(declared, start, SyncState{})["undeclared"]; ok {
 		t.Error("targets of an undeclared service are returned")
 	}
 }
@@ -123,7 +123,7 @@
 	d.Add(startedListing("new", 1, 200), 1, start)
 	d.Add(startedListing("old", 1, 100), 2, start)
 	if got := onlyTarget(t, d, start); got.Instance != "new" {
-		t.Errorf("%v", got.Incarnation)
+		t.Errorf("target %v", got.Incarnation)
 	}
 }
 
@@ -153,13 +153,13 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 2500).Draw(rt, "pause")) * time.Millisecond)
 			n := rapid.IntRange(0, 3).Draw(rt, "target")
 			name := fmt.Sprintf("t%d", n)
-			if rapid.IntRange(0, 5).Draw(rt, "drops") == 0 {
+			if rapid.IntRange(0, 5).Draw(rt, "remove") == 0 {
 				d.Remove(name, now)
 				if o := oracles[name]; o != nil {
 					o.removed = true
 				}
 			} else {
-				l := startedListing(name, uint16(n+1), rapid.Int64Range(1, 4).Draw(rt, "born"))
+				l := startedListing(name, uint16(n+1), rapid.Int64Range(1, 4).Draw(rt, "started"))
 				d.Add(l, uint64(step), now)
 				if oracles[name] == nil {
 					oracles[name] = &oracle{}
--- a/internal/gateway/fleet/model_test.go
+++ b/internal/gateway/fleet/model_test.go
@@ -64,7 +64,7 @@
 	records []feed.Record
 	newest  map[string]uint64
 	trimmed uint64
-	// outageUntil and recoveredAt are the end of the store's outage.
+	// outageUntil is the end of the current outage of the store, recoveredAt that of the last.
 	outageUntil, recoveredAt time.Time
 	incarnations             int
 	// lateUse is how long settled entries would have used departed targets, and idleTime how
@@ -225,7 +225,7 @@
 	}
 }
 
-// peerMaxAge is the age of the first entry's copy from which the others read themselves.
+// peerMaxAge is the age of the first entry's replica from which the others read the store.
 const peerMaxAge = 1100 * time.Millisecond
 
 // syncEntry updates an entry's replica. The first entry always reads the store. Another does if
--- a/internal/gateway/fleet/reports_test.go
+++ b/internal/gateway/fleet/reports_test.go
@@ -10,8 +10,8 @@
 	return Report{Incarnation: l.Incarnation, Service: l.Service, Address: l.Address, Zone: l.Zone, StartedAfter: startedAfter, ReceivedAt: start}
 }
 
-// correctedTarget returns the target for a reported incarnation after the report is applied.
-func correctedTarget(d *Directory, r Report, sync SyncState, now time.Time) (t Target, ok bool) {
+// targetAfterReport returns the target for a reported incarnation after the report is applied.
+func targetAfterReport(d *Directory, r Report, sync SyncState, now time.Time) (t Target, ok bool) {
 	byService := d.Targets(declared, now, sync)
 	d.ApplyReports(byService, []Report{r}, sync, now)
 	for _, t := range byService["s"] {
@@ -35,12 +35,12 @@
 func TestReportedTargetRemovedBeforeSnapshot(t *testing.T) {
 	d := directoryOf(listing("other", 1))
 	left := reportOf(listing("left", 2), time.Time{})
-	if target, ok := correctedTarget(d, left, currentSync, start.Add(relistTimeout-time.Millisecond)); !ok || !target.Unconfirmed {
+	if target, ok := targetAfterReport(d, left, currentSync, start.Add(relistTimeout-time.Millisecond)); !ok || !target.Unconfirmed {
 		t.Errorf("within the relist timeout: used %v, %+v", ok, target)
 	}
 	for _, after := range []time.Duration{relistTimeout, time.Minute, time.Hour} {
-		if _, ok := correctedTarget(d, left, currentSync, start.Add(after)); ok {
-			t.Errorf("used %s after the start", after)
+		if _, ok := targetAfterReport(d, left, currentSync, start.Add(after)); ok {
+			t.Errorf("the target is used %s after the start", after)
 		}
 	}
 }
@@ -48,15 +48,15 @@
 // The same for a target that its host saw start before the list was read.
 func TestReportedTargetStartedBeforeSnapshot(t *testing.T) {
 	d := directoryOf(listing("other", 1))
-	if _, ok := correctedTarget(d, reportOf(listing("left", 2), start.Add(-time.Second)), currentSync, later); ok {
-		t.Error("used")
+	if _, ok := targetAfterReport(d, reportOf(listing("left", 2), start.Add(-time.Second)), currentSync, later); ok {
+		t.Error("the target is used")
 	}
 }
 
 // A target that started after the list was read must be used before the list shows it.
 func TestNewTargetIsUsedBeforeItIsListed(t *testing.T) {
 	d := directoryOf(listing("other", 1))
-	target, ok := correctedTarget(d, reportOf(listing("new", 2), later.Add(-time.Second)), currentSync, later)
+	target, ok := targetAfterReport(d, reportOf(listing("new", 2), later.Add(-time.Second)), currentSync, later)
 	if !ok || target.Unconfirmed || !target.Unlisted {
 		t.Errorf("used %v, %+v", ok, target)
 	}
@@ -64,7 +64,7 @@
 
 // A process that starts during a store outage must use the reported targets.
 func TestReportedTargetsAreUsedWithoutAList(t *testing.T) {
-	target, ok := correctedTarget(NewDirectory(), reportOf(listing("x", 1), time.Time{}), SyncState{StartedAt: start}, later)
+	target, ok := targetAfterReport(NewDirectory(), reportOf(listing("x", 1), time.Time{}), SyncState{StartedAt: start}, later)
 	if !ok || target.Unconfirmed {
 		t.Errorf("used %v, %+v", ok, target)
 	}
@@ -77,13 +77,13 @@
 	report := reportOf(listing("x", 2), time.Time{})
 	down, recovered := currentSync, currentSync
 	down.Current, recovered.OutageEnded = false, later.Add(-time.Second)
-	for name, f := range map[string]SyncState{"during": down, "after": recovered} {
-		if target, ok := correctedTarget(d, report, f, later); !ok || !target.Unconfirmed {
+	for name, sync := range map[string]SyncState{"during": down, "after": recovered} {
+		if target, ok := targetAfterReport(d, report, sync, later); !ok || !target.Unconfirmed {
 			t.Errorf("%s: used %v, %+v", name, ok, target)
 		}
 	}
-	if _, ok := correctedTarget(d, report, recovered, later.Add(relistTimeout)); ok {
-		t.Error("used after the relist timeout")
+	if _, ok := targetAfterReport(d, report, recovered, later.Add(relistTimeout)); ok {
+		t.Error("the target is used after the relist timeout")
 	}
 }
 
@@ -93,8 +93,8 @@
 	d.Remove("left", start)
 	report := reportOf(listing("left", 2), start.Add(time.Second))
 	for now := start; now.Before(start.Add(3 * removedRetention)); now = now.Add(time.Second) {
-		if _, ok := correctedTarget(d, report, currentSync, now); ok {
-			t.Fatalf("used %s after its removal", now.Sub(start))
+		if _, ok := targetAfterReport(d, report, currentSync, now); ok {
+			t.Fatalf("the target is used %s after its removal", now.Sub(start))
 		}
 	}
 }
@@ -104,8 +104,8 @@
 func TestReportWithStartTimeOfRemovedTarget(t *testing.T) {
 	d := directoryOf(listing("other", 1), listing("left", 2))
 	d.Remove("left", later.Add(-time.Second))
-	if _, ok := correctedTarget(d, reportOf(startedListing("left", 2, 300), later.Add(-2*time.Second)), currentSync, later); ok {
-		t.Error("used")
+	if _, ok := targetAfterReport(d, reportOf(startedListing("left", 2, 300), later.Add(-2*time.Second)), currentSync, later); ok {
+		t.Error("the target is used")
 	}
 }
 
@@ -114,7 +114,7 @@
 	leaving := listing("leaving", 2)
 	leaving.Leaving, leaving.Slots = true, 8
 	d := directoryOf(listing("other", 1), leaving)
-	target, ok := correctedTarget(d, reportOf(startedListing("leaving", 2, 300), time.Time{}), currentSync, later)
+	target, ok := targetAfterReport(d, reportOf(startedListing("leaving", 2, 300), time.Time{}), currentSync, later)
 	if !ok || !target.Leaving || target.Unlisted || target.Slots != 8 {
 		t.Errorf("used %v, %+v", ok, target)
 	}
@@ -152,9 +152,9 @@
 // sees only the removal.
 func TestReportedTargetListedBetweenReads(t *testing.T) {
 	d := directoryOf(listing("other", 1))
-	d.Remove("brief", later.Add(-time.Second))
-	if _, ok := correctedTarget(d, reportOf(listing("brief", 2), later.Add(-3*time.Second)), currentSync, later); ok {
-		t.Error("used")
+	d.Remove("shortlived", later.Add(-time.Second))
+	if _, ok := targetAfterReport(d, reportOf(listing("shortlived", 2), later.Add(-3*time.Second)), currentSync, later); ok {
+		t.Error("the target is used")
 	}
 }
 
@@ -173,7 +173,7 @@
 	} {
 		d := directoryOf(listing("other", 1), startedListing("x", 2, 100))
 		d.Remove("x", removed)
-		target, ok := correctedTarget(d, reportOf(startedListing("x", 2, 200), c.started), currentSync, c.now)
+		target, ok := targetAfterReport(d, reportOf(startedListing("x", 2, 200), c.started), currentSync, c.now)
 		if ok != c.want || target.Unconfirmed != c.unconfirmed {
 			t.Errorf("started %s after the removal: used %v, unconfirmed %v", c.started.Sub(removed), ok, target.Unconfirmed)
 		}
@@ -195,7 +195,7 @@
 func TestRemovedTargetIsPruned(t *testing.T) {
 	d := directoryOf(listing("left", 2))
 	d.Remove("left", start)
-	correctedTarget(d, reportOf(listing("left", 2), time.Time{}), currentSync, start.Add(time.Second))
+	targetAfterReport(d, reportOf(listing("left", 2), time.Time{}), currentSync, start.Add(time.Second))
 	d.Targets(declared, start.Add(removedRetention+2*time.Second), currentSync)
 	if len(d.states) != 0 {
 		t.Errorf("%d targets are remembered", len(d.states))
