--- a/internal/gateway/feed/feed_test.go
+++ b/internal/gateway/feed/feed_test.go
@@ -119,7 +119,7 @@
 		replicas := []*Replica{NewReplica(time.Second), NewReplica(time.Second), NewReplica(time.Second)}
 		one := rapid.IntRange(0, len(replicas)-1)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			i, j := one.Draw(rt, "copy"), one.Draw(rt, "peer")
+			i, j := one.Draw(rt, "replica"), one.Draw(rt, "peer")
 			c := replicas[i]
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
 			case 0, 1:
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -27,11 +27,11 @@
 	Weights map[string]int64
 }
 
-// ID is a 32-bit hash of a target's name, used in messages between processes and as a map
-// key. A collision, with probability n*n/2^33 among n targets, only makes placement worse.
+// ID is a 32-bit hash of a name, used in messages between processes and as a map key. A
+// collision, with probability n*n/2^33 among n targets, only makes placement worse.
 type ID uint32
 
-// IDOf returns the ID for the full name of a target or of a KV store.
+// IDOf returns the ID for the name of a target incarnation, a KV store or a link.
 func IDOf(name string) ID { return ID(xxhash.Sum64String(name)) }
 
 // Target is a target that may receive traffic.
