--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -59,11 +59,11 @@
 	e.suspects = newSuspects(p)
 	e.forwarder = forward.New(forward.Deps{
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
-		Quarantine: e.suspects.book, Endings: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
+		Quarantine: e.suspects.book, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
 		Bounds: forward.Bounds{
-			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, Version: p.settings.Bounds.Weights.Duration,
+			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.Weights.Duration,
 		},
-		Zone: p.settings.AvailabilityZone, Logger: p.logger, Ordinary: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, TellWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
+		Zone: p.settings.AvailabilityZone, Logger: p.logger, RoutineLogger: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, AnnounceWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
 	})
 	return e
 }
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -49,9 +49,9 @@
 	// each request of a service, RetrySlack how many beyond that in a window.
 	RetryRatio float64
 	RetrySlack float64
-	// Version is the age of wanted weights from which no request begins on
+	// MaxStaleness is the age of wanted weights from which no request begins on
 	// older ones.
-	Version time.Duration
+	MaxStaleness time.Duration
 }
 
 // Deps are what a forwarder needs.
@@ -65,8 +65,8 @@
 	Reach    *reach.Book
 	// Quarantine holds what is known of requests that were under way when targets ended,
 	// Endings tells such ends from others.
-	Quarantine *quarantine.Book
-	Endings    *quarantine.Endings
+	Quarantine    *quarantine.Registry
+	CrashDetector *quarantine.CrashDetector
 	// Sidecars answer for engines in large fleets; nil where probes are off.
 	Sidecars Sidecars
 	// Limits keep workspaces within their rate limits; nil where there are none.
@@ -74,13 +74,13 @@
 	Bounds Bounds
 	Zone   string
 	Logger logr.Logger
-	// Ordinary writes lines of what goes well. Under load they are dropped before
+	// RoutineLogger writes lines of what goes well. Under load they are dropped before
 	// the others.
-	Ordinary logr.Logger
-	Metrics  Metrics
-	// TellWork tells the other entries at once of the work at a target.
-	TellWork func(target fleet.ID)
-	Now      func() time.Time
+	RoutineLogger logr.Logger
+	Metrics       Metrics
+	// AnnounceWork tells the other entries at once of the work at a target.
+	AnnounceWork func(target fleet.ID)
+	Now          func() time.Time
 	// Seed makes this entry's random choices its own.
 	Seed uint64
 }
@@ -183,9 +183,9 @@
 	request   wire.Request
 	body      []byte
 	// print names the request across its caller's tries.
-	print quarantine.Print
+	print quarantine.Fingerprint
 	// standing is what was held against it at the last look.
-	standing quarantine.Standing
+	standing quarantine.Status
 	arrived  time.Time
 	deadline time.Time
 	retries  *retry.Budget
@@ -291,7 +291,7 @@
 	if refusal := fl.readBody(fl.view.Estate.Limits.BodyBytes); refusal != nil {
 		return refusal
 	}
-	fl.print = quarantine.PrintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
+	fl.print = quarantine.FingerprintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
 	return fl.mayRun()
 }
 
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -299,7 +299,7 @@
 }
 
 func (fl *flow) question() *placement.Question {
-	q := &placement.Question{Aim: fl.route.TargetLatency - time.Since(fl.arrived), VersionBound: fl.Bounds.Version, FarCost: placement.FarCost, ReadTime: fl.readTime.Of, MaxTokens: fl.request.MaxTokens}
+	q := &placement.Question{Aim: fl.route.TargetLatency - time.Since(fl.arrived), VersionBound: fl.Bounds.MaxStaleness, FarCost: placement.FarCost, ReadTime: fl.readTime.Of, MaxTokens: fl.request.MaxTokens}
 	q.Urgency, q.LateUrgency = fl.urgency(false), fl.urgency(true)
 	q.Apart = fl.apartKey()
 	for i, p := range fl.request.Parts {
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -29,7 +29,7 @@
 // when the process ends in the middle of the answer. It names what decided: the
 // versions and ages of the beliefs, and the estimate.
 func (fl *flow) logSend(to *destination) {
-	log := fl.Ordinary
+	log := fl.RoutineLogger
 	if fl.cause != "" {
 		log = fl.Logger
 	}
@@ -173,7 +173,7 @@
 // logDone writes the line that ends a request's story.
 func (fl *flow) logDone(e *errkind.Error) {
 	outcome, detail, back := "answered", "", time.Duration(0)
-	log := fl.Ordinary
+	log := fl.RoutineLogger
 	if e != nil {
 		outcome, detail, back = e.Kind.String(), e.Detail, e.RetryAfter
 	}
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -92,11 +92,11 @@
 		}
 		if first {
 			first = false
-			fl.Quarantine.Begun(run)
+			fl.Quarantine.MarkResponding(run)
 			item.Read()
 			fl.tellRead(to)
 			if fl.noteParts(to, true) {
-				fl.TellWork(to.target.ID)
+				fl.AnnounceWork(to.target.ID)
 			}
 			if patience != nil {
 				patience.Stop()
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -41,7 +41,7 @@
 	expected time.Duration
 	// standing is what was held against the request when the target was chosen, and trial
 	// is set when the send is the only one of it that may run.
-	standing quarantine.Standing
+	standing quarantine.Status
 	trial    bool
 	// probed is set when sidecars were asked, coming when an engine among theirs reads
 	// what the prompt lacks.
@@ -117,7 +117,7 @@
 	link := fl.beginFetch(to)
 	defer link.End()
 	if fl.noteParts(to, false) || to.choice.Read > tellFrom {
-		fl.TellWork(to.target.ID)
+		fl.AnnounceWork(to.target.ID)
 	}
 	fl.sentAt = time.Now()
 	fl.logSend(to)
@@ -243,7 +243,7 @@
 // given up for the sake of another target says nothing of its own.
 func (fl *flow) judgeBroken(ctx context.Context, to *destination, err error) {
 	if errors.Is(context.Cause(ctx), errApart) {
-		fl.Endings.GivenUp(fl.doubt(to))
+		fl.CrashDetector.AddCancelled(fl.doubt(to))
 		return
 	}
 	fl.judge(to, health.Broken)
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -190,7 +190,7 @@
 	p.listener = listener
 	p.callers = newCallers(p.entry.forwarder, listener.Addr(), p.logger)
 	p.beliefs.changed = func() {
-		p.entry.forwarder.Settle()
+		p.entry.forwarder.RecheckCrashes()
 		if p.entry.limits != nil {
 			p.entry.limits.refresh()
 		}
