--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -168,7 +168,7 @@
 	}
 	routes = append(routes, estate.Route{
 		Name: "prompt", Host: host, PathPrefix: "/prompt/", Kind: estate.Stream, Timeout: 2 * time.Second, MaxAttempts: 1,
-		Prompted: true, Backends: []estate.Backend{{Service: "engines", Weight: 1}},
+		HasPrompts: true, Backends: []estate.Backend{{Service: "engines", Weight: 1}},
 	})
 	services := []estate.Service{
 		{Name: "plain"},
@@ -180,14 +180,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := &testEnv{view: &view.View{Estate: cfg, Targets: map[string][]fleet.Target{}, Entries: 1}}
+	env := &testEnv{view: &view.View{Estate: cfg, Targets: map[string][]fleet.Target{}, EntryCount: 1}}
 	directory := fleet.NewDirectory()
 	for _, tg := range targets {
 		address := netip.MustParseAddrPort(tg.listener.Addr().String())
-		directory.List(fleet.Listing{Life: fleet.Life{Instance: tg.instance}, Service: "plain", Address: address, Zone: "a", Slots: 4}, 1, time.Now())
-		directory.List(fleet.Listing{Life: fleet.Life{Instance: tg.instance + "-engine"}, Service: "engines", Address: address, Zone: "a", Slots: 4, Weights: map[string]int64{model: 3}}, 1, time.Now())
+		directory.Add(fleet.Listing{Incarnation: fleet.Incarnation{Instance: tg.instance}, Service: "plain", Address: address, Zone: "a", Slots: 4}, 1, time.Now())
+		directory.Add(fleet.Listing{Incarnation: fleet.Incarnation{Instance: tg.instance + "-engine"}, Service: "engines", Address: address, Zone: "a", Slots: 4, Weights: map[string]int64{model: 3}}, 1, time.Now())
 	}
-	env.view.Targets = directory.Targets(func(string) bool { return true }, time.Now(), fleet.Following{})
+	env.view.Targets = directory.Targets(func(string) bool { return true }, time.Now(), fleet.SyncState{})
 	env.view.Wanted = map[string]weights.History{}
 	env.pool = upstream.NewPool(func() {})
 	env.Forwarder = New(Deps{
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -63,7 +63,7 @@
 		return min(probationWait, time.Duration(probationWaitShare*float64(fl.timeLeft())))
 	}
 	wait := min(maxPlaceWait, time.Duration(placeWaitShare*float64(fl.timeLeft())))
-	if fl.view.Large && fl.route.Prompted && fl.route.TargetLatency > 0 {
+	if fl.view.LargeFleet && fl.route.HasPrompts && fl.route.TargetLatency > 0 {
 		wait = min(wait, time.Duration(unnoticedWaitShare*float64(fl.route.TargetLatency)))
 	}
 	return wait
@@ -112,7 +112,7 @@
 	if fl.service.Engine != nil && fl.Reach.CutOff(fl.Now()) {
 		return nil, errkind.After(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine or sidecar has responded recently")
 	}
-	if fl.service.Engine != nil && fl.route.Prompted {
+	if fl.service.Engine != nil && fl.route.HasPrompts {
 		return fl.chooseEngine(ctx)
 	}
 	return fl.choosePlain()
@@ -127,7 +127,7 @@
 	targets := fl.view.Targets[fl.service.Name]
 	for i := range targets {
 		t := &targets[i]
-		if t.Leaving || fl.excluded[t.Life] {
+		if t.Leaving || fl.excluded[t.Incarnation] {
 			continue
 		}
 		if fl.mustAvoid(t) {
@@ -141,7 +141,7 @@
 		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "no target of %s", fl.service.Name)
 	}
 	dst := &destination{target: targets[best], work: ledger.Work{Running: 1}}
-	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
+	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		dst.maxWait = fl.timeLeft() / 2
 	}
 	return dst, nil
@@ -161,20 +161,20 @@
 )
 
 // plainCost returns the cost of a target in running requests.
-func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, ejected map[fleet.Life]time.Time) float64 {
+func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, ejected map[fleet.Incarnation]time.Time) float64 {
 	cost := float64(w.Running) + fl.uniform()/2
 	if key := fl.suspectKey(); key != 0 {
 		cost = placement.Rank(key, t.Hash)
-	} else if fl.view.Large {
+	} else if fl.view.LargeFleet {
 		cost += fl.uniform() * largeFleetSpread
 	}
 	if t.Zone != fl.Zone && fl.suspectKey() == 0 {
 		cost += crossZoneRequests
 	}
-	if t.Doubtful {
+	if t.Unconfirmed {
 		cost += doubtfulRequests
 	}
-	if _, ok := ejected[t.Life]; ok {
+	if _, ok := ejected[t.Incarnation]; ok {
 		cost += ejectedRequests
 	}
 	if excess := w.Running + 1 - t.Slots; t.Slots > 0 && excess > 0 {
@@ -236,10 +236,10 @@
 // firstEventTimeout returns the time left for the first event, which may be less than the
 // time until the deadline: callers of streams give up earlier if they receive nothing.
 func (fl *flow) firstEventTimeout() time.Duration {
-	if fl.route.Patience == 0 {
+	if fl.route.MaxWait == 0 {
 		return fl.timeLeft()
 	}
-	return min(fl.timeLeft(), fl.route.Patience-time.Since(fl.arrived))
+	return min(fl.timeLeft(), fl.route.MaxWait-time.Since(fl.arrived))
 }
 
 // candidates returns the engines of the prompt's service, in the order of the view.
@@ -258,17 +258,17 @@
 		c := &candidates[i]
 		*c = placement.Candidate{
 			Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone,
-			Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Emptying: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
+			Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Emptying: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
 			Slots: t.Slots, Memory: fl.service.Engine.CacheTokens, Work: totals[t.ID],
 		}
-		c.LoadsIn, c.Loads = schedule[t.Life]
-		c.Pace = fl.paces.Of(t.Life, fl.Now())
+		c.LoadsIn, c.Loads = schedule[t.Incarnation]
+		c.Pace = fl.paces.Of(t.Incarnation, fl.Now())
 		c.Behind = wanted.Behind(c.Version, fl.Now())
 		if c.Slots == 0 {
 			c.Slots = fl.service.Engine.Slots
 		}
-		_, c.Rested = ejected[t.Life]
-		c.Rested = c.Rested || t.Doubtful || fl.view.Silent[t.Address]
+		_, c.Rested = ejected[t.Incarnation]
+		c.Rested = c.Rested || t.Unconfirmed || fl.view.Unresponsive[t.Address]
 		locations.get(c.Version).fillCandidate(c, t)
 	}
 	return candidates
@@ -276,13 +276,13 @@
 
 // loadSchedule returns the time until each engine loads the wanted weights; nil if no
 // engine is stale.
-func (fl *flow) loadSchedule(targets []fleet.Target) map[fleet.Life]time.Duration {
+func (fl *flow) loadSchedule(targets []fleet.Target) map[fleet.Incarnation]time.Duration {
 	wanted := fl.view.Wanted[fl.request.Model].Newest()
 	engines := make([]weights.EngineView, len(targets))
 	stale := false
 	for i := range targets {
 		t := &targets[i]
-		engines[i] = weights.EngineView{Life: t.Life, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
+		engines[i] = weights.EngineView{Incarnation: t.Incarnation, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
 		stale = stale || engines[i].Version < wanted
 	}
 	if !stale {
@@ -298,7 +298,7 @@
 		running += totals[targets[i].ID].Memory.All()
 	}
 	free := fl.service.Engine.CacheTokens - running/max(len(targets), 1)
-	return fl.turnover.Kept(fl.view.Entries, len(targets), max(free, 0), fl.Now())
+	return fl.turnover.Kept(fl.view.EntryCount, len(targets), max(free, 0), fl.Now())
 }
 
 // placementInput returns what the placement decision needs to know about the request.
@@ -335,7 +335,7 @@
 	}
 	dst.memoryTokens = choice.ReadTokens + choice.Fetched + in.MaxTokens/meanAnswerDivisor
 	dst.work.Memory = ledger.Lane(choice.Urgency, dst.memoryTokens)
-	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
+	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		dst.maxWait = firstEventMaxWait(choice, fl.timeLeft())
 	}
 	return dst
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -50,7 +50,7 @@
 // It returns nil if no sidecar answers: the entry then relies on the target list and its
 // own sends.
 func (fl *flow) probeEngines(ctx context.Context, in *placement.Question) *probeRound {
-	if !fl.view.Large || fl.Sidecars == nil {
+	if !fl.view.LargeFleet || fl.Sidecars == nil {
 		return nil
 	}
 	in.FarCost = placement.FarCostAsked
@@ -97,8 +97,8 @@
 	ranked := make([]placement.Ranked, len(targets))
 	for i := range targets {
 		t := &targets[i]
-		_, isEjected := ejected[t.Life]
-		ranked[i] = placement.Ranked{Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || isEjected || t.Doubtful || fl.excluded[t.Life] || fl.view.Silent[t.Address]}
+		_, isEjected := ejected[t.Incarnation]
+		ranked[i] = placement.Ranked{Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || isEjected || t.Unconfirmed || fl.excluded[t.Incarnation] || fl.view.Unresponsive[t.Address]}
 	}
 	return ranked
 }
@@ -150,9 +150,9 @@
 func (p *probeRound) adoptIncarnations() {
 	for i := range p.targets {
 		t := &p.targets[i]
-		if incarnation := p.answers[i].Life; p.answered[i] && incarnation.Instance != "" && incarnation != t.Life {
+		if incarnation := p.answers[i].Life; p.answered[i] && incarnation.Instance != "" && incarnation != t.Incarnation {
 			listing := t.Listing
-			listing.Life = incarnation
+			listing.Incarnation = incarnation
 			*t = fleet.NewTarget(listing)
 		}
 	}
@@ -163,7 +163,7 @@
 func (p *probeRound) candidate(i int) placement.Candidate {
 	fl, t, a := p.fl, &p.targets[i], &p.answers[i]
 	c := placement.Candidate{
-		Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t),
+		Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t),
 		Version: fl.view.Version(t, fl.request.Model), Slots: t.Slots, Memory: fl.service.Engine.CacheTokens,
 	}
 	if c.Slots == 0 {
@@ -172,7 +172,7 @@
 	if p.answered[i] {
 		c.Work, c.Arriving, c.Pace, c.Held = a.Work, a.Arriving, a.Pace, a.Held
 		c.Loading, c.Emptying = a.Phase == weights.Loading, a.Phase == weights.Emptying
-		c.Rested = a.Ill || a.ReportAge > staleReportAge || t.Doubtful
+		c.Rested = a.Ill || a.ReportAge > staleReportAge || t.Unconfirmed
 		c.Excluded = c.Excluded || a.Phase == weights.Silent
 		if version, ok := a.Weights[fl.request.Model]; ok {
 			c.Version = version
@@ -222,7 +222,7 @@
 		}
 		targets := fl.view.Targets[fl.service.Name]
 		index := slices.IndexFunc(targets, func(t fleet.Target) bool { return t.Address == a.Holder })
-		if index < 0 || fl.view.Silent[a.Holder] {
+		if index < 0 || fl.view.Unresponsive[a.Holder] {
 			continue
 		}
 		out.sources = append(out.sources, source{
@@ -327,5 +327,5 @@
 // recordOutcome records the health outcome of a send.
 func (fl *flow) recordOutcome(dst *destination, o health.Outcome) {
 	fl.outcome = o
-	fl.Health.Note(fl.service.Name, dst.target.Life, o, fl.Now())
+	fl.Health.Note(fl.service.Name, dst.target.Incarnation, o, fl.Now())
 }
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -72,10 +72,10 @@
 	t.Helper()
 	env := newTestEnv(t, targets...)
 	sidecars := newFakeSidecars()
-	env.view.Large, env.Forwarder.Sidecars = true, sidecars
+	env.view.LargeFleet, env.Forwarder.Sidecars = true, sidecars
 	for i := range env.view.Targets["engines"] {
 		tg := &env.view.Targets["engines"][i]
-		sidecars.answers[tg.Address] = probe.Answer{Life: tg.Life, Weights: map[string]int64{model: 3}, Pace: 1}
+		sidecars.answers[tg.Address] = probe.Answer{Life: tg.Incarnation, Weights: map[string]int64{model: 3}, Pace: 1}
 		// All engines rank equally for the tests' family.
 		tg.Hash = 0
 	}
@@ -157,7 +157,7 @@
 func TestProbeAnswerOverridesTargetList(t *testing.T) {
 	tg, got := startHeaderRecorder(t, "old")
 	env, sidecars := newProbedEnv(t, tg)
-	sidecars.setAnswer(addressOf(tg), probe.Answer{Life: fleet.Life{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
+	sidecars.setAnswer(addressOf(tg), probe.Answer{Life: fleet.Incarnation{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
 	postPrompt(t, env)
 	if got.Get(wiretest.Instance) != "new" || got.Get(wiretest.Weights) != "4" {
 		t.Errorf("request for instance %q with weights %q; want new and 4", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
@@ -199,7 +199,7 @@
 	env, sidecars := newProbedEnv(t, tg)
 	holder := netip.MustParseAddrPort("127.0.0.2:7")
 	listing := env.view.Targets["engines"][0].Listing
-	listing.Life, listing.Address = fleet.Life{Instance: "holder"}, holder
+	listing.Incarnation, listing.Address = fleet.Incarnation{Instance: "holder"}, holder
 	other := fleet.NewTarget(listing)
 	other.Leaving = true // not probed itself
 	env.view.Targets["engines"] = append(env.view.Targets["engines"], other)
@@ -207,10 +207,10 @@
 	a.Holder, a.Saved = holder, true
 	sidecars.setAnswer(addressOf(tg), a)
 	postPrompt(t, env)
-	if got.Get(wiretest.Fetch) != holder.String() {
-		t.Errorf("fetched from %q", got.Get(wiretest.Fetch))
+	if got.Get(wiretest.FetchFrom) != holder.String() {
+		t.Errorf("fetched from %q", got.Get(wiretest.FetchFrom))
 	}
-	if got.Get(wiretest.Save) != "" {
+	if got.Get(wiretest.OffloadTo) != "" {
 		t.Error("the parts were offloaded again")
 	}
 }
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -81,7 +81,7 @@
 // it may have started.
 func (fl *flow) startRun(dst *destination, cancel context.CancelCauseFunc) *quarantine.Run {
 	var abandonSend func()
-	if fl.route.Repeatable() {
+	if fl.route.Retryable() {
 		abandonSend = func() { cancel(errCrashedElsewhere) }
 	}
 	return fl.Quarantine.StartRun(fl.fingerprint, dst.target.ID, abandonSend)
@@ -132,8 +132,8 @@
 	}
 	d := fl.suspectedCrash(dst)
 	evidence := fl.CrashDetector.Detect(ctx, v, d)
-	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.fingerprint, "target", dst.target.Life, "evidence", string(evidence),
-		"list_age", fl.age(v.ListedAt), "step", d.Step, "ran", roundForLog(time.Since(fl.sentAt)))
+	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.fingerprint, "target", dst.target.Incarnation, "evidence", string(evidence),
+		"list_age", fl.age(v.TargetsCurrentAt), "step", d.Step, "ran", roundForLog(time.Since(fl.sentAt)))
 	if evidence != quarantine.NoEvidence {
 		fl.Quarantine.AttributeCrash(d.Fingerprint, d.Caller, quarantine.Crash{Target: d.Target.ID, Step: d.Step, At: d.At, Elapsed: d.Elapsed})
 	}
@@ -149,7 +149,7 @@
 	}
 	doubts, evidence := f.CrashDetector.Resolve(v, f.Now())
 	for i, d := range doubts {
-		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Fingerprint, "target", d.Target.Life, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
+		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Fingerprint, "target", d.Target.Incarnation, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
 		f.Quarantine.AttributeCrash(d.Fingerprint, d.Caller, quarantine.Crash{Target: d.Target.ID, Step: d.Step, At: d.At, Elapsed: d.Elapsed})
 	}
 }
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -67,7 +67,7 @@
 	if ctx.Err() != nil && !abandoned(ctx) {
 		return sendResult{final: true, refusal: fl.contextRefusal(ctx)}
 	}
-	fl.excluded[dst.target.Life] = true
+	fl.excluded[dst.target.Incarnation] = true
 	fl.recordBroken(ctx, dst, err)
 	kind := errkind.TargetFailed
 	if fl.responseStarted {
@@ -155,7 +155,7 @@
 // model of prefill times.
 func (fl *flow) learnPrefillTime(dst *destination) {
 	if dst.choice.ReadTokens > 0 {
-		fl.paces.Note(dst.target.Life, time.Since(fl.sentAt), dst.expectedFirstEvent, fl.Now())
+		fl.paces.Note(dst.target.Incarnation, time.Since(fl.sentAt), dst.expectedFirstEvent, fl.Now())
 	}
 	if dst.choice.Wait > maxUnqueuedWait || dst.choice.ReadTokens == 0 {
 		return
@@ -166,7 +166,7 @@
 // finishStream handles the regular end of a stream.
 func (fl *flow) finishStream(dst *destination) sendResult {
 	if !fl.responseStarted {
-		fl.excluded[dst.target.Life] = true
+		fl.excluded[dst.target.Incarnation] = true
 		return sendResult{refusal: errkind.New(errkind.TargetFailed, "the stream ended without an event")}
 	}
 	fl.recordOutcome(dst, health.Good)
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -64,7 +64,7 @@
 
 // sendRecord is what is logged of the last send.
 type sendRecord struct {
-	incarnation fleet.Life
+	incarnation fleet.Incarnation
 	status      int
 }
 
@@ -99,7 +99,7 @@
 	// delivered and runs are corrected if the request did not reach the target or was not run.
 	fl.delivered++
 	fl.runs++
-	fl.lastSend = sendRecord{incarnation: dst.target.Life}
+	fl.lastSend = sendRecord{incarnation: dst.target.Incarnation}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	dst.quarantineStatus = fl.quarantineStatus
@@ -168,12 +168,12 @@
 }
 
 func (fl *flow) upstreamRequest(dst *destination) *upstream.Request {
-	send := wire.Send{
-		TimeLeft: fl.timeLeft(), Instance: dst.target.Instance, Urgency: -1,
-		CacheScope: dst.cacheScope, Weights: dst.weightsVersion, SaveTo: dst.offloadTo,
+	send := wire.Attempt{
+		TimeLeft: fl.timeLeft(), Instance: dst.target.Instance, Priority: -1,
+		CacheScope: dst.cacheScope, Weights: dst.weightsVersion, OffloadTo: dst.offloadTo,
 	}
 	if fl.route.Resumable {
-		send.LastEvent = fl.lastEvent
+		send.LastEventID = fl.lastEvent
 	}
 	if fl.workspace != nil {
 		send.Workspace = fl.workspace.Name
@@ -182,11 +182,11 @@
 		send.FetchFrom = dst.fetchFrom.String()
 	}
 	if fl.service.Engine != nil {
-		send.Urgency = dst.choice.Urgency
+		send.Priority = dst.choice.Urgency
 	}
 	return &upstream.Request{
 		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Repeatable(),
+		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Retryable(),
 		Mine: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
@@ -224,7 +224,7 @@
 	if ctx.Err() != nil && !abandoned(ctx) {
 		return sendResult{final: true, refusal: fl.contextRefusal(ctx)}
 	}
-	fl.excluded[dst.target.Life] = true
+	fl.excluded[dst.target.Incarnation] = true
 	if errors.Is(err, upstream.ErrNotSent) {
 		fl.runs--
 		fl.delivered--
@@ -252,7 +252,7 @@
 // handleNotRun handles a target's statement that it did not run the request.
 func (fl *flow) handleNotRun(dst *destination, resp *upstream.Response, reply wire.Reply) sendResult {
 	fl.runs--
-	fl.excluded[dst.target.Life] = true
+	fl.excluded[dst.target.Incarnation] = true
 	drain(resp)
 	refusal := errkind.After(errkind.Overloaded, fl.jitter(busyRetryAfter), "the target refused with status %d", resp.Status)
 	if resp.Status == http.StatusMisdirectedRequest {
@@ -275,19 +275,19 @@
 	success := resp.Status < http.StatusMultipleChoices
 	if reply.Encoded || success && (!reply.Sealed || reply.ID != fl.request.ID) {
 		fl.recordOutcome(dst, health.Broken)
-		fl.excluded[dst.target.Life] = true
+		fl.excluded[dst.target.Incarnation] = true
 		return sendResult{refusal: errkind.New(errkind.TargetFailed, "the target's response is not sealed or is encoded")}, false
 	}
 	if resp.Status >= http.StatusInternalServerError {
 		fl.recordOutcome(dst, health.Failed)
-		if fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts && !fl.responseStarted && ctx.Err() == nil {
-			fl.excluded[dst.target.Life] = true
+		if fl.route.Retryable() && fl.runs < fl.route.MaxAttempts && !fl.responseStarted && ctx.Err() == nil {
+			fl.excluded[dst.target.Incarnation] = true
 			drain(resp)
 			return sendResult{refusal: errkind.New(errkind.TargetFailed, "the target answered with status %d", resp.Status)}, false
 		}
 	}
 	if fl.responseStarted && !success {
-		fl.excluded[dst.target.Life] = true
+		fl.excluded[dst.target.Incarnation] = true
 		return sendResult{refusal: errkind.New(errkind.StreamBroken, "resuming the stream failed with status %d", resp.Status)}, false
 	}
 	return sendResult{}, true
--- a/internal/gateway/quarantine/crashdetector.go
+++ b/internal/gateway/quarantine/crashdetector.go
@@ -94,7 +94,7 @@
 	switch {
 	case found && listed.Leaving:
 		return NoEvidence
-	case v.Silent[s.Target.Address]:
+	case v.Unresponsive[s.Target.Address]:
 		return UnresponsiveToSidecar
 	case !found && !s.Unlisted && !replaced(v, &s.Target):
 		return NoEvidence // unlisted before the crash: planned shutdown
@@ -206,15 +206,15 @@
 // lists the target.
 func viewEvidence(v *view.View, s *SuspectedCrash, found bool) Evidence {
 	switch {
-	case v.Silent[s.Target.Address]:
+	case v.Unresponsive[s.Target.Address]:
 		return UnresponsiveToSidecar
 	case found || s.Unlisted:
 		return NoEvidence
 	case replaced(v, &s.Target):
 		return OtherIncarnation
-	case v.Engines[s.Target.Life].HeardAt.Sub(s.At) > sidecarReportDelay:
+	case v.Engines[s.Target.Incarnation].ReceivedAt.Sub(s.At) > sidecarReportDelay:
 		return NoEvidence // its sidecar still reports it: unlisted but running
-	case v.ListedAt.After(s.At):
+	case v.TargetsCurrentAt.After(s.At):
 		return Unlisted
 	default:
 		return NoEvidence
@@ -225,7 +225,7 @@
 func replaced(v *view.View, t *fleet.Target) bool {
 	for _, list := range v.Targets {
 		for i := range list {
-			if list[i].Address == t.Address && !list[i].Life.Same(t.Life) {
+			if list[i].Address == t.Address && !list[i].Incarnation.Matches(t.Incarnation) {
 				return true
 			}
 		}
@@ -243,7 +243,7 @@
 func findListed(v *view.View, t *fleet.Target) (*fleet.Target, bool) {
 	list := v.Targets[t.Service]
 	for i := range list {
-		if list[i].Life.Same(t.Life) {
+		if list[i].Incarnation.Matches(t.Incarnation) {
 			return &list[i], true
 		}
 	}
--- a/internal/gateway/quarantine/crashdetector_test.go
+++ b/internal/gateway/quarantine/crashdetector_test.go
@@ -14,12 +14,12 @@
 var engineAddress = netip.MustParseAddrPort("10.0.0.1:80")
 
 func newTarget(instance string, startTime int64) fleet.Target {
-	return fleet.NewTarget(fleet.Listing{Life: fleet.Life{Instance: instance, Born: startTime}, Service: "engines", Address: engineAddress})
+	return fleet.NewTarget(fleet.Listing{Incarnation: fleet.Incarnation{Instance: instance, StartedMs: startTime}, Service: "engines", Address: engineAddress})
 }
 
 // newView returns a view of the targets in a list that was read at listedAt.
 func newView(listedAt time.Time, targets ...fleet.Target) *view.View {
-	return &view.View{Targets: map[string][]fleet.Target{"engines": targets}, Silent: map[netip.AddrPort]bool{}, ListedAt: listedAt}
+	return &view.View{Targets: map[string][]fleet.Target{"engines": targets}, Unresponsive: map[netip.AddrPort]bool{}, TargetsCurrentAt: listedAt}
 }
 
 func withDraining(t fleet.Target) fleet.Target {
@@ -28,7 +28,7 @@
 }
 
 func withUnresponsive(v *view.View) *view.View {
-	v.Silent[engineAddress] = true
+	v.Unresponsive[engineAddress] = true
 	return v
 }
 
@@ -62,7 +62,7 @@
 
 // withReport adds a sidecar's report of the target, received at heardAt.
 func withReport(v *view.View, t fleet.Target, heardAt time.Time) *view.View {
-	v.Engines = map[fleet.Life]view.EngineWord{t.Life: {HeardAt: heardAt}}
+	v.Engines = map[fleet.Incarnation]view.EngineReport{t.Incarnation: {ReceivedAt: heardAt}}
 	return v
 }
 
--- a/internal/gateway/wire/wiretest/wiretest.go
+++ b/internal/gateway/wire/wiretest/wiretest.go
@@ -1,5 +1,5 @@
-// Package wiretest is a small protocol of its own for tests of the request
-// path, with the same facts as a platform's under other names.
+// Package wiretest provides a minimal wire.Protocol with its own header names, for tests of the
+// request path.
 package wiretest
 
 import (
@@ -13,22 +13,22 @@
 
 // Header names of the test protocol.
 const (
-	ID        = "Test-Id"
-	TimeLeft  = "Test-Time-Left"
-	Key       = "Test-Key"
-	Workspace = "Test-Workspace"
-	Instance  = "Test-Instance"
-	Model     = "Test-Model"
-	Prompt    = "Test-Prompt"
-	Parts     = "Test-Parts"
-	LastEvent = "Test-Last-Event"
-	Seal      = "Test-Seal"
-	NotRun    = "Test-Not-Run"
-	Scope     = "Test-Scope"
-	Weights   = "Test-Weights"
-	Fetch     = "Test-Fetch"
-	Save      = "Test-Save"
-	Urgency   = "Test-Urgency"
+	ID          = "Test-Id"
+	TimeLeft    = "Test-Time-Left"
+	Key         = "Test-Key"
+	Workspace   = "Test-Workspace"
+	Instance    = "Test-Instance"
+	Model       = "Test-Model"
+	Prompt      = "Test-Prompt"
+	Parts       = "Test-Parts"
+	LastEventID = "Test-Last-Event"
+	Seal        = "Test-Seal"
+	NotRun      = "Test-Not-Run"
+	CacheScope  = "Test-Scope"
+	Weights     = "Test-Weights"
+	FetchFrom   = "Test-Fetch"
+	OffloadTo   = "Test-Save"
+	Priority    = "Test-Urgency"
 )
 
 // Protocol implements wire.Protocol.
@@ -36,7 +36,7 @@
 
 // ReadRequest implements wire.Protocol.
 func (Protocol) ReadRequest(h http.Header) (wire.Request, error) {
-	r := wire.Request{ID: h.Get(ID), Key: h.Get(Key), Model: h.Get(Model), LastEvent: h.Get(LastEvent)}
+	r := wire.Request{ID: h.Get(ID), Key: h.Get(Key), Model: h.Get(Model), LastEventID: h.Get(LastEventID)}
 	if text := h.Get(TimeLeft); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil {
@@ -54,11 +54,11 @@
 }
 
 // WriteSend implements wire.Protocol.
-func (Protocol) WriteSend(caller http.Header, s wire.Send) http.Header {
+func (Protocol) WriteSend(caller http.Header, a wire.Attempt) http.Header {
 	h := http.Header{}
 	for _, name := range []string{ID, Model, Prompt, Parts, "Content-Type"} {
-		if v := caller.Get(name); v != "" {
-			h.Set(name, v)
+		if value := caller.Get(name); value != "" {
+			h.Set(name, value)
 		}
 	}
 	set := func(name, value string) {
@@ -66,18 +66,18 @@
 			h.Set(name, value)
 		}
 	}
-	set(TimeLeft, s.TimeLeft.String())
-	set(Instance, s.Instance)
-	set(Workspace, s.Workspace)
-	set(Scope, s.CacheScope)
-	set(LastEvent, s.LastEvent)
-	set(Fetch, s.FetchFrom)
-	set(Save, s.SaveTo)
-	if s.Weights > 0 {
-		set(Weights, strconv.FormatInt(s.Weights, 10))
+	set(TimeLeft, a.TimeLeft.String())
+	set(Instance, a.Instance)
+	set(Workspace, a.Workspace)
+	set(CacheScope, a.CacheScope)
+	set(LastEventID, a.LastEventID)
+	set(FetchFrom, a.FetchFrom)
+	set(OffloadTo, a.OffloadTo)
+	if a.Weights > 0 {
+		set(Weights, strconv.FormatInt(a.Weights, 10))
 	}
-	if s.Urgency >= 0 {
-		set(Urgency, strconv.Itoa(s.Urgency))
+	if a.Priority >= 0 {
+		set(Priority, strconv.Itoa(a.Priority))
 	}
 	return h
 }
