--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/caches_test.go
@@ -50,9 +50,9 @@
 			t.Errorf("part %d: state %v", h.Part, got)
 		}
 	}
-	work := ledger.Work{Running: 3, Reading: ledger.Lane(7, 250*time.Millisecond), Memory: ledger.Lane(2, 90_000)}
-	work.Reading[0] = time.Second
-	if got := probe.WorkIn(probe.LoadOut(1, work)); got != work {
+	work := ledger.Work{Running: 3, Prefill: ledger.AtPriority(7, 250*time.Millisecond), Memory: ledger.AtPriority(2, 90_000)}
+	work.Prefill[0] = time.Second
+	if got := probe.DecodeLoad(probe.EncodeLoad(1, work)); got != work {
 		t.Errorf("%+v, want %+v", got, work)
 	}
 }
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -61,8 +61,8 @@
 	Pool     *upstream.Pool
 	Ledger   *ledger.Ledger
 	Parts    *parts.Book
-	Health   *health.Book
-	Reach    *reach.Book
+	Health   *health.Monitor
+	Reach    *reach.Monitor
 	// Quarantine holds what is known of requests that were under way when targets ended,
 	// Endings tells such ends from others.
 	Quarantine *quarantine.Book
@@ -88,8 +88,8 @@
 // Sidecars are asked what a prompt would meet at their engines, and told of the prompts
 // that were sent there.
 type Sidecars interface {
-	// Ask returns the answers in the order of the engines, with which of them came.
-	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Answer, []bool)
+	// Probe returns the answers in the order of the engines, with which of them came.
+	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Response, []bool)
 	// Sent returns the number under which the prompt's progress is told.
 	Sent(engine netip.AddrPort, s probe.Send) uint32
 	Progressed(engine netip.AddrPort, number uint32, p probe.Progress)
@@ -129,15 +129,15 @@
 	inFlight atomic.Int64
 	random   atomic.Uint64
 	budgets  sync.Map // service to *retry.Budget
-	readTime *readtime.Meter
-	paces    *readtime.Paces
+	readTime *readtime.Predictor
+	paces    *readtime.Slowdowns
 	turnover parts.Turnover
 	usual    usualTimes
 }
 
 // New returns a forwarder.
 func New(d Deps) *Forwarder {
-	f := &Forwarder{Deps: d, readTime: readtime.New(), paces: readtime.NewPaces()}
+	f := &Forwarder{Deps: d, readTime: readtime.NewPredictor(), paces: readtime.NewSlowdowns()}
 	f.random.Store(d.Seed)
 	return f
 }
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -428,8 +428,8 @@
 func TestEntryThatIsCutOffRefusesAtOnce(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	w := startWorld(t, tg)
-	w.Reach.Heard(time.Now().Add(-time.Second))
-	w.Reach.Failed(time.Now())
+	w.Reach.HeartbeatReceived(time.Now().Add(-time.Second))
+	w.Reach.ConnectFailed(time.Now())
 	resp, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil {
 		t.Fatal(err)
@@ -470,7 +470,7 @@
 	tg := startTarget(t, "i1", nil)
 	w := startWorld(t, tg)
 	w.view.Estate.Match(host, "/prompt/").Patience = 300 * time.Millisecond
-	busy := w.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Reading: ledger.Lane(0, 2*time.Second)}, time.Hour, time.Now())
+	busy := w.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Prefill: ledger.AtPriority(0, 2*time.Second)}, time.Hour, time.Now())
 	defer busy.End()
 	resp, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "deadline_unmeetable") || resp.Header.Get("Retry-After") == "" {
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -193,7 +193,7 @@
 	w.pool = upstream.NewPool(func() {})
 	w.Forwarder = New(Deps{
 		Protocol: wiretest.Protocol{}, View: func() (*view.View, bool) { return w.view, true }, Pool: w.pool,
-		Ledger: ledger.New(), Parts: parts.NewBook(), Health: health.NewBook(nil), Reach: &reach.Book{},
+		Ledger: ledger.New(), Parts: parts.NewBook(), Health: health.NewMonitor(nil), Reach: &reach.Monitor{},
 		Quarantine: quarantine.NewBook(quarantine.Limits{Ends: 3, SuspectFor: time.Hour, HoldFor: time.Hour, Records: 100}, noObserver{}),
 		Endings:    quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return w.pool.Refuses(ctx, t.Address) }),
 		Bounds:     Bounds{RetryRatio: 0.5, RetrySlack: 100, Version: 5 * time.Second}, Zone: "a",
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -43,8 +43,8 @@
 		"target", to.target.Life, "address", to.target.Address, "zone", to.target.Zone,
 		"list_age", fl.since(fl.view.ListedAt), "listed", !to.target.Unlisted, "asked", to.asked, "word_age", age, "phase", phase.String(),
 		"weights", to.weights, "wanted", fl.view.Wanted[fl.request.Model].Newest(),
-		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", family(to), "answer", fl.request.MaxTokens, "held", to.choice.Held, "fetched", to.choice.Fetched, "fetch_from", to.fetchFrom, "save_to", to.saveTo,
-		"late", to.choice.Late, "urgency", to.choice.Urgency, "wait", tenth(to.choice.Wait), "read", tenth(to.choice.Read), "fetch", tenth(to.choice.Fetch),
+		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", family(to), "answer", fl.request.MaxTokens, "held", to.choice.CachedTokens, "fetched", to.choice.FetchedTokens, "fetch_from", to.fetchFrom, "save_to", to.saveTo,
+		"late", to.choice.Late, "urgency", to.choice.Priority, "wait", tenth(to.choice.Wait), "read", tenth(to.choice.Prefill), "fetch", tenth(to.choice.Fetch),
 		"patience", tenth(to.patience), "kept", tenth(time.Since(fl.arrived)), "left", fl.timeLeft().Round(time.Millisecond))
 }
 
@@ -88,7 +88,7 @@
 	if len(to.keys) == 0 {
 		return
 	}
-	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, to.choice.Held+to.choice.Fetched, fl.wasted(to))
+	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, to.choice.CachedTokens+to.choice.FetchedTokens, fl.wasted(to))
 }
 
 // wasted is how many of a prompt's shared tokens the engine reads although another
@@ -104,7 +104,7 @@
 			tokens += fl.request.Parts[i].Tokens
 		}
 	}
-	return max(tokens-to.choice.Held-to.choice.Fetched, 0)
+	return max(tokens-to.choice.CachedTokens-to.choice.FetchedTokens, 0)
 }
 
 // sharedTokens is the length of the prompt's parts that others use too.
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -78,7 +78,7 @@
 
 // relayStream passes a stream on event by event. The head is held until the
 // first event, so that a target that fails before it costs the caller nothing.
-func (fl *flow) relayStream(ctx context.Context, to *destination, resp *upstream.Response, item *ledger.Item, patience *time.Timer, watch *darkWatch, run *quarantine.Run) verdict {
+func (fl *flow) relayStream(ctx context.Context, to *destination, resp *upstream.Response, item *ledger.Request, patience *time.Timer, watch *darkWatch, run *quarantine.Run) verdict {
 	reader := events.NewReader(resp)
 	flusher := http.NewResponseController(fl.w)
 	first := true
@@ -93,7 +93,7 @@
 		if first {
 			first = false
 			fl.Quarantine.Begun(run)
-			item.Read()
+			item.PrefillDone()
 			fl.tellRead(to)
 			if fl.noteParts(to, true) {
 				fl.TellWork(to.target.ID)
@@ -153,13 +153,13 @@
 
 // learnReadTime takes in how long an engine took to read a prompt.
 func (fl *flow) learnReadTime(to *destination) {
-	if to.choice.ReadTokens > 0 {
-		fl.paces.Note(to.target.Life, time.Since(fl.sentAt), to.expected, fl.Now())
+	if to.choice.PrefillTokens > 0 {
+		fl.paces.Record(to.target.Life, time.Since(fl.sentAt), to.expected, fl.Now())
 	}
-	if to.choice.Wait > unhindered || to.choice.ReadTokens == 0 {
+	if to.choice.Wait > unhindered || to.choice.PrefillTokens == 0 {
 		return
 	}
-	fl.readTime.Note(to.choice.ReadTokens, time.Since(fl.sentAt)-to.choice.Fetch)
+	fl.readTime.Record(to.choice.PrefillTokens, time.Since(fl.sentAt)-to.choice.Fetch)
 }
 
 // streamEnded judges a stream that came to its end.
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -48,7 +48,7 @@
 	probed, coming bool
 	// asked is how many sidecars were, word what the chosen engine's answered.
 	asked int
-	word  probe.Answer
+	word  probe.Response
 	// first is the family's first engine, whose sidecar knows where its parts are read;
 	// firstNumber is the send's number there, zero when it was not told.
 	first       netip.AddrPort
@@ -116,7 +116,7 @@
 	defer fl.tellEnded(to)
 	link := fl.beginFetch(to)
 	defer link.End()
-	if fl.noteParts(to, false) || to.choice.Read > tellFrom {
+	if fl.noteParts(to, false) || to.choice.Prefill > tellFrom {
 		fl.TellWork(to.target.ID)
 	}
 	fl.sentAt = time.Now()
@@ -131,7 +131,7 @@
 	}
 	defer resp.Close()
 	if fl.service.Engine != nil {
-		fl.Reach.Answered(fl.Now())
+		fl.Reach.EngineResponded(fl.Now())
 	}
 	fl.last.status = resp.Status
 	reply := fl.Protocol.ReadReply(resp.Status, resp.Header)
@@ -152,8 +152,8 @@
 
 // beginFetch counts what the send fetches against its source's link, so that others do
 // not all wait for the same one.
-func (fl *flow) beginFetch(to *destination) *ledger.Item {
-	return fl.Ledger.Begin(linkID(to.fetchFrom), ledger.Work{Reading: ledger.Lane(0, to.carry)}, fl.linkQueue(to.fetchFrom), fl.Now())
+func (fl *flow) beginFetch(to *destination) *ledger.Request {
+	return fl.Ledger.Begin(linkID(to.fetchFrom), ledger.Work{Prefill: ledger.AtPriority(0, to.carry)}, fl.linkQueue(to.fetchFrom), fl.Now())
 }
 
 // noteParts notes that the engine, and the store that it saves to, read the
@@ -182,7 +182,7 @@
 		send.FetchFrom = to.fetchFrom.String()
 	}
 	if fl.service.Engine != nil {
-		send.Urgency = to.choice.Urgency
+		send.Urgency = to.choice.Priority
 	}
 	return &upstream.Request{
 		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
@@ -197,7 +197,7 @@
 const (
 	// ranks is how many ranks requests that can be in time have; as many follow for
 	// those that cannot.
-	ranks = ledger.Urgencies / 2
+	ranks = ledger.Priorities / 2
 	// routeStep is by how much a workspace's priority outweighs a route's.
 	routeStep = 2
 )
@@ -230,7 +230,7 @@
 		fl.runs--
 		fl.arrivals--
 		if fl.service.Engine != nil {
-			fl.Reach.Failed(fl.Now())
+			fl.Reach.ConnectFailed(fl.Now())
 		}
 		fl.judge(to, health.Unreachable)
 		return verdict{notRun: true, refusal: errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%v", err)}
--- a/internal/gateway/lease/lease.go
+++ b/internal/gateway/lease/lease.go
@@ -18,10 +18,10 @@
 const (
 	// ValidFor is how long a holder may act after it began to write its record.
 	ValidFor = 2 * time.Second
-	// TakeOver is how long another process must have seen the same newest record. It
+	// TakeoverAfter is how long another process must have seen the same newest record. It
 	// exceeds ValidFor by the three seconds within which two holders of one target count
 	// as taking turns, and by one more for answers that are late.
-	TakeOver = ValidFor + 4*time.Second
+	TakeoverAfter = ValidFor + 4*time.Second
 	// renewAfter is how old the holder's record gets before it writes another one.
 	renewAfter = 700 * time.Millisecond
 	// lookPeriod is how often a process that waits for the lease looks at the store.
@@ -32,8 +32,8 @@
 type Record struct {
 	// Holder names one life of a process; empty when nobody ever held it.
 	Holder string
-	// Offset of the record, and End, which the next one gets.
-	Offset, End uint64
+	// Offset of the record, and NextOffset, which the next one gets.
+	Offset, NextOffset uint64
 }
 
 // Action is what a process does next.
@@ -43,10 +43,10 @@
 const (
 	// Wait until later.
 	Wait Action = iota
-	// Look at the newest record, and tell Looked.
-	Look
-	// Write a record where the topic ends at End, and tell Wrote.
-	Write
+	// ReadRecord at the newest record, and tell Looked.
+	ReadRecord
+	// WriteRecord a record where the topic ends at End, and tell Wrote.
+	WriteRecord
 )
 
 // Lease is one process's part. It is used by one thread and does no input or output.
@@ -71,8 +71,8 @@
 // Held reports whether this process may act.
 func (l *Lease) Held(now time.Time) bool { return now.Before(l.validUntil) }
 
-// End is where the topic ends as far as is known: the condition of the next record.
-func (l *Lease) End() uint64 { return l.seen.End }
+// NextOffset is where the topic ends as far as is known: the condition of the next record.
+func (l *Lease) NextOffset() uint64 { return l.seen.NextOffset }
 
 // Next returns what to do now. A call that it asks for is under way until its result is
 // told.
@@ -87,18 +87,18 @@
 		}
 	case !l.known || now.Sub(l.lookedAt) >= lookPeriod:
 		l.busy, l.lookedAt = true, now
-		return Look
-	case l.seen.Holder != "" && l.seen.Holder != l.self && now.Sub(l.seenAt) < TakeOver:
+		return ReadRecord
+	case l.seen.Holder != "" && l.seen.Holder != l.self && now.Sub(l.seenAt) < TakeoverAfter:
 		return Wait
 	case now.Sub(l.wroteAt) < renewAfter:
 		return Wait
 	}
 	l.busy, l.wroteAt = true, now
-	return Write
+	return WriteRecord
 }
 
-// Looked takes in the newest record.
-func (l *Lease) Looked(r Record, err error, now time.Time) {
+// ReadDone takes in the newest record.
+func (l *Lease) ReadDone(r Record, err error, now time.Time) {
 	l.busy = false
 	if err != nil {
 		return
@@ -109,18 +109,18 @@
 	l.seen, l.known = r, true
 }
 
-// Wrote takes in what became of a record: whether it was added, and at which offset. An
+// WriteDone takes in what became of a record: whether it was added, and at which offset. An
 // error leaves that open, and the process does not act by it.
 //
 // The failure guarded against: the answer to a write is lost after it took effect. The
 // next look finds a record of this process, and the next write continues from there.
-func (l *Lease) Wrote(offset uint64, added bool, err error, now time.Time) {
+func (l *Lease) WriteDone(offset uint64, added bool, err error, now time.Time) {
 	l.busy = false
 	if err != nil || !added {
 		l.known = false
 		l.validUntil = time.Time{}
 		return
 	}
-	l.seen, l.seenAt = Record{Holder: l.self, Offset: offset, End: offset + 1}, now
+	l.seen, l.seenAt = Record{Holder: l.self, Offset: offset, NextOffset: offset + 1}, now
 	l.validUntil = l.wroteAt.Add(ValidFor)
 }
--- a/internal/gateway/probe/server.go
+++ b/internal/gateway/probe/server.go
@@ -21,9 +21,9 @@
 // Engine is what a server answers for. Its methods are called by one goroutine.
 type Engine interface {
 	// Probe says what a prompt would meet; false while nothing is known.
-	Probe(p Prompt) (Answer, bool)
-	Sent(id SendID, s Send)
-	Progressed(id SendID, p Progress)
+	Probe(p Prompt) (Response, bool)
+	OnSend(id SendID, s Send)
+	OnProgress(id SendID, p Progress)
 }
 
 // Server answers probes of one engine. It runs on a goroutine of its own, so that an
@@ -79,9 +79,9 @@
 		out.Id = m.Id
 		return out
 	case m.Send != nil:
-		s.engine.Sent(id, sendIn(m.Send))
+		s.engine.OnSend(id, sendIn(m.Send))
 	case m.Progress != nil:
-		s.engine.Progressed(id, progressIn(m.Progress))
+		s.engine.OnProgress(id, progressIn(m.Progress))
 	}
 	return nil
 }
--- a/internal/gateway/readtime/readtime.go
+++ b/internal/gateway/readtime/readtime.go
@@ -30,17 +30,17 @@
 	terms   = 3
 )
 
-// Meter is safe for concurrent use.
-type Meter struct {
+// Predictor is safe for concurrent use.
+type Predictor struct {
 	mu sync.Mutex
 	// weights of the fixed part, of thousands of tokens, and of their square.
 	weights [terms]float64
 	spread  [terms][terms]float64
 }
 
-// New returns a meter that has measured nothing.
-func New() *Meter {
-	m := &Meter{weights: [terms]float64{firstFixed, firstThousand, firstSquare}}
+// NewPredictor returns a meter that has measured nothing.
+func NewPredictor() *Predictor {
+	m := &Predictor{weights: [terms]float64{firstFixed, firstThousand, firstSquare}}
 	for i := range terms {
 		m.spread[i][i] = trust
 	}
@@ -52,10 +52,10 @@
 	return [terms]float64{1, k, k * k}
 }
 
-// Note takes in how long an engine took to read a prompt that met no others. Long
+// Record takes in how long an engine took to read a prompt that met no others. Long
 // prompts are measured with larger errors and weigh less by their length, so
 // that the relative error counts.
-func (m *Meter) Note(tokens int, took time.Duration) {
+func (m *Predictor) Record(tokens int, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x := features(tokens)
@@ -78,7 +78,7 @@
 	m.shrink(gain, scale)
 }
 
-func (m *Meter) shrink(gain [terms]float64, scale float64) {
+func (m *Predictor) shrink(gain [terms]float64, scale float64) {
 	for i := range terms {
 		for j := range terms {
 			m.spread[i][j] = (m.spread[i][j] - gain[i]*gain[j]/scale) / forget
@@ -87,7 +87,7 @@
 	}
 }
 
-func (m *Meter) predict(x [terms]float64) float64 {
+func (m *Predictor) predict(x [terms]float64) float64 {
 	sum := 0.0
 	for i := range terms {
 		sum += m.weights[i] * x[i]
@@ -95,8 +95,8 @@
 	return sum
 }
 
-// Of predicts how long an engine takes to read so many tokens.
-func (m *Meter) Of(tokens int) time.Duration {
+// PrefillTime predicts how long an engine takes to read so many tokens.
+func (m *Predictor) PrefillTime(tokens int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x := features(tokens)
@@ -104,11 +104,11 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Occupies predicts for how long the reading of so many tokens holds up other prompts:
+// BlockingTime predicts for how long the reading of so many tokens holds up other prompts:
 // the fixed part passes while others are read.
-func (m *Meter) Occupies(tokens int) time.Duration {
+func (m *Predictor) BlockingTime(tokens int) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
-	return max(m.Of(tokens)-m.Of(1), 0)
+	return max(m.PrefillTime(tokens)-m.PrefillTime(1), 0)
 }
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -53,8 +53,8 @@
 	known  bool
 	state  State
 	book   *parts.Book
-	paces  *readtime.Paces
-	health *health.Book
+	paces  *readtime.Slowdowns
+	health *health.Monitor
 	sends  map[probe.SendID]*send
 	// elsewhere is where other engines read the families of which this one is the first.
 	elsewhere *elsewhere
@@ -67,8 +67,8 @@
 // New returns a tracker of an engine of which nothing is known.
 func New(now func() time.Time) *Tracker {
 	return &Tracker{
-		now: now, book: parts.NewBook(), paces: readtime.NewPaces(),
-		health: health.NewBook(nil), sends: map[probe.SendID]*send{}, elsewhere: newElsewhere(),
+		now: now, book: parts.NewBook(), paces: readtime.NewSlowdowns(),
+		health: health.NewMonitor(nil), sends: map[probe.SendID]*send{}, elsewhere: newElsewhere(),
 	}
 }
 
@@ -87,7 +87,7 @@
 }
 
 func (t *Tracker) forget() {
-	t.book, t.paces = parts.NewBook(), readtime.NewPaces()
+	t.book, t.paces = parts.NewBook(), readtime.NewSlowdowns()
 	clear(t.sends)
 }
 
@@ -102,26 +102,26 @@
 func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Life.String()) }
 
 // Probe implements probe.Engine.
-func (t *Tracker) Probe(p probe.Prompt) (probe.Answer, bool) {
+func (t *Tracker) Probe(p probe.Prompt) (probe.Response, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	if !t.known {
-		return probe.Answer{}, false
+		return probe.Response{}, false
 	}
 	t.sweep(now)
-	a := probe.Answer{
-		Life: t.state.Life, Weights: t.state.Weights, Phase: t.state.Phase,
-		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), Arriving: t.arriving.thousandths(now), Pace: t.paces.Of(t.state.Life, now), ReportAge: now.Sub(t.state.ReportedAt),
+	a := probe.Response{
+		Incarnation: t.state.Life, WeightVersions: t.state.Weights, Phase: t.state.Phase,
+		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), OfferedLoad: t.arriving.thousandths(now), Slowdown: t.paces.Factor(t.state.Life, now), ReportAge: now.Sub(t.state.ReportedAt),
 	}
-	_, a.Ill = t.health.Rested(now)[t.state.Life]
+	_, a.Unhealthy = t.health.Ejected(now)[t.state.Life]
 	t.lookUp(p, &a, now)
 	return a, true
 }
 
 // lookUp fills in what the engine holds or reads of a prompt's shared parts, at the
 // weights that it has. The caller holds mu.
-func (t *Tracker) lookUp(p probe.Prompt, a *probe.Answer, now time.Time) {
+func (t *Tracker) lookUp(p probe.Prompt, a *probe.Response, now time.Time) {
 	keys := keysOf(p, t.state.Weights[p.Model])
 	if len(keys) == 0 {
 		return
@@ -129,21 +129,21 @@
 	id := t.id()
 	for _, held := range t.book.Prefixes(keys, p.Parts[:len(keys)], keptFor, now) {
 		if held.Target == id {
-			a.Held = held.Tokens
+			a.CachedTokens = held.Tokens
 		}
 	}
 	for i, k := range keys {
 		if t.book.At(k, p.Parts[i].Tokens, id, now) == parts.Coming {
-			a.Coming = true
+			a.PrefillInProgress = true
 		}
 	}
 	last := len(keys) - 1
-	a.Saved = t.book.At(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Held
+	a.Offloaded = t.book.At(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Held
 	t.elsewhere.lookUp(keys[last], a, now)
 }
 
 func keysOf(p probe.Prompt, version int64) []parts.Key {
-	scope := parts.Scope(p.Model, version, p.Isolated)
+	scope := parts.Scope(p.Model, version, p.IsolatedWorkspace)
 	n := min(len(p.Parts), mostParts)
 	keys := make([]parts.Key, 0, n)
 	for _, part := range p.Parts[:n] {
@@ -152,8 +152,8 @@
 	return keys
 }
 
-// Sent implements probe.Engine.
-func (t *Tracker) Sent(id probe.SendID, s probe.Send) {
+// OnSend implements probe.Engine.
+func (t *Tracker) OnSend(id probe.SendID, s probe.Send) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -162,11 +162,11 @@
 		return
 	}
 	if s.Holder.IsValid() {
-		t.elsewhere.sent(id, keysOf(s.Prompt, s.Weights), s, now)
+		t.elsewhere.sent(id, keysOf(s.Prompt, s.WeightVersion), s, now)
 		return
 	}
 	one := &send{
-		urgency: s.Urgency, reads: s.Read, memory: s.Memory, keys: keysOf(s.Prompt, s.Weights), saved: s.Saved,
+		urgency: s.Priority, reads: s.PrefillTime, memory: s.Memory, keys: keysOf(s.Prompt, s.WeightVersion), saved: s.Offloaded,
 		begunAt: now, endsAt: now.Add(s.Lifetime),
 	}
 	t.sends[id] = one
@@ -175,9 +175,9 @@
 	t.book.DropFresh() // nobody else is told
 }
 
-// Progressed implements probe.Engine. The failure guarded against is a word that comes
+// OnProgress implements probe.Engine. The failure guarded against is a word that comes
 // late or twice: it finds no send of its name.
-func (t *Tracker) Progressed(id probe.SendID, p probe.Progress) {
+func (t *Tracker) OnProgress(id probe.SendID, p probe.Progress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -186,18 +186,18 @@
 		t.elsewhere.progressed(id, p, now)
 		return
 	}
-	if p.Read {
+	if p.PrefillDone {
 		one.wasRead, t.freeAt = true, now
 		t.book.Note(t.id(), one.keys, true, now)
 		if one.saved {
 			t.book.Note(theStore, one.keys, true, now)
 		}
 		t.book.DropFresh()
-		t.paces.Note(t.state.Life, p.Took, p.Expected, now)
+		t.paces.Record(t.state.Life, p.Latency, p.ExpectedLatency, now)
 	}
 	if p.Ended {
 		delete(t.sends, id)
-		t.health.Note("", t.state.Life, p.Outcome, now)
+		t.health.Record("", t.state.Life, p.Outcome, now)
 	}
 }
 
