--- a/internal/gateway/placement/placement.go
+++ b/internal/gateway/placement/placement.go
@@ -1,9 +1,9 @@
-// Package placement decides which engine a prompt goes to, and from where that
-// engine fetches the parts that it lacks.
+// Package placement chooses the engine for a prompt and the source from which that
+// engine fetches the cached parts that it lacks.
 //
-// A decision takes three steps: filter the engines that may run the prompt,
-// score each by the time to the first event and by what the choice costs
-// others, and pick the lowest. Everything that a decision goes by is handed in.
+// Engines that may not run the prompt are filtered out. The others are scored by the
+// expected time to the first event and the cost to other requests; the lowest cost wins.
+// Decisions are pure: all state is passed in.
 package placement
 
 import (
@@ -14,59 +14,55 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/ledger"
 )
 
-// Candidate is one engine.
+// Candidate is the state of one engine.
 type Candidate struct {
 	Address netip.AddrPort
-	// Hash ranks the engine for a prompt's family.
+	// Hash identifies the engine in rendezvous hashing.
 	Hash uint64
-	// SameZone engines stand in the entry's availability zone.
+	// SameZone is set when the engine is in the entry's availability zone.
 	SameZone bool
-	// Excluded engines are not to be used: they leave, or failed this request
-	// already.
+	// Excluded engines are never chosen: they are leaving or have failed this request.
 	Excluded bool
-	// Ejected engines failed lately, or may be gone. They are used when no other
-	// is left.
+	// Ejected engines failed recently or may be gone. They are a last resort.
 	Ejected bool
-	// Loading engines load weights and refuse. Draining ones load next and are
-	// used when no other is left.
+	// Loading engines load weights and refuse requests. Draining engines load next and
+	// are a last resort.
 	Loading, Draining bool
-	// Version of the model that the engine has, and for how long it has been
-	// older than one that operators want.
+	// Version is the engine's version of the model's weights. StaleFor is how long it
+	// has been older than a wanted version.
 	Version  int64
 	StaleFor time.Duration
-	// LoadScheduled is set when the engine is to load weights, in LoadsIn.
+	// LoadScheduled is set when the engine will load weights, after LoadStartsIn.
 	LoadScheduled bool
 	LoadStartsIn  time.Duration
-	// Slots is how many requests it works on at once, Memory its memory in
-	// tokens.
+	// Slots is the number of requests that the engine runs concurrently, Memory the
+	// capacity of its KV cache in tokens.
 	Slots  int
 	Memory int
-	// Work of all entries.
+	// Work is the work in flight from all entries.
 	Work ledger.Work
-	// OfferedLoad are the thousandths of its time for which the engine is given prompts to
-	// read, by their urgency, where that is known.
+	// OfferedLoad is the prefill work that recently arrived, in thousandths of the
+	// engine's time. Zero where unknown.
 	OfferedLoad ledger.PerPriority[int]
-	// Slowdown is by how much the engine is slower than predicted; zero means that it
-	// is not.
+	// Slowdown is the ratio of measured to predicted latency. Zero counts as 1.
 	Slowdown float64
-	// CachedTokens is how many of the prompt's shared tokens the engine holds.
+	// CachedTokens is how many of the prompt's shared tokens the engine has cached.
 	CachedTokens int
-	// FetchableTokens is how many of the shared tokens can be had from Source, the
-	// best place other than the engine itself.
+	// FetchableTokens is how many of the shared tokens Source can provide.
 	FetchableTokens int
 	Source          Source
 }
 
-// Source is a place from which an engine fetches parts.
+// Source is a place from which an engine fetches cached parts.
 type Source struct {
 	Address netip.AddrPort
-	// SameZone is set when it stands in the engine's availability zone.
+	// SameZone is set when the source is in the engine's availability zone.
 	SameZone bool
-	// TokensPerMs is how many tokens a millisecond its link carries.
+	// TokensPerMs is the throughput of the source's link.
 	TokensPerMs float64
 }
 
-// FetchMs is how long it takes to fetch so many tokens, in milliseconds.
+// FetchMs returns the time to fetch a number of tokens, in milliseconds.
 func (s *Source) FetchMs(tokens int) float64 {
 	if tokens <= 0 || s.TokensPerMs <= 0 {
 		return 0
@@ -75,117 +71,108 @@
 	if s.SameZone {
 		distance = 1
 	}
-	return fetchSetup + float64(tokens)/s.TokensPerMs*distance
+	return fetchSetupMs + float64(tokens)/s.TokensPerMs*distance
 }
 
-// Input is what a decision goes by besides the candidates.
+// Input is the request side of a decision.
 type Input struct {
-	// Family names the prompt's shared parts for ranking, FirstPart the first of them.
+	// Family is the hash of the prompt's shared parts, FirstPart that of the first one.
 	Family, FirstPart uint64
-	// SharedTokens and OwnTokens are the prompt's tokens: in parts that others use too, and
-	// in the rest.
+	// SharedTokens are in parts that other prompts share, OwnTokens in the rest.
 	SharedTokens, OwnTokens int
-	// MaxTokens is the longest answer.
+	// MaxTokens bounds the output.
 	MaxTokens int
-	// Priority is the prompt's rank at an engine, and LatePriority that of a prompt like it
-	// which cannot be in time.
+	// Priority is the prompt's rank at an engine, LatePriority the one used when the
+	// objective cannot be met.
 	Priority, LatePriority int
-	// Objective is the time within which the first event is of full use.
+	// Objective is the wanted time to the first event.
 	Objective time.Duration
-	// CrossZoneCost is what sending to another availability zone weighs, in milliseconds of
-	// waiting.
+	// CrossZoneCost is the cost of an engine in another zone, in milliseconds.
 	CrossZoneCost float64
-	// MaxMemoryShare is the share of an engine's memory that all requests may take for this
-	// one to be sent there; zero where that is not asked for.
+	// MaxMemoryShare is the share of an engine's memory beyond which it gets no more
+	// such requests. Zero disables the check.
 	MaxMemoryShare float64
-	// PinKey ranks the engines in place of what they cost, for a request that is to go to one
-	// engine whoever holds it; zero for all others.
+	// PinKey, unless zero, ranks engines by rendezvous hash instead of by cost, so that
+	// all entries send such a request to the same engine.
 	PinKey uint64
-	// MaxStaleness is the age from which no request begins on an older version.
+	// MaxStaleness is the age from which no request starts on older weights.
 	MaxStaleness time.Duration
-	// PrefillTime predicts how long an engine takes to read so many tokens.
+	// PrefillTime predicts the prefill time of a number of tokens.
 	PrefillTime func(tokens int) time.Duration
 }
 
-// Choice is a decision.
+// Choice is the outcome of a decision.
 type Choice struct {
 	// Index of the candidate; -1 when none may run the prompt.
 	Index int
 	// FetchFrom is the source to fetch from; invalid for none.
 	FetchFrom netip.AddrPort
-	// Late choices cannot be in time. They wait behind those that can.
+	// Late is set when the objective cannot be met.
 	Late bool
 	// Priority is the prompt's rank at the engine.
 	Priority int
 	// Estimate is the expected time to the first event.
 	Estimate time.Duration
-	// CachedTokens, FetchedTokens and PrefillTokens are the prompt's tokens that the engine is
-	// expected to hold, to fetch and to read.
+	// CachedTokens, FetchedTokens and PrefillTokens are the prompt's tokens that are
+	// expected to be cached at the engine, fetched and computed.
 	CachedTokens, FetchedTokens, PrefillTokens int
-	// Wait, Prefill and Fetch are the estimate's parts.
+	// Wait, Prefill and Fetch add up to Estimate.
 	Wait, Prefill, Fetch time.Duration
 }
 
 const (
-	// CrossZoneCost is the usual cost of another availability zone: bytes between zones have a
-	// price, and the way is longer.
+	// CrossZoneCost covers the price of traffic between zones and its latency.
 	CrossZoneCost = 60
-	// CrossZoneCostProbed is the same where only some engines are asked. A family's first engines
-	// stand anywhere, and all entries must prefer them alike for its parts to be read once.
+	// CrossZoneCostProbed applies where only the shortlist is probed. It is low because
+	// entries of all zones must prefer the same engines for a family.
 	CrossZoneCostProbed = 2
-	// oldPenalty is what beginning on weights older than the wanted weighs, in
-	// milliseconds, once graceAge has passed.
-	oldPenalty = 400
-	// graceAge is how long after new weights were named older ones still count
-	// in full.
-	graceAge = 1300 * time.Millisecond
-	// boundMargin is left of VersionBound for the way to the engine and for what
-	// the estimate of the wait there misses.
-	boundMargin = 800 * time.Millisecond
-	// readPrice is what a token that is read again weighs against one of the
-	// prompt's own: it was paid for before.
-	readPrice = 3.0
-	// awayStep is what each step away from the family's first engine weighs, in
-	// milliseconds. It keeps a family at one engine while that makes no difference
-	// in waiting.
-	awayStep = 3
-	// stepTime is the time of one decoding step, in milliseconds: what each
-	// running request adds to the reading of a prompt.
-	stepTime = 0.6
-	// fetchSetup is the time before a fetch begins to bring tokens, in
+	// stalePenalty is the cost of starting on stale weights, in milliseconds, after
+	// staleGrace.
+	stalePenalty = 400
+	// staleGrace is how long stale weights carry no penalty.
+	staleGrace = 1300 * time.Millisecond
+	// stalenessMargin is subtracted from MaxStaleness to cover the network and errors of
+	// the estimated wait.
+	stalenessMargin = 800 * time.Millisecond
+	// recomputeWeight is the weight of prefilling a shared token again, relative to one
+	// of the prompt's own.
+	recomputeWeight = 3.0
+	// rankStepMs is the cost of each rank below the family's first engine. It keeps a
+	// family at one engine while waits are equal.
+	rankStepMs = 3
+	// decodeStepMs is the time that each running request adds to a prefill.
+	decodeStepMs = 0.6
+	// fetchSetupMs is the latency of a fetch before the first token.
+	fetchSetupMs = 5
+	// loadPenalty is the cost of an engine that loads weights before the prefill ends,
+	// in milliseconds: it returns the prompt, which starts over elsewhere.
+	loadPenalty = 1000
+	// ejectedPenalty outweighs all other costs.
+	ejectedPenalty = 1e6
+	// overloadPenalty is the cost of each request beyond an engine's slots or memory, in
 	// milliseconds.
-	fetchSetup = 5
-	// unreadPenalty is what it weighs, in milliseconds, that an engine loads weights
-	// before it has read the prompt: it gives the prompt back unread, and all is
-	// begun again elsewhere.
-	unreadPenalty = 1000
-	// restedPenalty outweighs all else, so that rested engines come last.
-	restedPenalty = 1e6
-	// fullPenalty is what an engine without a free slot or memory weighs, in
-	// milliseconds for each request over.
-	fullPenalty = 60
+	overloadPenalty = 60
 )
 
-// Pick returns the best candidate. A prompt that no engine can begin to answer
-// in time is put behind those that can: were all to wait in the order in which
-// they came, one burst would make every later prompt late too.
-func Pick(q *Input, candidates []Candidate) Choice {
-	choice := pick(q, candidates, false)
-	if q.Objective <= 0 || choice.Index < 0 || float64(choice.Estimate) <= lateFactor*float64(q.Objective) {
+// Pick returns the best candidate. A prompt that cannot meet its objective anywhere gets
+// its late priority, so that a burst does not make all later prompts late too.
+func Pick(in *Input, candidates []Candidate) Choice {
+	choice := pick(in, candidates, false)
+	if in.Objective <= 0 || choice.Index < 0 || float64(choice.Estimate) <= lateFactor*float64(in.Objective) {
 		return choice
 	}
-	return pick(q, candidates, true)
+	return pick(in, candidates, true)
 }
 
-func pick(q *Input, candidates []Candidate, late bool) Choice {
+func pick(in *Input, candidates []Candidate, late bool) Choice {
 	best := Choice{Index: -1}
 	lowest := math.Inf(1)
 	for i := range candidates {
 		c := &candidates[i]
-		if filter(q, c) != "" {
+		if filter(in, c) != "" {
 			continue
 		}
-		choice, cost := rate(q, c, candidates, late)
+		choice, cost := rate(in, c, candidates, late)
 		if cost < lowest {
 			lowest = cost
 			choice.Index, choice.Late = i, late
@@ -195,184 +182,172 @@
 	return best
 }
 
-// filter says why a candidate may not run the prompt; nothing when it may.
-func filter(q *Input, c *Candidate) string {
+// filter returns why a candidate may not run the prompt, or "".
+func filter(in *Input, c *Candidate) string {
 	switch {
 	case c.Excluded:
-		return "leaves or has failed this request"
+		return "is leaving or has failed this request"
 	case c.Loading:
-		return "loads weights"
-	case c.StaleFor >= q.MaxStaleness-boundMargin:
+		return "is loading weights"
+	case c.StaleFor >= in.MaxStaleness-stalenessMargin:
 		return "has weights that are too old"
-	case full(q, c):
-		return "has no memory left for it"
+	case memoryFull(in, c):
+		return "has not enough free memory"
 	default:
 		return ""
 	}
 }
 
 const (
-	// LowPriorityMemoryShare is the MemoryShare of prompts of all but the most urgent routes,
-	// which leave some for those and for the answers of all to grow. ReturnMemoryShare is
-	// that of callers who were refused before.
+	// LowPriorityMemoryShare is the MaxMemoryShare of requests below the highest priority.
+	// It leaves memory for urgent requests and for outputs to grow.
 	LowPriorityMemoryShare = 0.85
-	RetryMemoryShare       = 0.92
-	// largestShare bounds what a prompt counts as, as a share of an engine's memory. The
-	// longest ones would otherwise find room nowhere while shorter ones come.
-	largestShare = 0.125
+	// RetryMemoryShare is the MaxMemoryShare of retries.
+	RetryMemoryShare = 0.92
+	// maxPromptShare bounds the share of an engine's memory that a prompt counts for.
+	// Otherwise the longest prompts starve while shorter ones keep arriving.
+	maxPromptShare = 0.125
 )
 
-// full reports whether an engine's memory has no room for a prompt.
+// memoryFull reports whether an engine's memory has no space for a prompt.
 //
-// The load pattern that it answers: long prompts come faster than the answers to earlier
-// ones end, and wait at engines. Each engine admits one as soon as its prompt fits, and
-// has to preempt it when an urgent one comes or answers grow: it then reads the same
-// prompt again.
-func full(q *Input, c *Candidate) bool {
-	taken := c.Work.Memory.Total()
-	if q.MaxMemoryShare <= 0 || c.Memory <= 0 || taken == 0 {
+// This handles long prompts that arrive faster than earlier ones finish: an engine that
+// admitted them all would preempt some and prefill them again.
+func memoryFull(in *Input, c *Candidate) bool {
+	used := c.Work.Memory.Total()
+	if in.MaxMemoryShare <= 0 || c.Memory <= 0 || used == 0 {
 		return false
 	}
-	size := min(q.OwnTokens+q.SharedTokens+q.MaxTokens/2, int(largestShare*float64(c.Memory)))
-	return float64(taken+size) > q.MaxMemoryShare*float64(c.Memory)
+	size := min(in.OwnTokens+in.SharedTokens+in.MaxTokens/2, int(maxPromptShare*float64(c.Memory)))
+	return float64(used+size) > in.MaxMemoryShare*float64(c.Memory)
 }
 
-// rate is a candidate's score with what it costs to be away from the family's
-// first engine.
-func rate(q *Input, c *Candidate, all []Candidate, late bool) (Choice, float64) {
-	choice, cost := score(q, c, late)
-	if q.PinKey != 0 {
-		return choice, rankApart(q, c, &choice)
+// rate returns a candidate's choice and its cost, which includes its rank for the family.
+func rate(in *Input, c *Candidate, all []Candidate, late bool) (Choice, float64) {
+	choice, cost := score(in, c, late)
+	if in.PinKey != 0 {
+		return choice, pinnedRank(in, c, &choice)
 	}
-	return choice, cost + awayStep*float64(away(q.Family, c, all))
+	return choice, cost + rankStepMs*float64(countAhead(in.Family, c, all))
 }
 
-// rankApart is the rank of an engine for a request that is kept apart, in place of its
-// cost: all entries choose the lowest alike. Engines that cannot do it come last, in
-// the same order.
-func rankApart(q *Input, c *Candidate, choice *Choice) float64 {
-	rank := Rank(q.PinKey, c.Hash)
+// pinnedRank replaces the cost of an engine for a pinned request. Engines that are
+// ejected, draining or late come last, in the same order.
+func pinnedRank(in *Input, c *Candidate, choice *Choice) float64 {
+	rank := Rank(in.PinKey, c.Hash)
 	if c.Ejected || c.Draining {
 		rank += 2
 	}
-	if q.Objective > 0 && float64(choice.Estimate) > lateFactor*float64(q.Objective) {
+	if in.Objective > 0 && float64(choice.Estimate) > lateFactor*float64(in.Objective) {
 		rank++
 	}
 	return rank
 }
 
-// Rank is a target's place for a key, between 0 and 1, by a hash of both.
+// Rank returns a target's rendezvous hash for a key, between 0 and 1.
 func Rank(key, hash uint64) float64 { return float64(Mix(key^hash)>>11) / (1 << 53) }
 
-// lateFactor is how many times the objective a prompt may be expected to take before it
-// counts as one that cannot be in time.
+// lateFactor is the multiple of the objective from which a prompt counts as late.
 const lateFactor = 3.0 / 2
 
-// Rating is what a decision makes of one candidate.
+// Rating explains how a decision rates one candidate.
 type Rating struct {
-	// FilterReason says why the candidate may not run the prompt; empty when it may.
+	// FilterReason is why the candidate may not run the prompt; empty when it may.
 	FilterReason string
 	// Cost in milliseconds; the lowest is chosen.
 	Cost   float64
 	Choice Choice
 }
 
-// Rate returns what Pick makes of each candidate, for people who ask why.
-func Rate(q *Input, candidates []Candidate) []Rating {
-	late := Pick(q, candidates).Late
+// Rate returns the ratings that Pick decides by.
+func Rate(in *Input, candidates []Candidate) []Rating {
+	late := Pick(in, candidates).Late
 	ratings := make([]Rating, len(candidates))
 	for i := range candidates {
 		r := &ratings[i]
-		r.FilterReason = filter(q, &candidates[i])
-		r.Choice, r.Cost = rate(q, &candidates[i], candidates, late)
+		r.FilterReason = filter(in, &candidates[i])
+		r.Choice, r.Cost = rate(in, &candidates[i], candidates, late)
 	}
 	return ratings
 }
 
-// urgency is the prompt's rank at an engine.
-func (q *Input) urgency(late bool) int {
+func (in *Input) priority(late bool) int {
 	if late {
-		return q.LatePriority
+		return in.LatePriority
 	}
-	return q.Priority
+	return in.Priority
 }
 
-// score returns the choice of a candidate with its cost in milliseconds.
-func score(q *Input, c *Candidate, late bool) (Choice, float64) {
-	missing := max(q.SharedTokens-c.CachedTokens, 0)
+// score returns a candidate's choice and its cost in milliseconds.
+func score(in *Input, c *Candidate, late bool) (Choice, float64) {
+	missing := max(in.SharedTokens-c.CachedTokens, 0)
 	fetched := min(max(c.FetchableTokens-c.CachedTokens, 0), missing)
-	urgency := q.urgency(late)
-	wait := inMs(c.Work.Prefill.UpTo(urgency))/free(c, urgency) + stepTime*float64(c.Work.Running)
-	wait = wait*pace(c) + fullPenalty*float64(over(c, q, urgency, q.OwnTokens+missing+q.MaxTokens))
-	read := pace(c) * inMs(q.PrefillTime(q.OwnTokens+missing-fetched))
+	priority := in.priority(late)
+	wait := toMs(c.Work.Prefill.UpTo(priority))/freeShare(c, priority) + decodeStepMs*float64(c.Work.Running)
+	wait = wait*slowdown(c) + overloadPenalty*float64(excessRequests(c, in, priority, in.OwnTokens+missing+in.MaxTokens))
+	prefill := slowdown(c) * toMs(in.PrefillTime(in.OwnTokens+missing-fetched))
 	fetch := c.Source.FetchMs(fetched)
-	choice := Choice{Priority: urgency, FetchFrom: c.Source.Address, CachedTokens: min(c.CachedTokens, q.SharedTokens), FetchedTokens: fetched, PrefillTokens: q.OwnTokens + missing - fetched}
-	again := read - pace(c)*inMs(q.PrefillTime(q.OwnTokens))
-	cost := wait + read + fetch + (readPrice-1)*again
+	choice := Choice{Priority: priority, FetchFrom: c.Source.Address, CachedTokens: min(c.CachedTokens, in.SharedTokens), FetchedTokens: fetched, PrefillTokens: in.OwnTokens + missing - fetched}
+	recompute := prefill - slowdown(c)*toMs(in.PrefillTime(in.OwnTokens))
+	cost := wait + prefill + fetch + (recomputeWeight-1)*recompute
 	if !c.SameZone {
-		cost += q.CrossZoneCost
+		cost += in.CrossZoneCost
 	}
-	if c.LoadScheduled && fromMs(wait+read+fetch) > c.LoadStartsIn {
-		cost += unreadPenalty
+	if c.LoadScheduled && fromMs(wait+prefill+fetch) > c.LoadStartsIn {
+		cost += loadPenalty
 	}
 	if c.Ejected {
-		cost += restedPenalty
+		cost += ejectedPenalty
 	}
 	if c.Draining {
-		cost += restedPenalty / 2
+		cost += ejectedPenalty / 2
 	}
-	if c.StaleFor > graceAge {
-		cost += oldPenalty
+	if c.StaleFor > staleGrace {
+		cost += stalePenalty
 	}
-	choice.Wait, choice.Prefill, choice.Fetch = fromMs(wait), fromMs(read), fromMs(fetch)
+	choice.Wait, choice.Prefill, choice.Fetch = fromMs(wait), fromMs(prefill), fromMs(fetch)
 	choice.Estimate = choice.Wait + choice.Prefill + choice.Fetch
 	return choice, cost
 }
 
-// leastFree bounds by how much more urgent prompts stretch a wait: their share is
-// measured over a short time.
-const leastFree = 0.5
+// minFreeShare bounds how far more urgent arrivals stretch a wait. Their rate is measured
+// over a short window and is noisy.
+const minFreeShare = 0.5
 
-// free is the share of an engine's time that prompts leave which are more urgent and are
-// yet to come. They are read first.
-//
-// The load pattern that it answers: long prompts wait at an engine that is given short
-// urgent ones all the time. Reckoned without those they begin later than expected, too late
-// for what their callers were promised.
-func free(c *Candidate, urgency int) float64 {
-	if urgency == 0 {
+// freeShare returns the share of an engine's time that future prompts of higher priority
+// leave. Without it, the wait of long prompts behind a stream of short urgent ones would
+// be underestimated.
+func freeShare(c *Candidate, priority int) float64 {
+	if priority == 0 {
 		return 1
 	}
-	return max(1-float64(c.OfferedLoad.UpTo(urgency-1))/1000, leastFree)
+	return max(1-float64(c.OfferedLoad.UpTo(priority-1))/1000, minFreeShare)
 }
 
-func pace(c *Candidate) float64 {
+func slowdown(c *Candidate) float64 {
 	if c.Slowdown <= 0 {
 		return 1
 	}
 	return c.Slowdown
 }
 
-// over is by how many requests an engine is too full for one more, of those that do not
-// make room for it.
-//
-// The load pattern that it answers: an engine's memory is full of long prompts, and a
-// short one of an urgent route comes. It is admitted before those that wait, and of
-// those that run the least urgent make room. Counted as waiting for all of them it would be
-// refused although it could begin at once.
-func over(c *Candidate, q *Input, urgency, intake int) int {
+// excessRequests returns the number of requests by which an engine is too full for
+// another one of a priority. Requests of lower priority do not count against its memory:
+// the engine preempts them.
+func excessRequests(c *Candidate, in *Input, priority, tokens int) int {
 	n := max(c.Work.Running+1-c.Slots, 0)
-	taken := c.Work.Memory.UpTo(urgency)
-	excess := taken + intake - c.Memory
+	used := c.Work.Memory.UpTo(priority)
+	excess := used + tokens - c.Memory
 	if excess <= 0 || c.Memory <= 0 {
 		return n
 	}
-	mean := max(taken/max(c.Work.Running, 1), intake, 1)
+	mean := max(used/max(c.Work.Running, 1), tokens, 1)
 	return n + 1 + excess/mean
 }
 
-// away counts the candidates in the same zone that rank before c for a family.
-func away(family uint64, c *Candidate, all []Candidate) int {
+// countAhead counts the candidates on the same side of the zone boundary that rank before
+// c for a family.
+func countAhead(family uint64, c *Candidate, all []Candidate) int {
 	n := 0
 	own := Mix(family ^ c.Hash)
 	for i := range all {
@@ -384,12 +359,11 @@
 	return n
 }
 
-func inMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func toMs(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func fromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Mix is the finalizer of splitmix64: cheap, and every bit of the input changes
-// every bit of the output.
+// Mix is the finalizer of splitmix64.
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xBF58476D1CE4E5B9
--- a/internal/gateway/placement/shortlist.go
+++ b/internal/gateway/placement/shortlist.go
@@ -1,49 +1,45 @@
 package placement
 
-// RankedEngine is an engine as the ranking for a family needs it.
+// RankedEngine is the state of an engine that ranking needs.
 type RankedEngine struct {
 	Hash uint64
-	// SameZone engines stand in the entry's availability zone.
+	// SameZone is set when the engine is in the entry's availability zone.
 	SameZone bool
-	// Excluded engines are not asked.
+	// Excluded engines are not listed.
 	Excluded bool
 }
 
-// Shortlist returns the engines that are asked for a prompt: the first of its family in
-// the whole fleet, and the first of those near by that are not among them. All entries
-// rank alike, so that a family's parts are found where others had them read.
+// Shortlist returns the engines to probe for a prompt: up to fleetCount that rank first
+// for its family in the whole fleet, then up to zoneCount more of the entry's zone. All
+// entries compute the same ranking, so that they find what others had cached.
 //
-// The load pattern that it answers: more engines than can be asked, or known, for each
-// prompt. Three of a family's first engines with present knowledge place as well as all.
-//
-// Only the engines that rank high for the prompt's outermost part are considered. Each
-// engine then serves a few of those parts: were all to serve all, each would read all of
-// them after each load of weights.
-func Shortlist(outer, family uint64, engines []RankedEngine, first, near int) []int {
+// Engines are taken from the subset that serves the prompt's first part, where it has
+// enough. This bounds how many engines prefill each first part after a weight load.
+func Shortlist(firstPart, family uint64, engines []RankedEngine, fleetCount, zoneCount int) []int {
 	var chosen []int
-	taken := map[int]bool{}
+	listed := map[int]bool{}
 	add := func(n int, allowed func(e *RankedEngine) bool) {
-		for _, i := range top(family, engines, n, func(e *RankedEngine, i int) bool { return !e.Excluded && !taken[i] && allowed(e) }) {
+		for _, i := range topRanked(family, engines, n, func(e *RankedEngine, i int) bool { return !e.Excluded && !listed[i] && allowed(e) }) {
 			chosen = append(chosen, i)
-			taken[i] = true
+			listed[i] = true
 		}
 	}
-	add(first, func(e *RankedEngine) bool { return serves(outer, e) })
-	add(first-len(chosen), func(*RankedEngine) bool { return true }) // few are left of those
-	add(near, func(e *RankedEngine) bool { return e.SameZone && serves(outer, e) })
+	add(fleetCount, func(e *RankedEngine) bool { return serves(firstPart, e) })
+	add(fleetCount-len(chosen), func(*RankedEngine) bool { return true }) // the subset is too small
+	add(zoneCount, func(e *RankedEngine) bool { return e.SameZone && serves(firstPart, e) })
 	return chosen
 }
 
-// servedShare is the share of the engines that serve one outermost part.
-const servedShare = 0.25
+// servingShare is the share of the engines that serve a given first part.
+const servingShare = 0.25
 
-// serves reports whether an engine is among those that serve an outermost part.
-func serves(outer uint64, e *RankedEngine) bool {
-	return Rank(outer, e.Hash) < servedShare
+// serves reports whether an engine belongs to the subset that serves a first part.
+func serves(firstPart uint64, e *RankedEngine) bool {
+	return Rank(firstPart, e.Hash) < servingShare
 }
 
-// top returns up to n of the engines that are allowed, the highest ranked first.
-func top(family uint64, engines []RankedEngine, n int, allowed func(e *RankedEngine, i int) bool) []int {
+// topRanked returns the indexes of up to n allowed engines, the highest ranked first.
+func topRanked(family uint64, engines []RankedEngine, n int, allowed func(e *RankedEngine, i int) bool) []int {
 	if n <= 0 {
 		return nil
 	}
@@ -54,32 +50,33 @@
 			continue
 		}
 		rank := Mix(family ^ engines[i].Hash)
-		at := len(ranks)
-		for at > 0 && ranks[at-1] < rank {
-			at--
+		pos := len(ranks)
+		for pos > 0 && ranks[pos-1] < rank {
+			pos--
 		}
-		if at == n {
+		if pos == n {
 			continue
 		}
-		best, ranks = insert(best, at, i, n), insert(ranks, at, rank, n)
+		best, ranks = insertAt(best, pos, i, n), insertAt(ranks, pos, rank, n)
 	}
 	return best
 }
 
-// insert puts a value at a place of a list and keeps its first n.
-func insert[T any](list []T, at int, value T, n int) []T {
+// insertAt inserts a value at an index and truncates the list to n values.
+func insertAt[T any](list []T, index int, value T, n int) []T {
 	list = append(list, value)
-	copy(list[at+1:], list[at:])
-	list[at] = value
+	copy(list[index+1:], list[index:])
+	list[index] = value
 	return list[:min(len(list), n)]
 }
 
-// Sample returns up to n engines that were not taken, drawn at random, those near by
-// twice as often: entries that are all pressed must not press the same ones.
-func Sample(engines []RankedEngine, taken map[int]bool, n int, uniform func() float64) []int {
+// Sample returns up to n random engines that are not in exclude. Engines of the entry's
+// zone are twice as likely. Randomness keeps overloaded entries from all choosing the same
+// engines.
+func Sample(engines []RankedEngine, exclude map[int]bool, n int, uniform func() float64) []int {
 	var pool []int
 	for i := range engines {
-		if engines[i].Excluded || taken[i] {
+		if engines[i].Excluded || exclude[i] {
 			continue
 		}
 		pool = append(pool, i)
@@ -87,16 +84,16 @@
 			pool = append(pool, i)
 		}
 	}
-	var drawn []int
+	var sampled []int
 	seen := map[int]bool{}
 	for range 2 * n {
-		if len(drawn) == n || len(pool) == 0 {
+		if len(sampled) == n || len(pool) == 0 {
 			break
 		}
 		if i := pool[int(uniform()*float64(len(pool)))]; !seen[i] {
 			seen[i] = true
-			drawn = append(drawn, i)
+			sampled = append(sampled, i)
 		}
 	}
-	return drawn
+	return sampled
 }
--- a/internal/gateway/placement/shortlist_test.go
+++ b/internal/gateway/placement/shortlist_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// fleetOf returns engines of which every fifth stands near by.
-func fleetOf(n int, seed uint64) []RankedEngine {
+// newFleet returns n engines of which every fifth is in the entry's zone.
+func newFleet(n int, seed uint64) []RankedEngine {
 	random := rand.New(rand.NewPCG(seed, seed))
 	engines := make([]RankedEngine, n)
 	for i := range engines {
@@ -18,99 +18,94 @@
 	return engines
 }
 
-// Entries of different zones ask for prompts of one family. They must find the parts
-// where others had them read, so that the first engines in the fleet are the same for
-// all, and those that are left out stay out.
-func TestAllEntriesAskTheSameFirstEngines(t *testing.T) {
+// Entries of all zones must shortlist the same first engines for a family, or they miss
+// each other's cached parts. Excluded engines are never listed.
+func TestAllEntriesShortlistTheSameFirstEngines(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		engines := fleetOf(rapid.IntRange(1, 200).Draw(rt, "engines"), rapid.Uint64().Draw(rt, "seed"))
+		engines := newFleet(rapid.IntRange(1, 200).Draw(rt, "engines"), rapid.Uint64().Draw(rt, "seed"))
 		for i := range engines {
 			engines[i].Excluded = rapid.IntRange(0, 9).Draw(rt, "excluded") == 0
 		}
-		family, outer := rapid.Uint64().Draw(rt, "family"), rapid.Uint64().Draw(rt, "outer")
-		here := Shortlist(outer, family, engines, 3, 2)
+		family, firstPart := rapid.Uint64().Draw(rt, "family"), rapid.Uint64().Draw(rt, "first part")
+		here := Shortlist(firstPart, family, engines, 3, 2)
 		there := slices.Clone(engines)
 		for i := range there {
 			there[i].SameZone = !there[i].SameZone
 		}
-		far := Shortlist(outer, family, there, 3, 2)
-		n := min(3, len(here), len(far))
-		if !slices.Equal(here[:n], far[:n]) {
-			rt.Fatalf("asked %v here and %v there", here, far)
+		remote := Shortlist(firstPart, family, there, 3, 2)
+		n := min(3, len(here), len(remote))
+		if !slices.Equal(here[:n], remote[:n]) {
+			rt.Fatalf("listed %v in one zone and %v in the other", here, remote)
 		}
 		for _, i := range here {
 			if engines[i].Excluded {
-				rt.Fatalf("engine %d is excluded and is asked", i)
+				rt.Fatalf("engine %d is excluded and is listed", i)
 			}
 		}
 		if slices.Sort(here); len(slices.Compact(here)) != len(here) {
-			rt.Fatalf("one engine is asked twice: %v", here)
+			rt.Fatalf("an engine is listed twice: %v", here)
 		}
 	})
 }
 
-// After a load of weights, 180 engines hold nothing, and prompts of 24 outermost parts
-// come. Were each family's engines drawn from all, nearly every engine would read every
-// outermost part: 4,300 times in place of 24. Engines that serve a quarter of them each
-// read a quarter.
-func TestFewEnginesReadOneOutermostPart(t *testing.T) {
-	engines := fleetOf(180, 1)
-	reads := 0
-	for outer := range uint64(24) {
+// After a weight load all caches are empty. Only the engines that serve a first part may
+// prefill it; otherwise every engine prefills every first part.
+func TestFewEnginesPrefillOneFirstPart(t *testing.T) {
+	engines := newFleet(180, 1)
+	prefills := 0
+	for firstPart := range uint64(24) {
 		served := map[int]bool{}
 		for family := range uint64(400) {
-			served[Shortlist(Mix(outer+1), Mix(family+1000*outer), engines, 3, 2)[0]] = true
+			served[Shortlist(Mix(firstPart+1), Mix(family+1000*firstPart), engines, 3, 2)[0]] = true
 		}
-		reads += len(served)
+		prefills += len(served)
 	}
-	if most := 24 * 180 * 3 / 10; reads > most {
-		t.Errorf("%d reads of outermost parts, want at most %d", reads, most)
+	if most := 24 * 180 * 3 / 10; prefills > most {
+		t.Errorf("%d prefills of first parts, want at most %d", prefills, most)
 	}
-	if reads < 24*180/6 {
-		t.Errorf("%d reads: too few engines serve each part to bear its load", reads)
+	if prefills < 24*180/6 {
+		t.Errorf("%d prefills: too few engines serve each first part", prefills)
 	}
 }
 
-// Hardly any engine is left of those that serve an outermost part. Prompts go to others
-// then, and are not placed blindly.
-func TestOthersAreAskedWhenFewServe(t *testing.T) {
-	engines := fleetOf(40, 4)
+// Other engines fill the shortlist when none that serves the first part is left.
+func TestShortlistIsFilledWhenFewServe(t *testing.T) {
+	engines := newFleet(40, 4)
 	for i := range engines {
 		engines[i].Excluded = serves(9, &engines[i])
 	}
 	if got := Shortlist(9, 7, engines, 3, 2); len(got) < 3 {
-		t.Errorf("only %v are asked", got)
+		t.Errorf("shortlist %v is too short", got)
 	}
 }
 
-// A fleet is pressed, and all entries look beyond a family's first engines. They must not
-// all look at the same ones.
-func TestDrawnEnginesDiffer(t *testing.T) {
-	engines := fleetOf(180, 2)
+// Samples spread over the fleet: overloaded entries must not all choose the same engines.
+func TestSamplesSpreadOverTheFleet(t *testing.T) {
+	engines := newFleet(180, 2)
 	random := rand.New(rand.NewPCG(3, 3))
-	times := map[int]int{}
+	counts := map[int]int{}
 	for range 1000 {
-		drawn := Sample(engines, map[int]bool{4: true}, 4, random.Float64)
-		if len(drawn) != 4 {
-			t.Fatalf("drew %v", drawn)
+		sampled := Sample(engines, map[int]bool{4: true}, 4, random.Float64)
+		if len(sampled) != 4 {
+			t.Fatalf("sampled %v, want 4 engines", sampled)
 		}
-		for _, i := range drawn {
-			times[i]++
+		for _, i := range sampled {
+			counts[i]++
 		}
 	}
-	if times[4] > 0 {
-		t.Error("one that was asked already was drawn")
+	if counts[4] > 0 {
+		t.Error("an engine in the exclude set was sampled")
 	}
-	for i, n := range times {
+	for i, n := range counts {
 		if n > 100 {
-			t.Errorf("engine %d was drawn %d times of 1000", i, n)
+			t.Errorf("engine %d was sampled %d times of 1000", i, n)
 		}
 	}
 }
 
-// BenchmarkShortlist is what ranking takes of an entry for one prompt, with 180 engines.
+// BenchmarkShortlist measures the ranking of 180 engines for one prompt.
 func BenchmarkShortlist(b *testing.B) {
-	engines := fleetOf(180, 1)
+	engines := newFleet(180, 1)
 	b.ReportAllocs()
 	for b.Loop() {
 		Shortlist(5, 7, engines, 3, 2)
