--- a/internal/gateway/probe/probe_test.go
+++ b/internal/gateway/probe/probe_test.go
@@ -104,7 +104,7 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	for id, s := range engine.sends {
-		if id.Number != number || s.PrefillTime != send.PrefillTime || s.Priority != 3 || s.Holder != send.Holder || !s.Offloaded || s.Lifetime != send.Lifetime {
+		if id.Sequence != number || s.PrefillTime != send.PrefillTime || s.Priority != 3 || s.Holder != send.Holder || !s.Offloaded || s.Lifetime != send.Lifetime {
 			t.Errorf("%v: %+v", id, s)
 		}
 	}
--- a/internal/gateway/probe/server.go
+++ b/internal/gateway/probe/server.go
@@ -15,7 +15,7 @@
 // SendID names a prompt that was sent: by its entry, and by the entry's own number.
 type SendID struct {
 	Entry  netip.AddrPort
-	Number uint32
+	Sequence uint32
 }
 
 // Engine is what a server answers for. Its methods are called by one goroutine.
@@ -68,7 +68,7 @@
 
 // take handles a message and returns the answer to a probe; nil for none.
 func (s *Server) take(from netip.AddrPort, m *peerv1.EngineMessage) *peerv1.EngineAnswer {
-	id := SendID{Entry: from, Number: m.Id}
+	id := SendID{Entry: from, Sequence: m.Id}
 	switch {
 	case m.Probe != nil:
 		a, ok := s.engine.Probe(promptIn(m.Probe.Parts))
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -33,7 +33,7 @@
 
 func (b *bench) send(s probe.Send) probe.SendID {
 	b.number++
-	id := probe.SendID{Entry: netip.MustParseAddrPort("10.0.0.1:5000"), Number: b.number}
+	id := probe.SendID{Entry: netip.MustParseAddrPort("10.0.0.1:5000"), Sequence: b.number}
 	if s.Lifetime == 0 {
 		s.Lifetime = 10 * time.Second
 	}
@@ -219,7 +219,7 @@
 func TestElsewhereIsBounded(t *testing.T) {
 	e := newElsewhere()
 	for i := range 3 * mostElsewhere {
-		e.sent(probe.SendID{Number: uint32(i)}, []parts.Key{parts.Key(i)}, probe.Send{}, start)
+		e.sent(probe.SendID{Sequence: uint32(i)}, []parts.Key{parts.Key(i)}, probe.Send{}, start)
 	}
 	if len(e.families) > mostElsewhere || len(e.byID) > mostElsewhere {
 		t.Errorf("%d families, %d sends", len(e.families), len(e.byID))
