--- a/internal/gateway/probe/client.go
+++ b/internal/gateway/probe/client.go
@@ -16,128 +16,126 @@
 )
 
 const (
-	// answerTime is how long answers are waited for: some round trips between
-	// availability zones. A prompt is waited for by its caller for half a second and
-	// more.
-	answerTime = 15 * time.Millisecond
-	// quietFor is how long a sidecar that did not answer is asked without being
-	// waited for. Its host may be frozen, cut off or gone; prompts must not each lose
-	// answerTime to it.
-	quietFor = 2 * time.Second
-	// quietAfter is after how many probes in a row without an answer that begins: one
-	// datagram may be lost.
-	quietAfter = 2
+	// responseTimeout allows some round trips between availability zones.
+	responseTimeout = 15 * time.Millisecond
+	// unresponsivePeriod is how long an unresponsive sidecar is probed without waiting for
+	// its response, so that prompts do not each lose responseTimeout to a host that is
+	// suspended, partitioned or gone.
+	unresponsivePeriod = 2 * time.Second
+	// unresponsiveAfter is the number of consecutive misses after which a sidecar counts
+	// as unresponsive. A single datagram may be lost.
+	unresponsiveAfter = 2
 )
 
-// Client asks sidecars. It is safe for concurrent use.
+// Client probes sidecars and notifies them of prompts. It is safe for concurrent use.
 type Client struct {
 	conn *net.UDPConn
-	// port is where sidecars listen, on the hosts of their engines.
+	// port is the port on which all sidecars listen.
 	port uint16
 	now  func() time.Time
 	done sync.WaitGroup
 
-	mu     sync.Mutex
-	number uint32
-	asked  map[uint32]question
-	misses map[netip.Addr]miss
+	mu      sync.Mutex
+	lastID  uint32
+	pending map[uint32]pendingProbe
+	misses  map[netip.Addr]miss
 }
 
-// question is one probe that awaits its answer.
-type question struct {
-	of *round
-	// index of the probe in its round, and who was asked.
+// pendingProbe is a probe without a response yet.
+type pendingProbe struct {
+	round *round
+	// index is the probe's position in its round, host the probed one.
 	index int
-	to    netip.Addr
+	host  netip.Addr
 }
 
-// round is the probes for one decision. The client's lock guards it.
+// round is the set of probes for one decision, guarded by Client.mu.
 type round struct {
-	answers []Response
-	known   []bool
-	// awaited is how many answers are still waited for; complete is closed when none
-	// is.
+	responses []Response
+	received  []bool
+	// awaited is the number of outstanding responses; complete is closed at zero.
 	awaited  int
 	complete chan struct{}
 }
 
-// miss counts probes in a row that were not answered.
+// miss counts consecutive probes without a response.
 type miss struct {
 	count int
 	last  time.Time
 }
 
-// NewClient returns a client that sends from an IP number to sidecars at a port.
+// NewClient returns a client that sends from an IP address to sidecars at a port.
 func NewClient(from netip.Addr, port uint16, now func() time.Time) (*Client, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(from, 0)))
 	if err != nil {
 		return nil, errors.Wrap(err, "open probe socket")
 	}
-	c := &Client{conn: conn, port: port, now: now, number: rand.Uint32(), asked: map[uint32]question{}, misses: map[netip.Addr]miss{}}
+	c := &Client{conn: conn, port: port, now: now, lastID: rand.Uint32(), pending: map[uint32]pendingProbe{}, misses: map[netip.Addr]miss{}}
 	c.done.Add(1)
 	go c.receive()
 	return c, nil
 }
 
-// Ask asks the sidecars of engines what a prompt would meet there, all at once. It
-// returns their answers in the order of the engines, with which of them came in time.
+// Ask probes the sidecars of engines concurrently for a prompt. It returns the responses
+// in the order of the engines, and which of them arrived in time.
 func (c *Client) Ask(ctx context.Context, engines []netip.AddrPort, p Prompt) ([]Response, []bool) {
-	r, first := c.begin(engines)
-	message := &peerv1.EngineMessage{Probe: &peerv1.EngineProbe{Parts: promptOut(p)}}
+	r, firstID := c.beginRound(engines)
+	message := &peerv1.EngineMessage{Probe: &peerv1.EngineProbe{Parts: encodePrompt(p)}}
 	for i, engine := range engines {
-		message.Id = first + uint32(i)
+		message.Id = firstID + uint32(i)
 		c.send(engine.Addr(), message)
 	}
-	timer := time.NewTimer(answerTime)
+	timer := time.NewTimer(responseTimeout)
 	defer timer.Stop()
 	select {
 	case <-r.complete:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return c.end(r, first)
+	return c.endRound(r, firstID)
 }
 
-// begin notes the probes of a round; they are numbered from first on.
-func (c *Client) begin(engines []netip.AddrPort) (r *round, first uint32) {
+// beginRound registers one probe per engine, with consecutive IDs.
+func (c *Client) beginRound(engines []netip.AddrPort) (r *round, firstID uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r = &round{answers: make([]Response, len(engines)), known: make([]bool, len(engines)), complete: make(chan struct{})}
-	first = c.number + 1
-	c.number += uint32(len(engines))
+	r = &round{responses: make([]Response, len(engines)), received: make([]bool, len(engines)), complete: make(chan struct{})}
+	firstID = c.lastID + 1
+	c.lastID += uint32(len(engines))
 	for i, engine := range engines {
-		c.asked[first+uint32(i)] = question{of: r, index: i, to: engine.Addr()}
-		if !c.quiet(engine.Addr()) {
+		c.pending[firstID+uint32(i)] = pendingProbe{round: r, index: i, host: engine.Addr()}
+		if !c.unresponsive(engine.Addr()) {
 			r.awaited++
 		}
 	}
 	if r.awaited == 0 {
 		close(r.complete)
 	}
-	return r, first
+	return r, firstID
 }
 
-// quiet reports whether a sidecar has not answered lately. The caller holds mu.
-func (c *Client) quiet(host netip.Addr) bool {
+// unresponsive reports whether a host's sidecar missed its last probes. The caller holds
+// mu.
+func (c *Client) unresponsive(host netip.Addr) bool {
 	m, ok := c.misses[host]
-	return ok && m.count >= quietAfter && c.now().Sub(m.last) < quietFor
+	return ok && m.count >= unresponsiveAfter && c.now().Sub(m.last) < unresponsivePeriod
 }
 
-// end forgets a round's probes and returns what came. An answer that comes later finds
-// no question of its number and is dropped, but shows that its sidecar lives.
-func (c *Client) end(r *round, first uint32) ([]Response, []bool) {
+// endRound drops a round's pending probes, counts them as misses and returns the
+// responses received. A later response is discarded, but resets the sidecar's misses.
+func (c *Client) endRound(r *round, firstID uint32) ([]Response, []bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := range r.answers {
-		number := first + uint32(i)
-		q, open := c.asked[number]
+	for i := range r.responses {
+		id := firstID + uint32(i)
+		p, open := c.pending[id]
 		if !open {
 			continue
 		}
-		delete(c.asked, number)
-		c.misses[q.to] = miss{count: c.misses[q.to].count + 1, last: c.now()}
+		delete(c.pending, id)
+		c.misses[p.host] = miss{count: c.misses[p.host].count + 1, last: c.now()}
 	}
-	return r.answers, r.known
+	return r.responses, r.received
 }
 
 func (c *Client) receive() {
@@ -145,58 +143,58 @@
 	datagram.Receive(c.conn, maxDatagram, func(data []byte, from netip.AddrPort) {
 		in := &peerv1.EngineAnswer{}
 		if proto.Unmarshal(data, in) == nil {
-			c.take(from.Addr(), in)
+			c.handleResponse(from.Addr(), in)
 		}
 	})
 }
 
-// take hands an answer to its question. The failure guarded against is an answer that
-// is late, or from elsewhere: it would be taken for that of another engine.
-func (c *Client) take(from netip.Addr, in *peerv1.EngineAnswer) {
+// handleResponse matches a response to its pending probe. Responses that are late or come
+// from another host are discarded: they would describe the wrong engine.
+func (c *Client) handleResponse(from netip.Addr, in *peerv1.EngineAnswer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wasQuiet := c.quiet(from)
+	wasUnresponsive := c.unresponsive(from)
 	delete(c.misses, from)
-	q, open := c.asked[in.Id]
-	if !open || q.to != from {
+	p, open := c.pending[in.Id]
+	if !open || p.host != from {
 		return
 	}
-	delete(c.asked, in.Id)
-	q.of.answers[q.index], q.of.known[q.index] = answerIn(in), true
-	if wasQuiet {
-		return // it was not waited for
+	delete(c.pending, in.Id)
+	p.round.responses[p.index], p.round.received[p.index] = decodeResponse(in), true
+	if wasUnresponsive {
+		return // not counted in awaited
 	}
-	if q.of.awaited--; q.of.awaited == 0 {
-		close(q.of.complete)
+	if p.round.awaited--; p.round.awaited == 0 {
+		close(p.round.complete)
 	}
 }
 
-// Sent tells an engine's sidecar of a prompt. Its progress is told under the number
-// that is returned.
+// Sent notifies an engine's sidecar of a prompt sent to the engine. It returns the ID
+// under which the prompt's progress is reported.
 func (c *Client) Sent(engine netip.AddrPort, s Send) uint32 {
 	c.mu.Lock()
-	c.number++
-	number := c.number
+	c.lastID++
+	id := c.lastID
 	c.mu.Unlock()
-	c.send(engine.Addr(), &peerv1.EngineMessage{Id: number, Send: sendOut(s)})
-	return number
+	c.send(engine.Addr(), &peerv1.EngineMessage{Id: id, Send: encodeSend(s)})
+	return id
 }
 
-// Progressed tells an engine's sidecar how a prompt gets on.
-func (c *Client) Progressed(engine netip.AddrPort, number uint32, p Progress) {
-	c.send(engine.Addr(), &peerv1.EngineMessage{Id: number, Progress: progressOut(p)})
+// Progressed notifies an engine's sidecar of a prompt's progress.
+func (c *Client) Progressed(engine netip.AddrPort, id uint32, p Progress) {
+	c.send(engine.Addr(), &peerv1.EngineMessage{Id: id, Progress: encodeProgress(p)})
 }
 
 func (c *Client) send(host netip.Addr, m *peerv1.EngineMessage) {
 	data, err := proto.Marshal(m)
 	if err != nil || len(data) > maxDatagram {
-		return // a prompt of some hundred parts: its engine counts as not answering
+		return // hundreds of parts; treated like a lost datagram
 	}
-	// A datagram that cannot be sent is as good as lost.
+	// A datagram that cannot be sent is treated as lost.
 	_, _ = c.conn.WriteToUDPAddrPort(data, netip.AddrPortFrom(host, c.port))
 }
 
-// Close ends the client.
+// Close stops the client.
 func (c *Client) Close() {
 	_ = c.conn.Close()
 	c.done.Wait()
--- a/internal/gateway/probe/probe.go
+++ b/internal/gateway/probe/probe.go
@@ -1,16 +1,11 @@
-// Package probe carries what entries ask the sidecars of engines before they place a
-// prompt, and what they say of prompts that they have sent.
+// Package probe is the protocol between entries and the sidecars of engines: entries probe
+// sidecars before they place a prompt, and notify them of prompts sent and their progress.
 //
-// # Why
+// Probing on demand costs a few datagrams per prompt, independent of the fleet's size, and
+// returns current state. Broadcasts of that state would grow with entries times engines.
 //
-// A sidecar is the one that can know its engine exactly: the work of all entries there,
-// what its cache holds, its weights and whether it answers. Telling that to all entries
-// costs entries times engines; with a hundred of each it takes most of the entries'
-// processors, and each change still reaches few of them at once. Asked for by those who need it, it costs a few datagrams
-// for each prompt, whatever the size of the fleet, and is never old.
-//
-// Each message is one datagram. There is no retry: who does not answer in time is
-// passed over, and a lost word of a prompt costs a worse choice and nothing else.
+// Each message is one UDP datagram without retry. A probe that times out is ignored; a
+// lost notification only degrades later placement.
 package probe
 
 import (
@@ -25,106 +20,106 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// maxDatagram bounds a message. It fits into one packet of an Ethernet network.
+// maxDatagram is the maximum size of a message; it fits into one Ethernet frame.
 const maxDatagram = 1400
 
 // Prompt names the shared parts of a prompt.
 type Prompt struct {
 	Model string
-	// IsolatedWorkspace is the workspace, where it shares no part with others.
+	// IsolatedWorkspace is the workspace if it shares no parts with others, else empty.
 	IsolatedWorkspace string
 	Parts             []wire.Part
 }
 
-// Response is what a sidecar says of its engine.
+// Response is a sidecar's response to a probe: the state of its engine.
 type Response struct {
-	// Incarnation of the engine; its instance is empty while the sidecar does not know it.
+	// Incarnation of the engine; its instance is empty while unknown.
 	Incarnation fleet.Life
-	// WeightVersions are the versions of its models.
+	// WeightVersions are the engine's weight versions by model.
 	WeightVersions map[string]int64
 	Phase          weights.Phase
-	// Work of all entries at the engine.
+	// Work is the work in flight from all entries.
 	Work ledger.Work
-	// OfferedLoad are the thousandths of its time for which the engine is lately given
-	// prompts to read, by their urgency.
+	// OfferedLoad is the prefill work that recently arrived, in thousandths of the
+	// engine's time.
 	OfferedLoad ledger.PerPriority[int]
-	// CachedTokens is how many tokens of the prompt's beginning its cache holds.
+	// CachedTokens is the length of the prompt's prefix in the engine's cache.
 	CachedTokens int
-	// Offloaded is set when the engine has lately saved the shared parts to their store.
+	// Offloaded is set when the engine recently offloaded the shared parts to the KV store.
 	Offloaded bool
-	// Holder is another engine that has lately read the shared parts; invalid for none.
+	// Holder is another engine that recently prefilled the shared parts; invalid for none.
 	Holder netip.AddrPort
-	// PrefillInProgress is set when the engine reads shared parts that it does not hold, or knows
-	// another that does.
+	// PrefillInProgress is set while this engine, or another that it knows of, prefills
+	// shared parts that this one has not cached.
 	PrefillInProgress bool
-	// Slowdown is by how much the engine is slower than expected.
+	// Slowdown is the ratio of measured to predicted latency.
 	Slowdown float64
-	// Unhealthy is set when the engine failed many of its last requests.
+	// Unhealthy is set when the engine failed many recent requests.
 	Unhealthy bool
-	// ReportAge is the time since the engine last reported to its sidecar.
+	// ReportAge is the age of the engine's last report to its sidecar.
 	ReportAge time.Duration
 }
 
-// Send is a prompt that an entry has sent to an engine.
+// Send describes a prompt that an entry sent to an engine.
 type Send struct {
 	Prompt Prompt
-	// WeightVersion is the version that was demanded.
+	// WeightVersion is the version that the request requires.
 	WeightVersion int64
-	// PrefillTime is for how long reading it holds up others.
+	// PrefillTime is how long the prefill is expected to block other prompts.
 	PrefillTime time.Duration
 	Priority    int
-	// Memory is how many tokens of memory it takes.
+	// Memory is the KV cache that the request needs, in tokens.
 	Memory int
-	// Offloaded is set when the engine saves the parts to their store.
+	// Offloaded is set when the engine offloads the shared parts to the KV store.
 	Offloaded bool
-	// Holder is the engine that it was sent to, where its family's first engine is told
-	// of it; invalid where the two are the same.
+	// Holder is the engine that got the prompt, when the notification goes to the
+	// family's first engine instead; invalid when both are the same.
 	Holder netip.AddrPort
-	// Lifetime is after how long the engine has certainly ended it.
+	// Lifetime is the time after which the engine has certainly ended the request.
 	Lifetime time.Duration
 }
 
-// Progress is how a prompt gets on at its engine.
+// Progress is an update on a prompt at its engine.
 type Progress struct {
-	// PrefillDone is set when its first event came, Ended when it has left the engine.
+	// PrefillDone is set once the first event arrived, Ended once the request ended.
 	PrefillDone, Ended bool
-	// Outcome counts once it has ended.
+	// Outcome is valid if Ended.
 	Outcome health.Outcome
-	// Latency is the time from the send to the first event, ExpectedLatency what was expected;
-	// zero where they say nothing of the engine's speed.
+	// Latency and ExpectedLatency are the measured and predicted times from the send to
+	// the first event. Both are zero if they say nothing about the engine's speed.
 	Latency, ExpectedLatency time.Duration
 }
 
-// paceUnit is the pace of an engine that is as fast as expected, on the wire.
-const paceUnit = 1000
+// slowdownUnit is the wire value of a slowdown of 1.
+const slowdownUnit = 1000
 
-var phasesOut = map[weights.Phase]peerv1.EnginePhase{
+var phaseToProto = map[weights.Phase]peerv1.EnginePhase{
 	weights.Serving:  peerv1.EnginePhase_ENGINE_PHASE_SERVING,
 	weights.Loading:  peerv1.EnginePhase_ENGINE_PHASE_LOADING,
 	weights.Emptying: peerv1.EnginePhase_ENGINE_PHASE_EMPTYING,
 	weights.Silent:   peerv1.EnginePhase_ENGINE_PHASE_SILENT,
 }
 
-var phasesIn = map[peerv1.EnginePhase]weights.Phase{
+var phaseFromProto = map[peerv1.EnginePhase]weights.Phase{
 	peerv1.EnginePhase_ENGINE_PHASE_SERVING:  weights.Serving,
 	peerv1.EnginePhase_ENGINE_PHASE_LOADING:  weights.Loading,
 	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Emptying,
 	peerv1.EnginePhase_ENGINE_PHASE_SILENT:   weights.Silent,
 }
 
-func ms(d time.Duration) uint32 { return uint32(max(d, 0).Milliseconds()) }
+func toMs(d time.Duration) uint32 { return uint32(max(d, 0).Milliseconds()) }
 
 func fromMs(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func addressOut(a netip.AddrPort) string {
+func formatAddress(a netip.AddrPort) string {
 	if !a.IsValid() {
 		return ""
 	}
 	return a.String()
 }
 
-// addressIn decodes an address; one that cannot be read counts as none.
-func addressIn(text string) netip.AddrPort {
+// parseAddress returns the zero value for an invalid address.
+func parseAddress(text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return netip.AddrPort{}
@@ -132,7 +127,7 @@
 	return a
 }
 
-func promptOut(p Prompt) *peerv1.SharedParts {
+func encodePrompt(p Prompt) *peerv1.SharedParts {
 	out := &peerv1.SharedParts{Model: p.Model, Isolated: p.IsolatedWorkspace}
 	for _, part := range p.Parts {
 		out.Names = append(out.Names, part.ID)
@@ -141,7 +136,7 @@
 	return out
 }
 
-func promptIn(in *peerv1.SharedParts) Prompt {
+func decodePrompt(in *peerv1.SharedParts) Prompt {
 	p := Prompt{Model: in.GetModel(), IsolatedWorkspace: in.GetIsolated()}
 	for i, name := range in.GetNames() {
 		if i < len(in.Tokens) {
@@ -151,59 +146,59 @@
 	return p
 }
 
-func answerOut(a *Response) *peerv1.EngineAnswer {
+func encodeResponse(r *Response) *peerv1.EngineAnswer {
 	e := &peerv1.EngineState{
-		Instance: a.Incarnation.Instance, Born: a.Incarnation.Born, Phase: phasesOut[a.Phase],
+		Instance: r.Incarnation.Instance, Born: r.Incarnation.Born, Phase: phaseToProto[r.Phase],
 	}
-	for model, version := range a.WeightVersions {
+	for model, version := range r.WeightVersions {
 		e.Weights = append(e.Weights, &peerv1.ModelWeights{Model: model, Version: version})
 	}
 	return &peerv1.EngineAnswer{
-		Arriving: lanesOut(a.OfferedLoad),
-		Engine:   e, Load: EncodeLoad(0, a.Work), Held: uint32(a.CachedTokens), Coming: a.PrefillInProgress,
-		Pace: uint32(a.Slowdown * paceUnit), Ill: a.Unhealthy, ReportAgeMs: ms(a.ReportAge), Saved: a.Offloaded, Holder: addressOut(a.Holder),
+		Arriving: encodePerPriority(r.OfferedLoad),
+		Engine:   e, Load: EncodeLoad(0, r.Work), Held: uint32(r.CachedTokens), Coming: r.PrefillInProgress,
+		Pace: uint32(r.Slowdown * slowdownUnit), Ill: r.Unhealthy, ReportAgeMs: toMs(r.ReportAge), Saved: r.Offloaded, Holder: formatAddress(r.Holder),
 	}
 }
 
-func answerIn(in *peerv1.EngineAnswer) Response {
+func decodeResponse(in *peerv1.EngineAnswer) Response {
 	e := in.GetEngine()
-	a := Response{
-		Incarnation: fleet.Life{Instance: e.GetInstance(), Born: e.GetBorn()}, Phase: phasesIn[e.GetPhase()], WeightVersions: map[string]int64{},
-		CachedTokens: int(in.Held), PrefillInProgress: in.Coming, Slowdown: float64(in.Pace) / paceUnit, Unhealthy: in.Ill, ReportAge: fromMs(in.ReportAgeMs), Offloaded: in.Saved, Holder: addressIn(in.Holder),
+	r := Response{
+		Incarnation: fleet.Life{Instance: e.GetInstance(), Born: e.GetBorn()}, Phase: phaseFromProto[e.GetPhase()], WeightVersions: map[string]int64{},
+		CachedTokens: int(in.Held), PrefillInProgress: in.Coming, Slowdown: float64(in.Pace) / slowdownUnit, Unhealthy: in.Ill, ReportAge: fromMs(in.ReportAgeMs), Offloaded: in.Saved, Holder: parseAddress(in.Holder),
 	}
 	if in.Load != nil {
-		a.Work = DecodeLoad(in.Load)
+		r.Work = DecodeLoad(in.Load)
 	}
-	for _, told := range in.Arriving {
-		a.OfferedLoad[told%ledger.Priorities] += int(told / ledger.Priorities)
+	for _, encoded := range in.Arriving {
+		r.OfferedLoad[encoded%ledger.Priorities] += int(encoded / ledger.Priorities)
 	}
 	for _, w := range e.GetWeights() {
-		a.WeightVersions[w.Model] = w.Version
+		r.WeightVersions[w.Model] = w.Version
 	}
-	return a
+	return r
 }
 
-func sendOut(s Send) *peerv1.EngineSend {
+func encodeSend(s Send) *peerv1.EngineSend {
 	return &peerv1.EngineSend{
-		Parts: promptOut(s.Prompt), Weights: s.WeightVersion, ReadMs: ms(s.PrefillTime),
-		Urgency: uint32(s.Priority), Memory: uint32(max(s.Memory, 0)), LifetimeMs: ms(s.Lifetime), Saved: s.Offloaded, Holder: addressOut(s.Holder),
+		Parts: encodePrompt(s.Prompt), Weights: s.WeightVersion, ReadMs: toMs(s.PrefillTime),
+		Urgency: uint32(s.Priority), Memory: uint32(max(s.Memory, 0)), LifetimeMs: toMs(s.Lifetime), Saved: s.Offloaded, Holder: formatAddress(s.Holder),
 	}
 }
 
-func sendIn(in *peerv1.EngineSend) Send {
+func decodeSend(in *peerv1.EngineSend) Send {
 	return Send{
-		Prompt: promptIn(in.Parts), WeightVersion: in.Weights, PrefillTime: fromMs(in.ReadMs),
-		Priority: min(int(in.Urgency), ledger.Priorities-1), Memory: int(in.Memory), Lifetime: fromMs(in.LifetimeMs), Offloaded: in.Saved, Holder: addressIn(in.Holder),
+		Prompt: decodePrompt(in.Parts), WeightVersion: in.Weights, PrefillTime: fromMs(in.ReadMs),
+		Priority: min(int(in.Urgency), ledger.Priorities-1), Memory: int(in.Memory), Lifetime: fromMs(in.LifetimeMs), Offloaded: in.Saved, Holder: parseAddress(in.Holder),
 	}
 }
 
-func progressOut(p Progress) *peerv1.EngineProgress {
+func encodeProgress(p Progress) *peerv1.EngineProgress {
 	return &peerv1.EngineProgress{
-		Read: p.PrefillDone, Ended: p.Ended, Failed: p.Ended && p.Outcome != health.Good, TookMs: ms(p.Latency), ExpectedMs: ms(p.ExpectedLatency),
+		Read: p.PrefillDone, Ended: p.Ended, Failed: p.Ended && p.Outcome != health.Good, TookMs: toMs(p.Latency), ExpectedMs: toMs(p.ExpectedLatency),
 	}
 }
 
-func progressIn(in *peerv1.EngineProgress) Progress {
+func decodeProgress(in *peerv1.EngineProgress) Progress {
 	p := Progress{PrefillDone: in.Read, Ended: in.Ended, Latency: fromMs(in.TookMs), ExpectedLatency: fromMs(in.ExpectedMs)}
 	if in.Failed {
 		p.Outcome = health.Failed
@@ -211,36 +206,36 @@
 	return p
 }
 
-// EncodeLoad encodes work at a target; lanes in which there is none are left out.
+// EncodeLoad encodes the work at a target.
 func EncodeLoad(target fleet.ID, w ledger.Work) *peerv1.TargetLoad {
-	var reading ledger.PerPriority[int]
-	for urgency, d := range w.Prefill {
-		reading[urgency] = int(d.Milliseconds())
+	var prefillMs ledger.PerPriority[int]
+	for priority, d := range w.Prefill {
+		prefillMs[priority] = int(d.Milliseconds())
 	}
 	return &peerv1.TargetLoad{
-		Target: uint32(target), Running: uint32(max(w.Running, 0)), Reading: lanesOut(reading), Memory: lanesOut(w.Memory),
+		Target: uint32(target), Running: uint32(max(w.Running, 0)), Reading: encodePerPriority(prefillMs), Memory: encodePerPriority(w.Memory),
 	}
 }
 
-// lanesOut encodes amounts by urgency; nothing is left out.
-func lanesOut(lanes ledger.PerPriority[int]) []uint32 {
+// encodePerPriority encodes each positive amount together with its priority.
+func encodePerPriority(amounts ledger.PerPriority[int]) []uint32 {
 	var out []uint32
-	for urgency, amount := range lanes {
+	for priority, amount := range amounts {
 		if amount > 0 {
-			out = append(out, uint32(amount)*ledger.Priorities+uint32(urgency))
+			out = append(out, uint32(amount)*ledger.Priorities+uint32(priority))
 		}
 	}
 	return out
 }
 
-// DecodeLoad decodes work at a target.
+// DecodeLoad decodes the work at a target.
 func DecodeLoad(l *peerv1.TargetLoad) ledger.Work {
 	w := ledger.Work{Running: int(l.Running)}
-	for _, told := range l.Reading {
-		w.Prefill[told%ledger.Priorities] += time.Duration(told/ledger.Priorities) * time.Millisecond
+	for _, encoded := range l.Reading {
+		w.Prefill[encoded%ledger.Priorities] += time.Duration(encoded/ledger.Priorities) * time.Millisecond
 	}
-	for _, told := range l.Memory {
-		w.Memory[told%ledger.Priorities] += int(told / ledger.Priorities)
+	for _, encoded := range l.Memory {
+		w.Memory[encoded%ledger.Priorities] += int(encoded / ledger.Priorities)
 	}
 	return w
 }
--- a/internal/gateway/probe/server.go
+++ b/internal/gateway/probe/server.go
@@ -12,29 +12,29 @@
 	"github.com/toucanwell/toucanwell/internal/datagram"
 )
 
-// SendID names a prompt that was sent: by its entry, and by the entry's own number.
+// SendID identifies a prompt by the entry that sent it and the entry's sequence number.
 type SendID struct {
-	Entry  netip.AddrPort
+	Entry    netip.AddrPort
 	Sequence uint32
 }
 
-// Engine is what a server answers for. Its methods are called by one goroutine.
+// Engine is the state that a server serves. Its methods are called by one goroutine.
 type Engine interface {
-	// Probe says what a prompt would meet; false while nothing is known.
+	// Probe returns the engine's state for a prompt, and false while it is unknown.
 	Probe(p Prompt) (Response, bool)
 	OnSend(id SendID, s Send)
 	OnProgress(id SendID, p Progress)
 }
 
-// Server answers probes of one engine. It runs on a goroutine of its own, so that an
-// answer waits neither for the control thread nor for traffic.
+// Server responds to probes of one engine on a goroutine of its own, so that responses wait
+// neither for the control loop nor for traffic.
 type Server struct {
 	conn   *net.UDPConn
 	engine Engine
 	done   sync.WaitGroup
 }
 
-// NewServer answers at an address until Close.
+// NewServer listens on an address and serves until Close.
 func NewServer(address netip.AddrPort, engine Engine) (*Server, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -54,39 +54,39 @@
 		if proto.Unmarshal(data, message) != nil {
 			return
 		}
-		answer := s.take(from, message)
-		if answer == nil {
+		response := s.handle(from, message)
+		if response == nil {
 			return
 		}
 		var err error
-		if out, err = (proto.MarshalOptions{}).MarshalAppend(out[:0], answer); err == nil {
-			// A datagram that cannot be sent is as good as lost.
+		if out, err = (proto.MarshalOptions{}).MarshalAppend(out[:0], response); err == nil {
+			// A datagram that cannot be sent is treated as lost.
 			_, _ = s.conn.WriteToUDPAddrPort(out, from)
 		}
 	})
 }
 
-// take handles a message and returns the answer to a probe; nil for none.
-func (s *Server) take(from netip.AddrPort, m *peerv1.EngineMessage) *peerv1.EngineAnswer {
+// handle processes a message. It returns the response to a probe, else nil.
+func (s *Server) handle(from netip.AddrPort, m *peerv1.EngineMessage) *peerv1.EngineAnswer {
 	id := SendID{Entry: from, Sequence: m.Id}
 	switch {
 	case m.Probe != nil:
-		a, ok := s.engine.Probe(promptIn(m.Probe.Parts))
+		r, ok := s.engine.Probe(decodePrompt(m.Probe.Parts))
 		if !ok {
 			return nil
 		}
-		out := answerOut(&a)
+		out := encodeResponse(&r)
 		out.Id = m.Id
 		return out
 	case m.Send != nil:
-		s.engine.OnSend(id, sendIn(m.Send))
+		s.engine.OnSend(id, decodeSend(m.Send))
 	case m.Progress != nil:
-		s.engine.OnProgress(id, progressIn(m.Progress))
+		s.engine.OnProgress(id, decodeProgress(m.Progress))
 	}
 	return nil
 }
 
-// Close ends the server.
+// Close stops the server.
 func (s *Server) Close() {
 	_ = s.conn.Close()
 	s.done.Wait()
