--- a/internal/gateway/health/health.go
+++ b/internal/gateway/health/health.go
@@ -1,8 +1,8 @@
-// Package health judges targets by what becomes of the requests that they get.
+// Package health implements outlier ejection: it ejects targets for a while based on the
+// outcomes of their requests.
 //
-// A target's own health check may pass while it fails or hangs. What counts is
-// how it does beside the others of its service: a service all of whose targets
-// fail a part of their requests has no better one to offer.
+// A target may fail while its own health check passes, so its failure rate is compared with
+// that of the other targets of its service. If all fail alike, none is ejected.
 package health
 
 import (
@@ -13,123 +13,123 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// Outcome is what a request says of its target.
+// Outcome is the result of one request at a target.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Good answers came whole.
+	// Good is a complete response.
 	Good Outcome = iota
-	// Failed answers came, but say that the target failed.
+	// Failed is a complete response that reports a failure of the target.
 	Failed
-	// Broken exchanges brought no answer, half of one, or none in time.
+	// Broken is a response that was missing, incomplete or too late.
 	Broken
-	// Unreachable targets took no connection.
+	// Unreachable is a failure to connect.
 	Unreachable
 )
 
 var outcomeNames = map[Outcome]string{Good: "good", Failed: "failed", Broken: "broken", Unreachable: "unreachable"}
 
-// String returns the outcome's name.
+// String implements fmt.Stringer.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 const (
-	// halfLife is the number of outcomes after which an older one counts half.
+	// halfLife is the number of outcomes after which the weight of an older one has halved.
 	halfLife = 8
-	// excess is by how much a target's failures must exceed the service's for
-	// the target to be rested, and minOutcomes how many outcomes must say so.
-	excess      = 0.25
-	minOutcomes = 4
-	// brokenInRow broken exchanges in a row rest a target whatever its share.
-	brokenInRow = 3
-	// firstRest and maxRest bound the time for which a target is rested. It
-	// doubles while the target stays bad. A target that is unreachable may be back
-	// in a second; one that is replaced leaves the list.
-	firstRest = 400 * time.Millisecond
-	maxRest   = 4 * time.Second
-	// forgetAfter is the silence after which a target's record is dropped.
-	forgetAfter = 2 * time.Minute
+	// excessFailureRate is how far a target's failure rate must exceed the mean of the
+	// service's other targets for an ejection, given at least minOutcomes outcomes.
+	excessFailureRate = 0.25
+	minOutcomes       = 4
+	// maxBrokenInRow consecutive broken requests eject a target whatever its failure rate.
+	maxBrokenInRow = 3
+	// baseEjection and maxEjection bound an ejection, which doubles while the target keeps
+	// failing.
+	baseEjection = 400 * time.Millisecond
+	maxEjection  = 4 * time.Second
+	// recordTTL is how long a target's record is kept after its last outcome.
+	recordTTL = 2 * time.Minute
 )
 
-// record is what is known of one target.
+// record holds the outcomes of one target.
 type record struct {
 	service string
-	// failures is the decayed share of bad outcomes, weight the decayed number
-	// of outcomes behind it.
-	failures, weight float64
-	brokenRow        int
-	rest             time.Duration
-	restUntil        time.Time
-	seen             time.Time
+	// failureRate is the exponentially decayed share of outcomes other than Good, weight
+	// the decayed number of outcomes.
+	failureRate, weight float64
+	brokenInRow         int
+	ejection            time.Duration
+	ejectedUntil        time.Time
+	lastSeen            time.Time
 }
 
-// Monitor holds the records of all targets. It is safe for concurrent use.
+// Monitor tracks the health of targets. It is safe for concurrent use.
 type Monitor struct {
 	mu      sync.Mutex
 	records map[fleet.Life]*record
-	// changed is told when a target begins to rest.
-	changed func(life fleet.Life, until time.Time, failures, others float64, outcome Outcome)
+	// onEject is called for each ejection, with the failure rates of the target and of the
+	// service's other targets. It may be nil.
+	onEject func(incarnation fleet.Life, until time.Time, failureRate, othersRate float64, outcome Outcome)
 }
 
-// NewMonitor returns an empty book. changed is told of each rest that begins.
-func NewMonitor(changed func(life fleet.Life, until time.Time, failures, others float64, outcome Outcome)) *Monitor {
-	return &Monitor{records: map[fleet.Life]*record{}, changed: changed}
+// NewMonitor returns a monitor that calls onEject, unless nil, for each ejection.
+func NewMonitor(onEject func(incarnation fleet.Life, until time.Time, failureRate, othersRate float64, outcome Outcome)) *Monitor {
+	return &Monitor{records: map[fleet.Life]*record{}, onEject: onEject}
 }
 
-// Record takes in an outcome at a target of a service.
-func (b *Monitor) Record(service string, life fleet.Life, o Outcome, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[life]
+// Record adds the outcome of a request at a target of a service.
+func (m *Monitor) Record(service string, incarnation fleet.Life, o Outcome, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	r := m.records[incarnation]
 	if r == nil {
 		r = &record{service: service}
-		b.records[life] = r
+		m.records[incarnation] = r
 	}
-	r.seen = now
+	r.lastSeen = now
 	r.add(o)
 	if o == Good {
-		r.rest = 0
+		r.ejection = 0
 		return
 	}
-	others := b.othersFailures(service, life)
-	if !r.bad(o, others) || now.Before(r.restUntil) {
+	othersRate := m.othersFailureRate(service, incarnation)
+	if !r.shouldEject(o, othersRate) || now.Before(r.ejectedUntil) {
 		return
 	}
-	r.rest = min(max(2*r.rest, firstRest), maxRest)
-	r.restUntil = now.Add(r.rest)
-	if b.changed != nil {
-		b.changed(life, r.restUntil, r.failures, others, o)
+	r.ejection = min(max(2*r.ejection, baseEjection), maxEjection)
+	r.ejectedUntil = now.Add(r.ejection)
+	if m.onEject != nil {
+		m.onEject(incarnation, r.ejectedUntil, r.failureRate, othersRate, o)
 	}
 }
 
 func (r *record) add(o Outcome) {
 	decay := math.Exp2(-1.0 / halfLife)
-	bad := 0.0
+	failure := 0.0
 	if o != Good {
-		bad = 1
+		failure = 1
 	}
-	r.failures = (r.failures*r.weight*decay + bad) / (r.weight*decay + 1)
+	r.failureRate = (r.failureRate*r.weight*decay + failure) / (r.weight*decay + 1)
 	r.weight = r.weight*decay + 1
 	if o == Broken || o == Unreachable {
-		r.brokenRow++
+		r.brokenInRow++
 	} else {
-		r.brokenRow = 0
+		r.brokenInRow = 0
 	}
 }
 
-func (r *record) bad(o Outcome, others float64) bool {
-	if o == Unreachable || r.brokenRow >= brokenInRow {
+func (r *record) shouldEject(o Outcome, othersRate float64) bool {
+	if o == Unreachable || r.brokenInRow >= maxBrokenInRow {
 		return true
 	}
-	return r.weight >= minOutcomes && r.failures > others+excess
+	return r.weight >= minOutcomes && r.failureRate > othersRate+excessFailureRate
 }
 
-// othersFailures is the mean share of bad outcomes at the other targets.
-func (b *Monitor) othersFailures(service string, life fleet.Life) float64 {
+// othersFailureRate returns the mean failure rate of the service's other targets.
+func (m *Monitor) othersFailureRate(service string, incarnation fleet.Life) float64 {
 	sum, n := 0.0, 0
-	for other, r := range b.records {
-		if r.service == service && other != life && r.weight >= minOutcomes {
-			sum += r.failures
+	for other, r := range m.records {
+		if r.service == service && other != incarnation && r.weight >= minOutcomes {
+			sum += r.failureRate
 			n++
 		}
 	}
@@ -139,22 +139,22 @@
 	return sum / float64(n)
 }
 
-// Ejected returns the targets that rest now, with when each may be tried again.
-func (b *Monitor) Ejected(now time.Time) map[fleet.Life]time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var rested map[fleet.Life]time.Time
-	for life, r := range b.records {
-		if now.Sub(r.seen) > forgetAfter {
-			delete(b.records, life)
+// Ejected returns the targets that are ejected now, with the end of each ejection.
+func (m *Monitor) Ejected(now time.Time) map[fleet.Life]time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var ejected map[fleet.Life]time.Time
+	for incarnation, r := range m.records {
+		if now.Sub(r.lastSeen) > recordTTL {
+			delete(m.records, incarnation)
 			continue
 		}
-		if now.Before(r.restUntil) {
-			if rested == nil {
-				rested = map[fleet.Life]time.Time{}
+		if now.Before(r.ejectedUntil) {
+			if ejected == nil {
+				ejected = map[fleet.Life]time.Time{}
 			}
-			rested[life] = r.restUntil
+			ejected[incarnation] = r.ejectedUntil
 		}
 	}
-	return rested
+	return ejected
 }
--- a/internal/gateway/health/health_test.go
+++ b/internal/gateway/health/health_test.go
@@ -9,93 +9,90 @@
 
 var start = time.Unix(1000, 0)
 
-func note(b *Monitor, instance string, now time.Time, outcomes ...Outcome) {
+func recordAll(m *Monitor, instance string, now time.Time, outcomes ...Outcome) {
 	for _, o := range outcomes {
-		b.Record("s", fleet.Life{Instance: instance}, o, now)
+		m.Record("s", fleet.Life{Instance: instance}, o, now)
 	}
 }
 
-// A target takes no connection. It is rested at the first one, for longer each
-// time, and used again when it is back.
-func TestUnreachableTargetRestsAtOnce(t *testing.T) {
-	b := NewMonitor(nil)
+// An unreachable target is ejected at the first failure, and longer each time until it
+// responds.
+func TestUnreachableTargetIsEjectedAtOnce(t *testing.T) {
+	m := NewMonitor(nil)
 	now := start
-	note(b, "x", now, Unreachable)
-	if _, ok := b.Ejected(now)[fleet.Life{Instance: "x"}]; !ok {
-		t.Fatal("not rested")
+	recordAll(m, "x", now, Unreachable)
+	if _, ok := m.Ejected(now)[fleet.Life{Instance: "x"}]; !ok {
+		t.Fatal("not ejected")
 	}
-	first := b.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now)
+	first := m.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now)
 	now = now.Add(first + time.Millisecond)
-	if len(b.Ejected(now)) != 0 {
-		t.Error("rests on")
+	if len(m.Ejected(now)) != 0 {
+		t.Error("still ejected")
 	}
-	note(b, "x", now, Unreachable)
-	if again := b.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now); again <= first {
-		t.Errorf("rests for %v, then for %v", first, again)
+	recordAll(m, "x", now, Unreachable)
+	if again := m.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now); again <= first {
+		t.Errorf("ejected for %v, then for %v", first, again)
 	}
-	now = now.Add(maxRest)
-	note(b, "x", now, Good)
-	note(b, "x", now, Unreachable)
-	if after := b.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now); after != firstRest {
-		t.Errorf("after a good answer it rests for %v", after)
+	now = now.Add(maxEjection)
+	recordAll(m, "x", now, Good)
+	recordAll(m, "x", now, Unreachable)
+	if after := m.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now); after != baseEjection {
+		t.Errorf("ejected for %v after a good response", after)
 	}
 }
 
-// A target's health check is good, and half of its requests fail. The others of
-// its service answer: it is rested.
-func TestTargetThatFailsMoreThanTheOthersRests(t *testing.T) {
-	b := NewMonitor(nil)
+// A target that fails more often than the others of its service is ejected.
+func TestTargetThatFailsMoreThanTheOthersIsEjected(t *testing.T) {
+	m := NewMonitor(nil)
 	for range 10 {
-		note(b, "fine", start, Good)
-		note(b, "grey", start, Good, Failed)
+		recordAll(m, "healthy", start, Good)
+		recordAll(m, "failing", start, Good, Failed)
 	}
-	rested := b.Ejected(start)
-	if _, ok := rested[fleet.Life{Instance: "grey"}]; !ok {
-		t.Error("the failing target is used on")
+	ejected := m.Ejected(start)
+	if _, ok := ejected[fleet.Life{Instance: "failing"}]; !ok {
+		t.Error("the failing target is not ejected")
 	}
-	if _, ok := rested[fleet.Life{Instance: "fine"}]; ok {
-		t.Error("the good target is rested")
+	if _, ok := ejected[fleet.Life{Instance: "healthy"}]; ok {
+		t.Error("the healthy target is ejected")
 	}
 }
 
-// All targets of a service fail a part of their requests, because the service
-// does so. None is rested: the others are no better.
-func TestServiceThatFailsEverywhereIsNotRested(t *testing.T) {
-	b := NewMonitor(nil)
+// No target is ejected when all targets of the service fail alike.
+func TestServiceThatFailsEverywhereIsNotEjected(t *testing.T) {
+	m := NewMonitor(nil)
 	for range 30 {
 		for _, name := range []string{"x", "y", "z"} {
-			note(b, name, start, Good, Good, Good, Good, Failed)
+			recordAll(m, name, start, Good, Good, Good, Good, Failed)
 		}
 	}
-	if rested := b.Ejected(start); len(rested) != 0 {
-		t.Errorf("rested %v", rested)
+	if ejected := m.Ejected(start); len(ejected) != 0 {
+		t.Errorf("ejected %v", ejected)
 	}
 }
 
-// Exchanges that break in a row rest a target before its share says so.
-func TestBrokenInARowRests(t *testing.T) {
-	b := NewMonitor(nil)
-	note(b, "x", start, Good, Good, Good, Good, Good, Good, Good, Good, Good, Good)
-	note(b, "x", start, Broken, Broken)
-	if len(b.Ejected(start)) != 0 {
-		t.Error("rested after two")
+// Consecutive broken requests eject a target before its failure rate does.
+func TestConsecutiveBrokenRequestsEject(t *testing.T) {
+	m := NewMonitor(nil)
+	recordAll(m, "x", start, Good, Good, Good, Good, Good, Good, Good, Good, Good, Good)
+	recordAll(m, "x", start, Broken, Broken)
+	if len(m.Ejected(start)) != 0 {
+		t.Error("ejected after two broken requests")
 	}
-	note(b, "x", start, Broken)
-	if len(b.Ejected(start)) != 1 {
-		t.Error("used on after three")
+	recordAll(m, "x", start, Broken)
+	if len(m.Ejected(start)) != 1 {
+		t.Error("not ejected after three broken requests")
 	}
 }
 
-// An engine that hung was rested, and starts again under its name. The new life is
-// sound and gets work at once.
-func TestNextLifeIsNotRested(t *testing.T) {
-	b := NewMonitor(nil)
-	b.Record("s", fleet.Life{Instance: "x", Born: 1}, Unreachable, start)
-	rested := b.Ejected(start)
-	if _, ok := rested[fleet.Life{Instance: "x", Born: 1}]; !ok {
-		t.Error("the life that could not be reached is not rested")
+// A restarted target does not inherit the ejection of its previous incarnation.
+func TestNextIncarnationIsNotEjected(t *testing.T) {
+	m := NewMonitor(nil)
+	m.Record("s", fleet.Life{Instance: "x", Born: 1}, Unreachable, start)
+	ejected := m.Ejected(start)
+	if _, ok := ejected[fleet.Life{Instance: "x", Born: 1}]; !ok {
+		t.Error("the unreachable incarnation is not ejected")
 	}
-	if _, ok := rested[fleet.Life{Instance: "x", Born: 2}]; ok {
-		t.Error("the next life is rested")
+	if _, ok := ejected[fleet.Life{Instance: "x", Born: 2}]; ok {
+		t.Error("the next incarnation is ejected")
 	}
 }
