--- a/internal/gateway/reach/reach.go
+++ b/internal/gateway/reach/reach.go
@@ -1,10 +1,8 @@
-// Package reach tells whether this host is cut off from the others of the
-// deployment.
+// Package reach detects whether this host is partitioned from the rest of the deployment.
 //
-// The load pattern that it answers: the links of one entry's host fail while
-// callers still reach it. Each of its requests would try one engine after the
-// other and wait for each, a second in all, before it is refused; and the
-// balancer would go on sending callers there although other entries serve.
+// A partitioned entry would try one engine after the other for each request, while a load
+// balancer that still reaches it keeps sending callers there. Detecting the partition lets
+// it refuse them at once.
 package reach
 
 import (
@@ -13,43 +11,41 @@
 )
 
 const (
-	// silence is the time without word of any sidecar from which the host may be
-	// cut off. Each of them sends a heartbeat more than twice a second.
-	silence = 800 * time.Millisecond
-	// attempt is how long a connection is tried, a little less. An answer that came
-	// while one was tried shows that engines are reached.
-	attempt = 200 * time.Millisecond
-	// evidenceFor is how long a failed connection to an engine counts. Without
-	// requests there is no newer word of the engines: the host then counts as
-	// connected again, and the next request tells.
-	evidenceFor = 5 * time.Second
+	// heartbeatTimeout is the time without a heartbeat of any sidecar after which the host
+	// may be partitioned. Each sidecar sends more than two a second.
+	heartbeatTimeout = 800 * time.Millisecond
+	// connectTimeout is slightly less than the timeout of a connection attempt. A response
+	// during a failed attempt shows that engines are reachable.
+	connectTimeout = 200 * time.Millisecond
+	// failureTTL is how long a failed connection counts. Without traffic there is no newer
+	// evidence, so the host counts as connected again until the next request fails.
+	failureTTL = 5 * time.Second
 )
 
-// Monitor holds what this host has heard of others lately. It is safe for
-// concurrent use. All times are of one clock.
+// Monitor holds the times of the last signs of connectivity, all of one clock. It is safe for
+// concurrent use.
 type Monitor struct {
-	heard, answered, failed atomic.Int64
+	lastHeartbeat, lastResponse, lastConnectFailure atomic.Int64
 }
 
-// HeartbeatReceived notes word of an engine's sidecar. Other entries do not count: two of them
-// may be cut off together.
-func (b *Monitor) HeartbeatReceived(now time.Time) { b.heard.Store(now.UnixNano()) }
+// HeartbeatReceived records a heartbeat of an engine's sidecar. Heartbeats of other entries
+// do not count, because several entries may be partitioned together.
+func (m *Monitor) HeartbeatReceived(now time.Time) { m.lastHeartbeat.Store(now.UnixNano()) }
 
-// EngineResponded notes that an engine has answered.
-func (b *Monitor) EngineResponded(now time.Time) { b.answered.Store(now.UnixNano()) }
+// EngineResponded records a response of an engine.
+func (m *Monitor) EngineResponded(now time.Time) { m.lastResponse.Store(now.UnixNano()) }
 
-// ConnectFailed notes that an engine could not be connected to.
-func (b *Monitor) ConnectFailed(now time.Time) { b.failed.Store(now.UnixNano()) }
+// ConnectFailed records a failed connection to an engine.
+func (m *Monitor) ConnectFailed(now time.Time) { m.lastConnectFailure.Store(now.UnixNano()) }
 
-// Partitioned reports whether the host reaches no engine: no sidecar was heard
-// lately, and no engine has answered since the newest connection that failed was
-// begun. Either alone is not enough: heartbeats may be lost, and a single engine may
-// be dark.
-func (b *Monitor) Partitioned(now time.Time) bool {
-	heard, failed := b.heard.Load(), b.failed.Load()
-	if heard == 0 || failed-b.answered.Load() <= int64(attempt) {
+// Partitioned reports whether the host reaches no engine: no sidecar sent a heartbeat
+// recently, and no engine responded since the last failed connection was started. Neither
+// suffices alone: heartbeats may be lost, and a single engine may be unresponsive.
+func (m *Monitor) Partitioned(now time.Time) bool {
+	heartbeat, failure := m.lastHeartbeat.Load(), m.lastConnectFailure.Load()
+	if heartbeat == 0 || failure-m.lastResponse.Load() <= int64(connectTimeout) {
 		return false
 	}
-	at := now.UnixNano()
-	return at-heard > int64(silence) && at-failed < int64(evidenceFor)
+	nanos := now.UnixNano()
+	return nanos-heartbeat > int64(heartbeatTimeout) && nanos-failure < int64(failureTTL)
 }
--- a/internal/gateway/reach/reach_test.go
+++ b/internal/gateway/reach/reach_test.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-func at(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
+func afterMs(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-// The links of an entry's host fail: heartbeats stop, and engines cannot be
-// connected to. It counts as cut off until a heartbeat or an answer comes.
-func TestCutOffFromAllOthers(t *testing.T) {
-	var b Monitor
-	b.HeartbeatReceived(at(0))
-	b.EngineResponded(at(10))
-	b.ConnectFailed(at(300))
-	if b.Partitioned(at(500)) {
-		t.Error("cut off after half a second without heartbeats")
+// A host that gets no heartbeats and cannot connect counts as partitioned until the next
+// heartbeat.
+func TestPartitionedUntilAHeartbeat(t *testing.T) {
+	var m Monitor
+	m.HeartbeatReceived(afterMs(0))
+	m.EngineResponded(afterMs(10))
+	m.ConnectFailed(afterMs(300))
+	if m.Partitioned(afterMs(500)) {
+		t.Error("partitioned after half a second without heartbeats")
 	}
-	if !b.Partitioned(at(900)) {
-		t.Error("not cut off")
+	if !m.Partitioned(afterMs(900)) {
+		t.Error("not partitioned")
 	}
-	b.HeartbeatReceived(at(950))
-	if b.Partitioned(at(951)) {
-		t.Error("cut off although a sidecar was heard")
+	m.HeartbeatReceived(afterMs(950))
+	if m.Partitioned(afterMs(951)) {
+		t.Error("partitioned although a sidecar sent a heartbeat")
 	}
 }
 
-// One engine is dark, or heartbeats are lost while engines answer, or the fleet
-// has a single process: the entry goes on.
+// An unresponsive engine, lost heartbeats or a fleet of a single process is not a
+// partition.
 func TestOneSignAloneIsNotEnough(t *testing.T) {
-	var dark, deaf, alone Monitor
-	dark.HeartbeatReceived(at(900))
-	dark.ConnectFailed(at(950))
-	deaf.HeartbeatReceived(at(0))
-	deaf.ConnectFailed(at(100))
-	deaf.EngineResponded(at(950))
-	alone.ConnectFailed(at(950))
-	var both Monitor // all sidecars were killed, one engine is dark, the others answer
-	both.HeartbeatReceived(at(0))
-	both.EngineResponded(at(800))
-	both.ConnectFailed(at(950))
-	for name, b := range map[string]*Monitor{"dark engine": &dark, "lost heartbeats": &deaf, "single process": &alone, "one of many": &both} {
-		if b.Partitioned(at(1000)) {
-			t.Errorf("%s: counts as cut off", name)
+	var unresponsive, lost, single Monitor
+	unresponsive.HeartbeatReceived(afterMs(900))
+	unresponsive.ConnectFailed(afterMs(950))
+	lost.HeartbeatReceived(afterMs(0))
+	lost.ConnectFailed(afterMs(100))
+	lost.EngineResponded(afterMs(950))
+	single.ConnectFailed(afterMs(950))
+	var oneOfMany Monitor // no sidecar is left, one engine is unresponsive, the others respond
+	oneOfMany.HeartbeatReceived(afterMs(0))
+	oneOfMany.EngineResponded(afterMs(800))
+	oneOfMany.ConnectFailed(afterMs(950))
+	for name, m := range map[string]*Monitor{"unresponsive engine": &unresponsive, "lost heartbeats": &lost, "single process": &single, "one of many": &oneOfMany} {
+		if m.Partitioned(afterMs(1000)) {
+			t.Errorf("%s: counts as partitioned", name)
 		}
 	}
 }
 
-// The balancer turns away, so that no request tells when the links are back. The
-// entry offers itself again after a while.
-func TestEvidenceOfTheCutGrowsOld(t *testing.T) {
-	var b Monitor
-	b.HeartbeatReceived(at(0))
-	b.ConnectFailed(at(1000))
-	if !b.Partitioned(at(5900)) || b.Partitioned(at(6100)) {
-		t.Error("the evidence counts for another time than it should")
+// A connection failure expires: a partitioned entry gets no requests that would show that it
+// is connected again.
+func TestConnectFailureExpires(t *testing.T) {
+	var m Monitor
+	m.HeartbeatReceived(afterMs(0))
+	m.ConnectFailed(afterMs(1000))
+	if !m.Partitioned(afterMs(5900)) || m.Partitioned(afterMs(6100)) {
+		t.Error("the connection failure does not count for failureTTL")
 	}
 }
