--- a/internal/gateway/ledger/ledger.go
+++ b/internal/gateway/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger counts the work that entries have at targets: this entry's own
-// exactly, that of the others as they told it last.
+// Package ledger tracks the work in flight at targets: this entry's own exactly, that of
+// other entries as last reported.
 package ledger
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// Work is what is under way at a target.
+// Work is the work in flight at a target.
 type Work struct {
-	// Running counts requests that are not finished.
+	// Running is the number of requests.
 	Running int
-	// Prefill is the time that the target still needs to read prompts.
+	// Prefill is the remaining prefill time of their prompts.
 	Prefill PerPriority[time.Duration]
-	// Memory counts the tokens of memory that the requests take beside what the
-	// target's cache held before.
+	// Memory is the KV cache that the requests need, in tokens, beyond what was cached
+	// before.
 	Memory PerPriority[int]
 }
 
@@ -27,58 +27,58 @@
 	w.Memory.add(&o.Memory)
 }
 
-// Priorities is how many ranks of urgency targets know; 0 is the first.
+// Priorities is the number of priorities; 0 is the highest.
 const Priorities = 10
 
-// PerPriority is what requests take of a target, by their urgency. A prompt waits for those
-// that are as urgent or more so, and not for the others: they make room for it.
+// PerPriority holds an amount for each priority. A prompt waits for requests of the same or
+// a higher priority; the target preempts the others for it.
 type PerPriority[T ~int | ~int64] [Priorities]T
 
-// AtPriority returns what one request of an urgency takes.
-func AtPriority[T ~int | ~int64](urgency int, amount T) PerPriority[T] {
-	var l PerPriority[T]
-	l[urgency] = amount
-	return l
+// AtPriority returns an amount at one priority and zero at the others.
+func AtPriority[T ~int | ~int64](priority int, amount T) PerPriority[T] {
+	var p PerPriority[T]
+	p[priority] = amount
+	return p
 }
 
-// UpTo is what requests take that are as urgent or more so.
-func (l PerPriority[T]) UpTo(urgency int) T {
+// UpTo returns the sum of the amounts of a priority and all higher ones.
+func (p PerPriority[T]) UpTo(priority int) T {
 	sum := T(0)
-	for _, amount := range l[:urgency+1] {
+	for _, amount := range p[:priority+1] {
 		sum += amount
 	}
 	return sum
 }
 
-// Total is what requests of all urgencies take.
-func (l PerPriority[T]) Total() T { return l.UpTo(Priorities - 1) }
+// Total returns the sum over all priorities.
+func (p PerPriority[T]) Total() T { return p.UpTo(Priorities - 1) }
 
-func (l *PerPriority[T]) add(o *PerPriority[T]) {
-	for u := range o {
-		l[u] += o[u]
+func (p *PerPriority[T]) add(o *PerPriority[T]) {
+	for i := range o {
+		p[i] += o[i]
 	}
 }
 
-// told is what another entry said last.
-type told struct {
-	work map[fleet.ID]Work
-	at   time.Time
+// report is the last work reported by another entry.
+type report struct {
+	work       map[fleet.ID]Work
+	receivedAt time.Time
 }
 
-// toldFor is how long another entry's word counts. An entry that died has no
-// more work: its connections are closed, and targets drop their requests.
-const toldFor = time.Second
+// reportTTL is how long a report counts. An entry that crashed has no more work: targets
+// drop its requests when its connections close.
+const reportTTL = time.Second
 
-// Ledger is safe for concurrent use.
+// Ledger tracks the work in flight at all targets. It is safe for concurrent use.
 type Ledger struct {
-	mu     sync.Mutex
-	own    map[fleet.ID]map[*Request]struct{}
-	others map[netip.AddrPort]told
+	mu      sync.Mutex
+	own     map[fleet.ID]map[*Request]struct{}
+	reports map[netip.AddrPort]report
 }
 
 // New returns an empty ledger.
 func New() *Ledger {
-	return &Ledger{own: map[fleet.ID]map[*Request]struct{}{}, others: map[netip.AddrPort]told{}}
+	return &Ledger{own: map[fleet.ID]map[*Request]struct{}{}, reports: map[netip.AddrPort]report{}}
 }
 
 // Request is one request at a target.
@@ -86,62 +86,61 @@
 	ledger *Ledger
 	target fleet.ID
 	work   Work
-	// startsAt is when the target is expected to begin to read its prompt.
-	startsAt time.Time
+	// prefillStart is the expected start of the prefill.
+	prefillStart time.Time
 }
 
-// Begin counts a request that is sent to a target. Its prompt is expected to be
-// read from wait on.
+// Begin adds a request sent to a target, whose prefill is expected to start after wait.
 func (l *Ledger) Begin(target fleet.ID, w Work, wait time.Duration, now time.Time) *Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	item := &Request{ledger: l, target: target, work: w, startsAt: now.Add(wait)}
+	r := &Request{ledger: l, target: target, work: w, prefillStart: now.Add(wait)}
 	if l.own[target] == nil {
 		l.own[target] = map[*Request]struct{}{}
 	}
-	l.own[target][item] = struct{}{}
-	return item
+	l.own[target][r] = struct{}{}
+	return r
 }
 
-// PrefillDone notes that the target has read the request's prompt.
-func (i *Request) PrefillDone() {
-	i.ledger.mu.Lock()
-	defer i.ledger.mu.Unlock()
-	i.work.Prefill = PerPriority[time.Duration]{}
+// PrefillDone removes the request's prefill from its work.
+func (r *Request) PrefillDone() {
+	r.ledger.mu.Lock()
+	defer r.ledger.mu.Unlock()
+	r.work.Prefill = PerPriority[time.Duration]{}
 }
 
-// End notes that the request has left the target.
-func (i *Request) End() {
-	l := i.ledger
+// End removes the request. It may be called more than once.
+func (r *Request) End() {
+	l := r.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.own[i.target], i)
-	if len(l.own[i.target]) == 0 {
-		delete(l.own, i.target)
+	delete(l.own[r.target], r)
+	if len(l.own[r.target]) == 0 {
+		delete(l.own, r.target)
 	}
 }
 
-// readAtLeast is the part of a prompt's reading that counts until its first
-// event comes: one that should be read by now may wait behind others.
-const readAtLeast = 0.15
+// minPrefillShare is the share of a prefill that counts until PrefillDone, because an
+// overdue prompt may still wait behind others.
+const minPrefillShare = 0.15
 
-// left is the item's work with what the target has probably read taken off.
-func (i *Request) left(now time.Time) Work {
-	w := i.work
-	done := now.Sub(i.startsAt)
-	if done < 0 {
+// remainingWork returns the request's work less the prefill that is probably done.
+func (r *Request) remainingWork(now time.Time) Work {
+	w := r.work
+	elapsed := now.Sub(r.prefillStart)
+	if elapsed < 0 {
 		return w
 	}
-	// A prompt that is being read holds up all others, however urgent they are.
-	w.Prefill = AtPriority(0, remaining(w.Prefill.Total(), done))
+	// A running prefill blocks prompts of all priorities.
+	w.Prefill = AtPriority(0, remainingPrefill(w.Prefill.Total(), elapsed))
 	return w
 }
 
-func remaining(all, done time.Duration) time.Duration {
-	return max(all-done, time.Duration(readAtLeast*float64(all)))
+func remainingPrefill(total, elapsed time.Duration) time.Duration {
+	return max(total-elapsed, time.Duration(minPrefillShare*float64(total)))
 }
 
-// OwnAt returns this entry's work at one target.
+// OwnAt returns this entry's work at a target.
 func (l *Ledger) OwnAt(target fleet.ID, now time.Time) Work {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,8 +149,8 @@
 
 func (l *Ledger) ownAt(target fleet.ID, now time.Time) Work {
 	var sum Work
-	for item := range l.own[target] {
-		sum.add(item.left(now))
+	for r := range l.own[target] {
+		sum.add(r.remainingWork(now))
 	}
 	return sum
 }
@@ -171,35 +170,35 @@
 	return all
 }
 
-// ApplyReport takes in what another entry said of its work; partial words hold only
-// what changed.
+// ApplyReport updates the work of another entry. A partial report holds only the targets
+// that changed, and is ignored without a full report before.
 func (l *Ledger) ApplyReport(entry netip.AddrPort, work map[fleet.ID]Work, partial bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !partial {
-		l.others[entry] = told{work: work, at: now}
+		l.reports[entry] = report{work: work, receivedAt: now}
 		return
 	}
-	old, ok := l.others[entry]
+	last, ok := l.reports[entry]
 	if !ok {
 		return
 	}
 	for target, w := range work {
-		old.work[target] = w
+		last.work[target] = w
 	}
 }
 
-// Totals returns the work at all targets, of all entries.
+// Totals returns the work of all entries at all targets.
 func (l *Ledger) Totals(now time.Time) map[fleet.ID]Work {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	totals := l.ownAll(now)
-	for entry, t := range l.others {
-		if now.Sub(t.at) > toldFor {
-			delete(l.others, entry)
+	for entry, rep := range l.reports {
+		if now.Sub(rep.receivedAt) > reportTTL {
+			delete(l.reports, entry)
 			continue
 		}
-		for target, w := range t.work {
+		for target, w := range rep.work {
 			sum := totals[target]
 			sum.add(w)
 			totals[target] = sum
