--- a/internal/gateway/readtime/readtime.go
+++ b/internal/gateway/readtime/readtime.go
@@ -1,9 +1,8 @@
-// Package readtime learns how long engines take to read prompts.
+// Package readtime predicts the prefill time of prompts.
 //
-// The time grows with a prompt's length and, by the attention among its tokens,
-// with the square of it: a prompt of 50,000 tokens takes half as long again as
-// fifty of 1,000. Both, and a fixed part, are learned by recursive least squares
-// from the prompts that met no others at their engine.
+// Prefill time is modelled as a polynomial of degree two in the number of tokens; the square
+// term is due to attention. The coefficients are learned by recursive least squares from
+// prompts that had their engine to themselves.
 package readtime
 
 import (
@@ -12,39 +11,38 @@
 )
 
 const (
-	// The values assumed until some are measured: a fixed part in milliseconds,
-	// for 1,000 tokens, and for the square of that; of a large model on few
-	// accelerators.
-	firstFixed    = 15.0
-	firstThousand = 18.0
-	firstSquare   = 0.1
-	// forget is the weight of what was learned before one more measurement. With
-	// it the last few hundred count.
-	forget = 0.995
-	// trust is how far the first values may be off, as a variance.
-	trust = 100.0
-	// fastest and slowest bound a prediction, in milliseconds for 1,000 tokens:
-	// what lies beyond was learned from too few prompts.
-	fastest = 1.0
-	slowest = 200.0
-	terms   = 3
+	// Initial coefficients in milliseconds: constant, per 1,000 tokens, and per square of
+	// 1,000 tokens. They suit a large model on few accelerators.
+	initialConstant  = 15.0
+	initialLinear    = 18.0
+	initialQuadratic = 0.1
+	// forgettingFactor weighs past samples; at this value the last few hundred count.
+	forgettingFactor = 0.995
+	// initialVariance is the variance of the initial coefficients, and its upper bound
+	// later on.
+	initialVariance = 100.0
+	// minMsPerThousand and maxMsPerThousand bound a prediction, in milliseconds per 1,000
+	// tokens. Results beyond them come from too few samples.
+	minMsPerThousand = 1.0
+	maxMsPerThousand = 200.0
+	terms            = 3
 )
 
-// Predictor is safe for concurrent use.
+// Predictor learns and predicts prefill times. It is safe for concurrent use.
 type Predictor struct {
 	mu sync.Mutex
-	// weights of the fixed part, of thousands of tokens, and of their square.
-	weights [terms]float64
-	spread  [terms][terms]float64
+	// coefficients of the constant, the linear and the quadratic term.
+	coefficients [terms]float64
+	covariance   [terms][terms]float64
 }
 
-// NewPredictor returns a meter that has measured nothing.
+// NewPredictor returns a predictor with the initial coefficients.
 func NewPredictor() *Predictor {
-	m := &Predictor{weights: [terms]float64{firstFixed, firstThousand, firstSquare}}
+	p := &Predictor{coefficients: [terms]float64{initialConstant, initialLinear, initialQuadratic}}
 	for i := range terms {
-		m.spread[i][i] = trust
+		p.covariance[i][i] = initialVariance
 	}
-	return m
+	return p
 }
 
 func features(tokens int) [terms]float64 {
@@ -52,63 +50,62 @@
 	return [terms]float64{1, k, k * k}
 }
 
-// Record takes in how long an engine took to read a prompt that met no others. Long
-// prompts are measured with larger errors and weigh less by their length, so
-// that the relative error counts.
-func (m *Predictor) Record(tokens int, took time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Record adds the measured prefill time of a prompt that had its engine to itself. Samples
+// are weighted by the inverse of their length, so that the relative error counts.
+func (p *Predictor) Record(tokens int, measured time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	x := features(tokens)
 	size := x[0] + x[1]
 	for i := range terms {
 		x[i] /= size
 	}
 	var gain [terms]float64
-	scale := forget
+	scale := forgettingFactor
 	for i := range terms {
 		for j := range terms {
-			gain[i] += m.spread[i][j] * x[j]
+			gain[i] += p.covariance[i][j] * x[j]
 		}
 		scale += x[i] * gain[i]
 	}
-	missed := float64(took)/float64(time.Millisecond)/size - m.predict(x)
+	residual := float64(measured)/float64(time.Millisecond)/size - p.evaluate(x)
 	for i := range terms {
-		m.weights[i] += gain[i] / scale * missed
+		p.coefficients[i] += gain[i] / scale * residual
 	}
-	m.shrink(gain, scale)
+	p.updateCovariance(gain, scale)
 }
 
-func (m *Predictor) shrink(gain [terms]float64, scale float64) {
+func (p *Predictor) updateCovariance(gain [terms]float64, scale float64) {
 	for i := range terms {
 		for j := range terms {
-			m.spread[i][j] = (m.spread[i][j] - gain[i]*gain[j]/scale) / forget
+			p.covariance[i][j] = (p.covariance[i][j] - gain[i]*gain[j]/scale) / forgettingFactor
 		}
-		m.spread[i][i] = min(m.spread[i][i], trust)
+		p.covariance[i][i] = min(p.covariance[i][i], initialVariance)
 	}
 }
 
-func (m *Predictor) predict(x [terms]float64) float64 {
+func (p *Predictor) evaluate(x [terms]float64) float64 {
 	sum := 0.0
 	for i := range terms {
-		sum += m.weights[i] * x[i]
+		sum += p.coefficients[i] * x[i]
 	}
 	return sum
 }
 
-// PrefillTime predicts how long an engine takes to read so many tokens.
-func (m *Predictor) PrefillTime(tokens int) time.Duration {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// PrefillTime predicts the prefill time of a number of tokens.
+func (p *Predictor) PrefillTime(tokens int) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	x := features(tokens)
-	ms := min(max(m.predict(x), fastest*x[1]), slowest*max(x[1], 1))
+	ms := min(max(p.evaluate(x), minMsPerThousand*x[1]), maxMsPerThousand*max(x[1], 1))
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// BlockingTime predicts for how long the reading of so many tokens holds up other prompts:
-// the fixed part passes while others are read.
-func (m *Predictor) BlockingTime(tokens int) time.Duration {
+// BlockingTime predicts how long the prefill of a number of tokens blocks other prompts. The
+// constant part overlaps with other prefills and does not count.
+func (p *Predictor) BlockingTime(tokens int) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
-	return max(m.PrefillTime(tokens)-m.PrefillTime(1), 0)
+	return max(p.PrefillTime(tokens)-p.PrefillTime(1), 0)
 }
