--- a/internal/gateway/lease/lease.go
+++ b/internal/gateway/lease/lease.go
@@ -1,14 +1,11 @@
-// Package lease lets one process at a time act for the fleet, by records in the
+// Package lease elects one process at a time to act for the fleet, by records in the
 // platform's store.
 //
-// # Why it holds
-//
-// A holder writes a record under the condition that nothing was written since, and may
-// act for ValidFor from the moment at which it began to write. Another process takes the
-// lease over when it has seen the same newest record for TakeOver. The holder has stopped
-// for TakeOver less ValidFor by then, which is more than the time for which targets judge
-// two holders to take turns. Times are those of each process's own clock, on which the
-// time in which its host was suspended counts: no two clocks are compared.
+// The holder appends a record on the condition that nothing was appended since, and may act for
+// ValidFor from the start of the write. Another process takes over after it has seen the same
+// newest record for TakeoverAfter. By then the holder has stopped for TakeoverAfter less
+// ValidFor, which exceeds the time in which targets detect two alternating holders. Each process
+// uses only its own clock, which must advance while the host is suspended.
 package lease
 
 import (
@@ -16,68 +13,69 @@
 )
 
 const (
-	// ValidFor is how long a holder may act after it began to write its record.
+	// ValidFor is how long a holder may act, from the start of the write of its record.
 	ValidFor = 2 * time.Second
 	// TakeoverAfter is how long another process must have seen the same newest record. It
-	// exceeds ValidFor by the three seconds within which two holders of one target count
-	// as taking turns, and by one more for answers that are late.
+	// exceeds ValidFor by the three seconds in which a target detects alternating holders,
+	// and by one for late responses.
 	TakeoverAfter = ValidFor + 4*time.Second
-	// renewAfter is how old the holder's record gets before it writes another one.
+	// renewAfter is the age at which the holder renews its record.
 	renewAfter = 700 * time.Millisecond
-	// lookPeriod is how often a process that waits for the lease looks at the store.
-	lookPeriod = time.Second
+	// pollInterval is how often a process that waits for the lease reads the store.
+	pollInterval = time.Second
 )
 
-// Record is the newest word of who holds the lease.
+// Record is the newest lease record.
 type Record struct {
-	// Holder names one life of a process; empty when nobody ever held it.
+	// Holder is the incarnation of the process that wrote it; empty if there is no record.
 	Holder string
-	// Offset of the record, and NextOffset, which the next one gets.
+	// Offset is the record's offset, NextOffset that of the next record.
 	Offset, NextOffset uint64
 }
 
-// Action is what a process does next.
+// Action is the next step of a process.
 type Action uint8
 
 // The actions.
 const (
-	// Wait until later.
+	// Wait means that there is nothing to do now.
 	Wait Action = iota
-	// ReadRecord at the newest record, and tell Looked.
+	// ReadRecord means to read the newest record and call ReadDone.
 	ReadRecord
-	// WriteRecord a record where the topic ends at End, and tell Wrote.
+	// WriteRecord means to append a record at NextOffset and call WriteDone.
 	WriteRecord
 )
 
-// Lease is one process's part. It is used by one thread and does no input or output.
+// Lease is the state machine of one process. It does no I/O and is not safe for concurrent
+// use.
 type Lease struct {
 	self string
-	// seen is the newest record that is known, seenAt since when it is the newest.
+	// seen is the newest known record, seenAt when it was first seen.
 	seen   Record
 	seenAt time.Time
 	known  bool
-	// lookedAt and wroteAt are when the last calls began.
-	lookedAt, wroteAt time.Time
-	validUntil        time.Time
-	busy              bool
+	// readAt and wroteAt are the start times of the last calls.
+	readAt, wroteAt time.Time
+	validUntil      time.Time
+	inFlight        bool
 }
 
-// New returns a lease of which nothing is known, for one life of a process.
+// New returns a lease for one incarnation of a process.
 func New(self string) *Lease { return &Lease{self: self} }
 
-// Holder is the name under which this process writes.
+// Holder returns the name that this process writes into records.
 func (l *Lease) Holder() string { return l.self }
 
-// Held reports whether this process may act.
+// Held reports whether this process holds the lease and may act.
 func (l *Lease) Held(now time.Time) bool { return now.Before(l.validUntil) }
 
-// NextOffset is where the topic ends as far as is known: the condition of the next record.
+// NextOffset returns the offset that the next record must get.
 func (l *Lease) NextOffset() uint64 { return l.seen.NextOffset }
 
-// Next returns what to do now. A call that it asks for is under way until its result is
-// told.
+// Next returns what to do now. After ReadRecord or WriteRecord it returns Wait until the
+// call's result is reported.
 func (l *Lease) Next(now time.Time) Action {
-	if l.busy {
+	if l.inFlight {
 		return Wait
 	}
 	switch {
@@ -85,21 +83,21 @@
 		if now.Sub(l.wroteAt) < renewAfter {
 			return Wait
 		}
-	case !l.known || now.Sub(l.lookedAt) >= lookPeriod:
-		l.busy, l.lookedAt = true, now
+	case !l.known || now.Sub(l.readAt) >= pollInterval:
+		l.inFlight, l.readAt = true, now
 		return ReadRecord
 	case l.seen.Holder != "" && l.seen.Holder != l.self && now.Sub(l.seenAt) < TakeoverAfter:
 		return Wait
 	case now.Sub(l.wroteAt) < renewAfter:
 		return Wait
 	}
-	l.busy, l.wroteAt = true, now
+	l.inFlight, l.wroteAt = true, now
 	return WriteRecord
 }
 
-// ReadDone takes in the newest record.
+// ReadDone reports the result of reading the newest record.
 func (l *Lease) ReadDone(r Record, err error, now time.Time) {
-	l.busy = false
+	l.inFlight = false
 	if err != nil {
 		return
 	}
@@ -109,14 +107,13 @@
 	l.seen, l.known = r, true
 }
 
-// WriteDone takes in what became of a record: whether it was added, and at which offset. An
-// error leaves that open, and the process does not act by it.
-//
-// The failure guarded against: the answer to a write is lost after it took effect. The
-// next look finds a record of this process, and the next write continues from there.
-func (l *Lease) WriteDone(offset uint64, added bool, err error, now time.Time) {
-	l.busy = false
-	if err != nil || !added {
+// WriteDone reports the result of a write: whether the record was appended, and its offset.
+// After an error that is unknown, and the process does not act. If the write took effect and
+// only its response was lost, the next read finds this process's record and the next write
+// continues from there.
+func (l *Lease) WriteDone(offset uint64, appended bool, err error, now time.Time) {
+	l.inFlight = false
+	if err != nil || !appended {
 		l.known = false
 		l.validUntil = time.Time{}
 		return
