--- a/internal/batchmodel/model.go
+++ b/internal/batchmodel/model.go
@@ -111,7 +111,7 @@
 	for v, at := range m.spec.Versions {
 		views := make([]weights.EngineView, len(m.engines))
 		for i := range views {
-			views[i] = weights.EngineView{Life: fleet.Life{Instance: strconv.Itoa(i)}}
+			views[i] = weights.EngineView{Incarnation: fleet.Incarnation{Instance: strconv.Itoa(i)}}
 		}
 		for place, turn := range weights.Turns(views, int64(v+1)) {
 			i, _ := strconv.Atoi(turn.Instance) // it was made from a number above
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -54,7 +54,7 @@
 	if v.Estate == nil {
 		return 0, "", false
 	}
-	return v.Estate.Version, string(v.EstateText), true
+	return v.Estate.Version, string(v.RawEstate), true
 }
 
 // ready reports whether the process does its part: an entry takes callers, a
@@ -91,7 +91,7 @@
 	switch {
 	case t.Leaving:
 		return oas.TargetStateLeaving
-	case t.Doubtful || v.Silent[t.Address]:
+	case t.Unconfirmed || v.Unresponsive[t.Address]:
 		return oas.TargetStateSuspect
 	default:
 		return oas.TargetStateLive
--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/caches_test.go
@@ -44,7 +44,7 @@
 	e := &entry{parts: parts.NewBook(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
 	held := heldParts(3)
 	now := time.Unix(1000, 0)
-	e.learnCache(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
+	e.learnCache(&mesh.Member{Heartbeat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
 	for _, h := range held {
 		if got := e.parts.At(h.Part, h.Tokens, fleet.IDOf("c"), now); got != parts.Held {
 			t.Errorf("part %d: state %v", h.Part, got)
@@ -60,8 +60,8 @@
 // BenchmarkLearnCache is what it costs an entry to take in one part of a cache's word.
 func BenchmarkLearnCache(b *testing.B) {
 	e := &entry{parts: parts.NewBook(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
-	member := &mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, heldParts(toldParts))}}
-	b.ReportMetric(float64(proto.Size(member.Beat))/toldParts, "bytes/part")
+	member := &mesh.Member{Heartbeat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, heldParts(toldParts))}}
+	b.ReportMetric(float64(proto.Size(member.Heartbeat))/toldParts, "bytes/part")
 	for b.Loop() {
 		e.learnCache(member, time.Unix(1000, 0))
 	}
--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -76,7 +76,7 @@
 		if b.entriesBefore() == 0 || d.lease.Held(now) {
 			d.hold(now)
 		}
-		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceWoken() > freshAfter {
+		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceResume() > freshAfter {
 			d.orders.Step(engines, model, wanted, d.token)
 		}
 	}
@@ -96,10 +96,10 @@
 	for _, targets := range v.Targets {
 		for i := range targets {
 			t := &targets[i]
-			if _, serves := t.Weights[model]; !serves || t.Leaving || t.Doubtful {
+			if _, serves := t.Weights[model]; !serves || t.Leaving || t.Unconfirmed {
 				continue
 			}
-			found = append(found, weights.Remote{Life: t.Life, Engine: d.engineAt(t.Address), Versions: t.Weights})
+			found = append(found, weights.Remote{Incarnation: t.Incarnation, Engine: d.engineAt(t.Address), Versions: t.Weights})
 		}
 	}
 	return found
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -51,7 +51,7 @@
 
 func newEntry(p *process) *entry {
 	e := &entry{beliefs: p.beliefs, ledger: ledger.New(), parts: parts.NewBook(), reach: &reach.Monitor{}, caches: map[fleet.ID]time.Time{}, changed: map[fleet.ID]bool{}}
-	e.health = health.NewMonitor(func(life fleet.Life, until time.Time, failures, others float64, outcome health.Outcome) {
+	e.health = health.NewMonitor(func(life fleet.Incarnation, until time.Time, failures, others float64, outcome health.Outcome) {
 		p.logger.Info("target_rested", "target", life, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
 			"failures", math.Round(100*failures)/100, "others", math.Round(100*others)/100, "outcome", outcome.String())
 	})
@@ -59,11 +59,11 @@
 	e.suspects = newSuspects(p)
 	e.forwarder = forward.New(forward.Deps{
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
-		Quarantine: e.suspects.book, Endings: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
+		Quarantine: e.suspects.book, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
 		Bounds: forward.Bounds{
-			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, Version: p.settings.Bounds.Weights.Duration,
+			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.Weights.Duration,
 		},
-		Zone: p.settings.AvailabilityZone, Logger: p.logger, Ordinary: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, TellWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
+		Zone: p.settings.AvailabilityZone, Logger: p.logger, RoutineLogger: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, AnnounceWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
 	})
 	return e
 }
@@ -169,7 +169,7 @@
 
 func (e *entry) tellChanged() {
 	now := e.beliefs.clock.Now()
-	e.beliefs.mesh.TellEntries(func(beat *peerv1.Beat) {
+	e.beliefs.mesh.BroadcastToEntries(func(beat *peerv1.Beat) {
 		for target := range e.changed {
 			beat.Loads = append(beat.Loads, probe.EncodeLoad(target, e.ledger.OwnAt(target, now)))
 		}
@@ -196,8 +196,8 @@
 		e.limits.heard(m)
 	}
 	if m.Entry {
-		e.ledger.ApplyReport(m.Address, loadsOf(m.Beat), m.Beat.Partial, now)
-		for _, p := range m.Beat.Parts {
+		e.ledger.ApplyReport(m.Address, loadsOf(m.Heartbeat), m.Heartbeat.Partial, now)
+		for _, p := range m.Heartbeat.Parts {
 			e.parts.Told(parts.Fact{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
 		}
 		e.suspects.heard(m)
@@ -214,7 +214,7 @@
 
 // learnCache takes in what a cache holds by its own word.
 func (e *entry) learnCache(m *mesh.Member, now time.Time) {
-	c := m.Beat.Cache
+	c := m.Heartbeat.Cache
 	if c == nil || len(c.Parts) != len(c.Tokens) {
 		return
 	}
--- a/internal/gateway/estate/estate.go
+++ b/internal/gateway/estate/estate.go
@@ -68,31 +68,31 @@
 	// GapTarget is the longest pause between the events of a stream that is
 	// still of full use.
 	GapTarget time.Duration
-	// Patience is how long a caller waits for the next event of a stream, the first
+	// MaxWait is how long a caller waits for the next event of a stream, the first
 	// one included, before it leaves; zero when that is not known.
-	Patience time.Duration
+	MaxWait time.Duration
 	// MaxAttempts is how many targets may run one request.
 	MaxAttempts int
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Public routes take requests without a key.
 	Public bool
-	// Prompted routes carry prompts whose parts are shared.
-	Prompted bool
+	// HasPrompts routes carry prompts whose parts are shared.
+	HasPrompts bool
 	// Resumable streams may be continued at another target after an event.
 	Resumable bool
 	// Backends are the services; at least one, and the weights sum above zero.
 	Backends []Backend
 }
 
-// Repeatable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Backend picks the service for a request by a number that is uniform in
+// PickBackend picks the service for a request by a number that is uniform in
 // [0, 1).
-func (r *Route) Backend(uniform float64) string {
+func (r *Route) PickBackend(uniform float64) string {
 	sum := 0
 	for _, b := range r.Backends {
 		sum += b.Weight
@@ -117,9 +117,9 @@
 	TokenBytes int
 	// LinkMbps is the speed of an engine's link to other engines.
 	LinkMbps float64
-	// Moves and Backups say whether runs may be moved and backed up.
-	Moves   bool
-	Backups bool
+	// AllowsMoves and Backups say whether runs may be moved and backed up.
+	AllowsMoves   bool
+	AllowsBackups bool
 	// TokensPerEvent is how many tokens one event of a stream holds.
 	TokensPerEvent int
 	// Models are the names of the models served.
@@ -315,8 +315,8 @@
 // Workspace returns a workspace by its name, or nil.
 func (e *Estate) Workspace(name string) *Workspace { return e.byName[name] }
 
-// Limited returns the workspaces that have a rate limit.
-func (e *Estate) Limited() []*Workspace {
+// RateLimited returns the workspaces that have a rate limit.
+func (e *Estate) RateLimited() []*Workspace {
 	var all []*Workspace
 	for i := range e.workspaces {
 		if e.workspaces[i].Rate.Limited() {
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -63,7 +63,7 @@
 		return min(aloneWait, time.Duration(aloneShare*float64(fl.timeLeft())))
 	}
 	wait := min(maxPlaceWait, time.Duration(waitShare*float64(fl.timeLeft())))
-	if fl.view.Large && fl.route.Prompted && fl.route.TargetLatency > 0 {
+	if fl.view.LargeFleet && fl.route.HasPrompts && fl.route.TargetLatency > 0 {
 		wait = min(wait, time.Duration(unnoticedShare*float64(fl.route.TargetLatency)))
 	}
 	return wait
@@ -112,7 +112,7 @@
 	if fl.service.Engine != nil && fl.Reach.Partitioned(fl.Now()) {
 		return nil, errkind.After(errkind.CutOff, fl.comeBack(elsewherePause), "no engine and no sidecar was heard lately")
 	}
-	if fl.service.Engine != nil && fl.route.Prompted {
+	if fl.service.Engine != nil && fl.route.HasPrompts {
 		return fl.chooseEngine(ctx)
 	}
 	return fl.choosePlain()
@@ -127,7 +127,7 @@
 	targets := fl.view.Targets[fl.service.Name]
 	for i := range targets {
 		t := &targets[i]
-		if t.Leaving || fl.excluded[t.Life] {
+		if t.Leaving || fl.excluded[t.Incarnation] {
 			continue
 		}
 		if fl.mustAvoid(t) {
@@ -141,7 +141,7 @@
 		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "no target of %s", fl.service.Name)
 	}
 	to := &destination{target: targets[best], work: ledger.Work{Running: 1}}
-	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
+	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		to.patience = fl.timeLeft() / 2
 	}
 	return to, nil
@@ -160,20 +160,20 @@
 	doubtfulRequests = 100
 )
 
-func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, rested map[fleet.Life]time.Time) float64 {
+func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, rested map[fleet.Incarnation]time.Time) float64 {
 	cost := float64(w.Running) + fl.uniform()/2
 	if key := fl.apartKey(); key != 0 {
 		cost = placement.Rank(key, t.Hash)
-	} else if fl.view.Large {
+	} else if fl.view.LargeFleet {
 		cost += fl.uniform() * blindSpread
 	}
 	if t.Zone != fl.Zone && fl.apartKey() == 0 {
 		cost += farRequests
 	}
-	if t.Doubtful {
+	if t.Unconfirmed {
 		cost += doubtfulRequests
 	}
-	if _, ok := rested[t.Life]; ok {
+	if _, ok := rested[t.Incarnation]; ok {
 		cost += restedRequests
 	}
 	if over := w.Running + 1 - t.Slots; t.Slots > 0 && over > 0 {
@@ -234,10 +234,10 @@
 // firstEventWithin is the time within which the first event must come: callers of
 // streams leave before their deadline when none does.
 func (fl *flow) firstEventWithin() time.Duration {
-	if fl.route.Patience == 0 {
+	if fl.route.MaxWait == 0 {
 		return fl.timeLeft()
 	}
-	return min(fl.timeLeft(), fl.route.Patience-time.Since(fl.arrived))
+	return min(fl.timeLeft(), fl.route.MaxWait-time.Since(fl.arrived))
 }
 
 // candidates are the engines of the prompt's service, in the order of the view.
@@ -256,30 +256,30 @@
 		c := &candidates[i]
 		*c = placement.Candidate{
 			Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone,
-			Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Draining: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
+			Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Draining: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
 			Slots: t.Slots, Memory: fl.service.Engine.CacheTokens, Work: totals[t.ID],
 		}
-		c.LoadStartsIn, c.LoadScheduled = schedule[t.Life]
-		c.Slowdown = fl.paces.Factor(t.Life, fl.Now())
+		c.LoadStartsIn, c.LoadScheduled = schedule[t.Incarnation]
+		c.Slowdown = fl.paces.Factor(t.Incarnation, fl.Now())
 		c.StaleFor = wanted.Behind(c.Version, fl.Now())
 		if c.Slots == 0 {
 			c.Slots = fl.service.Engine.Slots
 		}
-		_, c.Ejected = rested[t.Life]
-		c.Ejected = c.Ejected || t.Doubtful || fl.view.Silent[t.Address]
+		_, c.Ejected = rested[t.Incarnation]
+		c.Ejected = c.Ejected || t.Unconfirmed || fl.view.Unresponsive[t.Address]
 		prompts.at(c.Version).addTo(c, t)
 	}
 	return candidates
 }
 
 // schedule returns in how long engines load the weights that operators want.
-func (fl *flow) schedule(targets []fleet.Target) map[fleet.Life]time.Duration {
+func (fl *flow) schedule(targets []fleet.Target) map[fleet.Incarnation]time.Duration {
 	wanted := fl.view.Wanted[fl.request.Model].Newest()
 	engines := make([]weights.EngineView, len(targets))
 	behind := false
 	for i := range targets {
 		t := &targets[i]
-		engines[i] = weights.EngineView{Life: t.Life, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
+		engines[i] = weights.EngineView{Incarnation: t.Incarnation, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
 		behind = behind || engines[i].Version < wanted
 	}
 	if !behind {
@@ -295,11 +295,11 @@
 		running += totals[targets[i].ID].Memory.Total()
 	}
 	room := fl.service.Engine.CacheTokens - running/max(len(targets), 1)
-	return fl.turnover.Kept(fl.view.Entries, len(targets), max(room, 0), fl.Now())
+	return fl.turnover.Kept(fl.view.EntryCount, len(targets), max(room, 0), fl.Now())
 }
 
 func (fl *flow) question() *placement.Input {
-	q := &placement.Input{Objective: fl.route.TargetLatency - time.Since(fl.arrived), MaxStaleness: fl.Bounds.Version, CrossZoneCost: placement.CrossZoneCost, PrefillTime: fl.readTime.PrefillTime, MaxTokens: fl.request.MaxTokens}
+	q := &placement.Input{Objective: fl.route.TargetLatency - time.Since(fl.arrived), MaxStaleness: fl.Bounds.MaxStaleness, CrossZoneCost: placement.CrossZoneCost, PrefillTime: fl.readTime.PrefillTime, MaxTokens: fl.request.MaxTokens}
 	q.Priority, q.LatePriority = fl.urgency(false), fl.urgency(true)
 	q.PinKey = fl.apartKey()
 	for i, p := range fl.request.Parts {
@@ -331,7 +331,7 @@
 	}
 	to.intake = choice.PrefillTokens + choice.FetchedTokens + q.MaxTokens/answerShare
 	to.work.Memory = ledger.AtPriority(choice.Priority, to.intake)
-	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
+	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		to.patience = patience(choice, fl.timeLeft())
 	}
 	return to
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -48,7 +48,7 @@
 // are busy. It returns nil when none answers: entries then go by the list and by what
 // they sent themselves.
 func (fl *flow) probeEngines(ctx context.Context, q *placement.Input) *probes {
-	if !fl.view.Large || fl.Sidecars == nil {
+	if !fl.view.LargeFleet || fl.Sidecars == nil {
 		return nil
 	}
 	q.CrossZoneCost = placement.CrossZoneCostProbed
@@ -95,8 +95,8 @@
 	ranked := make([]placement.RankedEngine, len(targets))
 	for i := range targets {
 		t := &targets[i]
-		_, ill := rested[t.Life]
-		ranked[i] = placement.RankedEngine{Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || ill || t.Doubtful || fl.excluded[t.Life] || fl.view.Silent[t.Address]}
+		_, ill := rested[t.Incarnation]
+		ranked[i] = placement.RankedEngine{Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || ill || t.Unconfirmed || fl.excluded[t.Incarnation] || fl.view.Unresponsive[t.Address]}
 	}
 	return ranked
 }
@@ -148,9 +148,9 @@
 func (p *probes) adoptLives() {
 	for i := range p.targets {
 		t := &p.targets[i]
-		if life := p.answers[i].Incarnation; p.known[i] && life.Instance != "" && life != t.Life {
+		if life := p.answers[i].Incarnation; p.known[i] && life.Instance != "" && life != t.Incarnation {
 			listing := t.Listing
-			listing.Life = life
+			listing.Incarnation = life
 			*t = fleet.NewTarget(listing)
 		}
 	}
@@ -161,7 +161,7 @@
 func (p *probes) candidate(i int) placement.Candidate {
 	fl, t, a := p.fl, &p.targets[i], &p.answers[i]
 	c := placement.Candidate{
-		Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t),
+		Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t),
 		Version: fl.view.Version(t, fl.request.Model), Slots: t.Slots, Memory: fl.service.Engine.CacheTokens,
 	}
 	if c.Slots == 0 {
@@ -170,7 +170,7 @@
 	if p.known[i] {
 		c.Work, c.OfferedLoad, c.Slowdown, c.CachedTokens = a.Work, a.OfferedLoad, a.Slowdown, a.CachedTokens
 		c.Loading, c.Draining = a.Phase == weights.Loading, a.Phase == weights.Emptying
-		c.Ejected = a.Unhealthy || a.ReportAge > reportStale || t.Doubtful
+		c.Ejected = a.Unhealthy || a.ReportAge > reportStale || t.Unconfirmed
 		c.Excluded = c.Excluded || a.Phase == weights.Silent
 		if version, ok := a.WeightVersions[fl.request.Model]; ok {
 			c.Version = version
@@ -222,7 +222,7 @@
 		}
 		targets := fl.view.Targets[fl.service.Name]
 		at := slices.IndexFunc(targets, func(t fleet.Target) bool { return t.Address == a.Holder })
-		if at < 0 || fl.view.Silent[a.Holder] {
+		if at < 0 || fl.view.Unresponsive[a.Holder] {
 			continue
 		}
 		out.sources = append(out.sources, source{
@@ -326,5 +326,5 @@
 // judge takes in what a send says of its target.
 func (fl *flow) judge(to *destination, o health.Outcome) {
 	fl.outcome = o
-	fl.Health.Record(fl.service.Name, to.target.Life, o, fl.Now())
+	fl.Health.Record(fl.service.Name, to.target.Incarnation, o, fl.Now())
 }
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -71,10 +71,10 @@
 	t.Helper()
 	w := startWorld(t, targets...)
 	sidecars := newFakeSidecars()
-	w.view.Large, w.Forwarder.Sidecars = true, sidecars
+	w.view.LargeFleet, w.Forwarder.Sidecars = true, sidecars
 	for i := range w.view.Targets["engines"] {
 		tg := &w.view.Targets["engines"][i]
-		sidecars.answers[tg.Address] = probe.Response{Incarnation: tg.Life, WeightVersions: map[string]int64{model: 3}, Slowdown: 1}
+		sidecars.answers[tg.Address] = probe.Response{Incarnation: tg.Incarnation, WeightVersions: map[string]int64{model: 3}, Slowdown: 1}
 		// All engines serve the family of the tests.
 		tg.Hash = 0
 	}
@@ -157,7 +157,7 @@
 func TestSidecarsWordOfLifeAndWeightsGoesBeforeTheList(t *testing.T) {
 	tg, got := streamKeepingHeader(t, "old")
 	w, sidecars := probedWorld(t, tg)
-	sidecars.say(addressOf(tg), probe.Response{Incarnation: fleet.Life{Instance: "new"}, WeightVersions: map[string]int64{model: 4}, Slowdown: 1})
+	sidecars.say(addressOf(tg), probe.Response{Incarnation: fleet.Incarnation{Instance: "new"}, WeightVersions: map[string]int64{model: 4}, Slowdown: 1})
 	askPrompt(t, w)
 	if got.Get(wiretest.Instance) != "new" || got.Get(wiretest.Weights) != "4" {
 		t.Errorf("asked for %q with weights %q", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
@@ -200,7 +200,7 @@
 	w, sidecars := probedWorld(t, tg)
 	holder := netip.MustParseAddrPort("127.0.0.2:7")
 	listing := w.view.Targets["engines"][0].Listing
-	listing.Life, listing.Address = fleet.Life{Instance: "holder"}, holder
+	listing.Incarnation, listing.Address = fleet.Incarnation{Instance: "holder"}, holder
 	other := fleet.NewTarget(listing)
 	other.Leaving = true // not asked itself
 	w.view.Targets["engines"] = append(w.view.Targets["engines"], other)
@@ -208,10 +208,10 @@
 	a.Holder, a.Offloaded = holder, true
 	sidecars.say(addressOf(tg), a)
 	askPrompt(t, w)
-	if got.Get(wiretest.Fetch) != holder.String() {
-		t.Errorf("fetched from %q", got.Get(wiretest.Fetch))
+	if got.Get(wiretest.FetchFrom) != holder.String() {
+		t.Errorf("fetched from %q", got.Get(wiretest.FetchFrom))
 	}
-	if got.Get(wiretest.Save) != "" {
+	if got.Get(wiretest.OffloadTo) != "" {
 		t.Error("saved again")
 	}
 }
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -29,19 +29,19 @@
 // when the process ends in the middle of the answer. It names what decided: the
 // versions and ages of the beliefs, and the estimate.
 func (fl *flow) logSend(to *destination) {
-	log := fl.Ordinary
+	log := fl.RoutineLogger
 	if fl.cause != "" {
 		log = fl.Logger
 	}
-	heard := fl.view.Engines[to.target.Life]
-	phase, age := heard.Phase, fl.since(heard.HeardAt)
+	heard := fl.view.Engines[to.target.Incarnation]
+	phase, age := heard.Phase, fl.since(heard.ReceivedAt)
 	if to.probed {
 		phase, age = to.word.Phase, to.word.ReportAge
 	}
 	log.Info("request_sent", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "cause", fl.cause, "last_event", fl.lastEvent,
 		"route", fl.routeName(), "service", fl.serviceName(), "workspace", fl.workspaceName(), "estate", fl.estateVersion(),
-		"target", to.target.Life, "address", to.target.Address, "zone", to.target.Zone,
-		"list_age", fl.since(fl.view.ListedAt), "listed", !to.target.Unlisted, "asked", to.asked, "word_age", age, "phase", phase.String(),
+		"target", to.target.Incarnation, "address", to.target.Address, "zone", to.target.Zone,
+		"list_age", fl.since(fl.view.TargetsCurrentAt), "listed", !to.target.Unlisted, "asked", to.asked, "word_age", age, "phase", phase.String(),
 		"weights", to.weights, "wanted", fl.view.Wanted[fl.request.Model].Newest(),
 		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", family(to), "answer", fl.request.MaxTokens, "held", to.choice.CachedTokens, "fetched", to.choice.FetchedTokens, "fetch_from", to.fetchFrom, "save_to", to.saveTo,
 		"late", to.choice.Late, "urgency", to.choice.Priority, "wait", tenth(to.choice.Wait), "read", tenth(to.choice.Prefill), "fetch", tenth(to.choice.Fetch),
@@ -69,7 +69,7 @@
 	if err != nil {
 		detail = err.Error()
 	}
-	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "target", to.target.Life,
+	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "target", to.target.Incarnation,
 		"status", status, "error", detail, "after", tenth(time.Since(fl.sentAt)))
 }
 
@@ -173,7 +173,7 @@
 // logDone writes the line that ends a request's story.
 func (fl *flow) logDone(e *errkind.Error) {
 	outcome, detail, back := "answered", "", time.Duration(0)
-	log := fl.Ordinary
+	log := fl.RoutineLogger
 	if e != nil {
 		outcome, detail, back = e.Kind.String(), e.Detail, e.RetryAfter
 	}
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -41,7 +41,7 @@
 	expected time.Duration
 	// standing is what was held against the request when the target was chosen, and trial
 	// is set when the send is the only one of it that may run.
-	standing quarantine.Standing
+	standing quarantine.Status
 	trial    bool
 	// probed is set when sidecars were asked, coming when an engine among theirs reads
 	// what the prompt lacks.
@@ -63,7 +63,7 @@
 
 // sendRecord is what the log tells of the last send.
 type sendRecord struct {
-	life   fleet.Life
+	life   fleet.Incarnation
 	status int
 }
 
@@ -98,7 +98,7 @@
 	// The following are taken back when they turn out not to be so.
 	fl.arrivals++
 	fl.runs++
-	fl.last = sendRecord{life: to.target.Life}
+	fl.last = sendRecord{life: to.target.Incarnation}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	to.standing = fl.standing
@@ -117,7 +117,7 @@
 	link := fl.beginFetch(to)
 	defer link.End()
 	if fl.noteParts(to, false) || to.choice.Prefill > tellFrom {
-		fl.TellWork(to.target.ID)
+		fl.AnnounceWork(to.target.ID)
 	}
 	fl.sentAt = time.Now()
 	fl.logSend(to)
@@ -168,12 +168,12 @@
 }
 
 func (fl *flow) upstreamRequest(to *destination) *upstream.Request {
-	send := wire.Send{
-		TimeLeft: fl.timeLeft(), Instance: to.target.Instance, Urgency: -1,
-		CacheScope: to.scope, Weights: to.weights, SaveTo: to.saveTo,
+	send := wire.Attempt{
+		TimeLeft: fl.timeLeft(), Instance: to.target.Instance, Priority: -1,
+		CacheScope: to.scope, Weights: to.weights, OffloadTo: to.saveTo,
 	}
 	if fl.route.Resumable {
-		send.LastEvent = fl.lastEvent
+		send.LastEventID = fl.lastEvent
 	}
 	if fl.workspace != nil {
 		send.Workspace = fl.workspace.Name
@@ -182,11 +182,11 @@
 		send.FetchFrom = to.fetchFrom.String()
 	}
 	if fl.service.Engine != nil {
-		send.Urgency = to.choice.Priority
+		send.Priority = to.choice.Priority
 	}
 	return &upstream.Request{
 		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Repeatable(),
+		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Retryable(),
 		Mine: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
@@ -225,7 +225,7 @@
 	if ctx.Err() != nil && !gaveUp(ctx) {
 		return verdict{end: true, refusal: fl.ended(ctx)}
 	}
-	fl.excluded[to.target.Life] = true
+	fl.excluded[to.target.Incarnation] = true
 	if errors.Is(err, upstream.ErrNotSent) {
 		fl.runs--
 		fl.arrivals--
@@ -243,7 +243,7 @@
 // given up for the sake of another target says nothing of its own.
 func (fl *flow) judgeBroken(ctx context.Context, to *destination, err error) {
 	if errors.Is(context.Cause(ctx), errApart) {
-		fl.Endings.GivenUp(fl.doubt(to))
+		fl.CrashDetector.AddCancelled(fl.doubt(to))
 		return
 	}
 	fl.judge(to, health.Broken)
@@ -253,7 +253,7 @@
 // notRunBy judges a target's word that it did not run the request.
 func (fl *flow) notRunBy(to *destination, resp *upstream.Response, reply wire.Reply) verdict {
 	fl.runs--
-	fl.excluded[to.target.Life] = true
+	fl.excluded[to.target.Incarnation] = true
 	drain(resp)
 	refusal := errkind.After(errkind.Overloaded, fl.comeBack(retryPause), "the target refused with status %d", resp.Status)
 	if resp.Status == http.StatusMisdirectedRequest {
@@ -276,19 +276,19 @@
 	success := resp.Status < http.StatusMultipleChoices
 	if reply.Encoded || success && (!reply.Sealed || reply.ID != fl.request.ID) {
 		fl.judge(to, health.Broken)
-		fl.excluded[to.target.Life] = true
+		fl.excluded[to.target.Incarnation] = true
 		return verdict{refusal: errkind.New(errkind.TargetFailed, "the target's answer is not sealed or encoded")}, false
 	}
 	if resp.Status >= http.StatusInternalServerError {
 		fl.judge(to, health.Failed)
-		if fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts && !fl.begun && ctx.Err() == nil {
-			fl.excluded[to.target.Life] = true
+		if fl.route.Retryable() && fl.runs < fl.route.MaxAttempts && !fl.begun && ctx.Err() == nil {
+			fl.excluded[to.target.Incarnation] = true
 			drain(resp)
 			return verdict{refusal: errkind.New(errkind.TargetFailed, "the target answered with status %d", resp.Status)}, false
 		}
 	}
 	if fl.begun && !success {
-		fl.excluded[to.target.Life] = true
+		fl.excluded[to.target.Incarnation] = true
 		return verdict{refusal: errkind.New(errkind.StreamBroken, "continuing gave status %d", resp.Status)}, false
 	}
 	return verdict{}, true
--- a/internal/gateway/forward/sources.go
+++ b/internal/gateway/forward/sources.go
@@ -113,7 +113,7 @@
 	for i := range targets {
 		t := &targets[i]
 		tokens := p.held[t.ID]
-		if tokens == 0 || fl.view.Silent[t.Address] || fl.view.Version(t, fl.request.Model) != version {
+		if tokens == 0 || fl.view.Unresponsive[t.Address] || fl.view.Version(t, fl.request.Model) != version {
 			continue
 		}
 		p.sources = append(p.sources, source{
--- a/internal/gateway/health/health.go
+++ b/internal/gateway/health/health.go
@@ -65,19 +65,19 @@
 // Monitor tracks the health of targets. It is safe for concurrent use.
 type Monitor struct {
 	mu      sync.Mutex
-	records map[fleet.Life]*record
+	records map[fleet.Incarnation]*record
 	// onEject is called for each ejection, with the failure rates of the target and of the
 	// service's other targets. It may be nil.
-	onEject func(incarnation fleet.Life, until time.Time, failureRate, othersRate float64, outcome Outcome)
+	onEject func(incarnation fleet.Incarnation, until time.Time, failureRate, othersRate float64, outcome Outcome)
 }
 
 // NewMonitor returns a monitor that calls onEject, unless nil, for each ejection.
-func NewMonitor(onEject func(incarnation fleet.Life, until time.Time, failureRate, othersRate float64, outcome Outcome)) *Monitor {
-	return &Monitor{records: map[fleet.Life]*record{}, onEject: onEject}
+func NewMonitor(onEject func(incarnation fleet.Incarnation, until time.Time, failureRate, othersRate float64, outcome Outcome)) *Monitor {
+	return &Monitor{records: map[fleet.Incarnation]*record{}, onEject: onEject}
 }
 
 // Record adds the outcome of a request at a target of a service.
-func (m *Monitor) Record(service string, incarnation fleet.Life, o Outcome, now time.Time) {
+func (m *Monitor) Record(service string, incarnation fleet.Incarnation, o Outcome, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.records[incarnation]
@@ -125,7 +125,7 @@
 }
 
 // othersFailureRate returns the mean failure rate of the service's other targets.
-func (m *Monitor) othersFailureRate(service string, incarnation fleet.Life) float64 {
+func (m *Monitor) othersFailureRate(service string, incarnation fleet.Incarnation) float64 {
 	sum, n := 0.0, 0
 	for other, r := range m.records {
 		if r.service == service && other != incarnation && r.weight >= minOutcomes {
@@ -140,10 +140,10 @@
 }
 
 // Ejected returns the targets that are ejected now, with the end of each ejection.
-func (m *Monitor) Ejected(now time.Time) map[fleet.Life]time.Time {
+func (m *Monitor) Ejected(now time.Time) map[fleet.Incarnation]time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var ejected map[fleet.Life]time.Time
+	var ejected map[fleet.Incarnation]time.Time
 	for incarnation, r := range m.records {
 		if now.Sub(r.lastSeen) > recordTTL {
 			delete(m.records, incarnation)
@@ -151,7 +151,7 @@
 		}
 		if now.Before(r.ejectedUntil) {
 			if ejected == nil {
-				ejected = map[fleet.Life]time.Time{}
+				ejected = map[fleet.Incarnation]time.Time{}
 			}
 			ejected[incarnation] = r.ejectedUntil
 		}
--- a/internal/gateway/health/health_test.go
+++ b/internal/gateway/health/health_test.go
@@ -11,7 +11,7 @@
 
 func recordAll(m *Monitor, instance string, now time.Time, outcomes ...Outcome) {
 	for _, o := range outcomes {
-		m.Record("s", fleet.Life{Instance: instance}, o, now)
+		m.Record("s", fleet.Incarnation{Instance: instance}, o, now)
 	}
 }
 
@@ -21,22 +21,22 @@
 	m := NewMonitor(nil)
 	now := start
 	recordAll(m, "x", now, Unreachable)
-	if _, ok := m.Ejected(now)[fleet.Life{Instance: "x"}]; !ok {
+	if _, ok := m.Ejected(now)[fleet.Incarnation{Instance: "x"}]; !ok {
 		t.Fatal("not ejected")
 	}
-	first := m.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now)
+	first := m.Ejected(now)[fleet.Incarnation{Instance: "x"}].Sub(now)
 	now = now.Add(first + time.Millisecond)
 	if len(m.Ejected(now)) != 0 {
 		t.Error("still ejected")
 	}
 	recordAll(m, "x", now, Unreachable)
-	if again := m.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now); again <= first {
+	if again := m.Ejected(now)[fleet.Incarnation{Instance: "x"}].Sub(now); again <= first {
 		t.Errorf("ejected for %v, then for %v", first, again)
 	}
 	now = now.Add(maxEjection)
 	recordAll(m, "x", now, Good)
 	recordAll(m, "x", now, Unreachable)
-	if after := m.Ejected(now)[fleet.Life{Instance: "x"}].Sub(now); after != baseEjection {
+	if after := m.Ejected(now)[fleet.Incarnation{Instance: "x"}].Sub(now); after != baseEjection {
 		t.Errorf("ejected for %v after a good response", after)
 	}
 }
@@ -49,10 +49,10 @@
 		recordAll(m, "failing", start, Good, Failed)
 	}
 	ejected := m.Ejected(start)
-	if _, ok := ejected[fleet.Life{Instance: "failing"}]; !ok {
+	if _, ok := ejected[fleet.Incarnation{Instance: "failing"}]; !ok {
 		t.Error("the failing target is not ejected")
 	}
-	if _, ok := ejected[fleet.Life{Instance: "healthy"}]; ok {
+	if _, ok := ejected[fleet.Incarnation{Instance: "healthy"}]; ok {
 		t.Error("the healthy target is ejected")
 	}
 }
@@ -87,12 +87,12 @@
 // A restarted target does not inherit the ejection of its previous incarnation.
 func TestNextIncarnationIsNotEjected(t *testing.T) {
 	m := NewMonitor(nil)
-	m.Record("s", fleet.Life{Instance: "x", Born: 1}, Unreachable, start)
+	m.Record("s", fleet.Incarnation{Instance: "x", StartedMs: 1}, Unreachable, start)
 	ejected := m.Ejected(start)
-	if _, ok := ejected[fleet.Life{Instance: "x", Born: 1}]; !ok {
+	if _, ok := ejected[fleet.Incarnation{Instance: "x", StartedMs: 1}]; !ok {
 		t.Error("the unreachable incarnation is not ejected")
 	}
-	if _, ok := ejected[fleet.Life{Instance: "x", Born: 2}]; ok {
+	if _, ok := ejected[fleet.Incarnation{Instance: "x", StartedMs: 2}]; ok {
 		t.Error("the next incarnation is ejected")
 	}
 }
--- a/internal/gateway/probe/probe.go
+++ b/internal/gateway/probe/probe.go
@@ -34,7 +34,7 @@
 // Response is a sidecar's response to a probe: the state of its engine.
 type Response struct {
 	// Incarnation of the engine; its instance is empty while unknown.
-	Incarnation fleet.Life
+	Incarnation fleet.Incarnation
 	// WeightVersions are the engine's weight versions by model.
 	WeightVersions map[string]int64
 	Phase          weights.Phase
@@ -148,7 +148,7 @@
 
 func encodeResponse(r *Response) *peerv1.EngineAnswer {
 	e := &peerv1.EngineState{
-		Instance: r.Incarnation.Instance, Born: r.Incarnation.Born, Phase: phaseToProto[r.Phase],
+		Instance: r.Incarnation.Instance, Born: r.Incarnation.StartedMs, Phase: phaseToProto[r.Phase],
 	}
 	for model, version := range r.WeightVersions {
 		e.Weights = append(e.Weights, &peerv1.ModelWeights{Model: model, Version: version})
@@ -163,7 +163,7 @@
 func decodeResponse(in *peerv1.EngineAnswer) Response {
 	e := in.GetEngine()
 	r := Response{
-		Incarnation: fleet.Life{Instance: e.GetInstance(), Born: e.GetBorn()}, Phase: phaseFromProto[e.GetPhase()], WeightVersions: map[string]int64{},
+		Incarnation: fleet.Incarnation{Instance: e.GetInstance(), StartedMs: e.GetBorn()}, Phase: phaseFromProto[e.GetPhase()], WeightVersions: map[string]int64{},
 		CachedTokens: int(in.Held), PrefillInProgress: in.Coming, Slowdown: float64(in.Pace) / slowdownUnit, Unhealthy: in.Ill, ReportAge: fromMs(in.ReportAgeMs), Offloaded: in.Saved, Holder: parseAddress(in.Holder),
 	}
 	if in.Load != nil {
--- a/internal/gateway/probe/probe_test.go
+++ b/internal/gateway/probe/probe_test.go
@@ -73,7 +73,7 @@
 // All fields of responses and notifications survive the wire.
 func TestMessagesSurviveTheWire(t *testing.T) {
 	response := Response{
-		Incarnation: fleet.Life{Instance: "i-1", Born: 1_700_000_000_123}, WeightVersions: map[string]int64{"m": 3}, Phase: weights.Emptying,
+		Incarnation: fleet.Incarnation{Instance: "i-1", StartedMs: 1_700_000_000_123}, WeightVersions: map[string]int64{"m": 3}, Phase: weights.Emptying,
 		CachedTokens: 4870, Offloaded: true, Holder: netip.MustParseAddrPort("10.0.0.7:8000"), PrefillInProgress: true,
 		Slowdown: 1.25, Unhealthy: true, ReportAge: 120 * time.Millisecond,
 		Work:        ledger.Work{Running: 3, Prefill: ledger.AtPriority(2, 80*time.Millisecond), Memory: ledger.AtPriority(7, 12_000)},
@@ -223,7 +223,7 @@
 // The messages of one prompt stay within a few hundred bytes, whatever the fleet's size.
 func TestMessagesOfOnePromptStaySmall(t *testing.T) {
 	response := Response{
-		Incarnation: fleet.Life{Instance: "i-7f3a91c2", Born: 1_700_000_000_123}, WeightVersions: map[string]int64{"daka510000": 12}, CachedTokens: 4870,
+		Incarnation: fleet.Incarnation{Instance: "i-7f3a91c2", StartedMs: 1_700_000_000_123}, WeightVersions: map[string]int64{"daka510000": 12}, CachedTokens: 4870,
 		Holder: netip.MustParseAddrPort("10.200.100.207:8000"), Slowdown: 1.25, ReportAge: 120 * time.Millisecond,
 	}
 	for i := range ledger.Priorities {
--- a/internal/gateway/quarantine/print.go
+++ b/internal/gateway/quarantine/print.go
@@ -12,14 +12,14 @@
 // Entries keep a [Record] of each request that was under way at a target when it ended,
 // and tell it to each other. Records merge like sets: a fact that is lost, late, doubled or
 // out of order does no harm, and there is nothing to agree on. From its first end on a
-// request is sent only to the target that its [Print] ranks first, so that repeats which
+// request is sent only to the target that its [Fingerprint] ranks first, so that repeats which
 // several entries hold at the same time meet at one target. From its second on one of them
 // runs at a time, at a target where no other suspect runs. What has ended three targets is
 // held for a second, in which other ends may speak for another cause, and then refused.
 //
 // Requests that only stood beside the cause meet the same ends. They part from it at their
 // next send, because their prints rank other targets first, and the ends that a refused
-// request explains no longer count against them: see [Judge].
+// request explains no longer count against them: see [Evaluate].
 package quarantine
 
 import (
@@ -29,15 +29,15 @@
 	"io"
 )
 
-// Print names a request by what stays the same when its caller sends it again: its path
+// Fingerprint names a request by what stays the same when its caller sends it again: its path
 // with the query, its workspace and its body. Ids, keys, deadlines and other headers
 // differ between two tries. It shows nothing of the body, and who knows a workspace's
 // requests cannot make another one with the same print.
-type Print uint64
+type Fingerprint uint64
 
-// PrintOf returns the print of a request. The workspace is empty on routes that need no
+// FingerprintOf returns the print of a request. The workspace is empty on routes that need no
 // key.
-func PrintOf(workspace, path string, body []byte) Print {
+func FingerprintOf(workspace, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, text := range []string{workspace, path} {
 		var size [8]byte
@@ -46,8 +46,8 @@
 		_, _ = io.WriteString(h, text) // a hash takes everything
 	}
 	h.Write(body)
-	return Print(binary.BigEndian.Uint64(h.Sum(nil)))
+	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
 // String returns the print as it stands in logs.
-func (p Print) String() string { return fmt.Sprintf("%016x", uint64(p)) }
+func (p Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(p)) }
--- a/internal/gateway/readtime/slowdown.go
+++ b/internal/gateway/readtime/slowdown.go
@@ -44,15 +44,15 @@
 // for concurrent use.
 type Slowdowns struct {
 	mu       sync.Mutex
-	byEngine map[fleet.Life]slowdown
+	byEngine map[fleet.Incarnation]slowdown
 }
 
 // NewSlowdowns returns an empty tracker.
-func NewSlowdowns() *Slowdowns { return &Slowdowns{byEngine: map[fleet.Life]slowdown{}} }
+func NewSlowdowns() *Slowdowns { return &Slowdowns{byEngine: map[fleet.Incarnation]slowdown{}} }
 
 // Record adds the measured and the predicted time to the first event of a request at an
 // engine.
-func (s *Slowdowns) Record(incarnation fleet.Life, measured, predicted time.Duration, now time.Time) {
+func (s *Slowdowns) Record(incarnation fleet.Incarnation, measured, predicted time.Duration, now time.Time) {
 	if predicted < minPredicted {
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // Factor returns an engine's slowdown factor; 1 when unknown or negligible.
-func (s *Slowdowns) Factor(incarnation fleet.Life, now time.Time) float64 {
+func (s *Slowdowns) Factor(incarnation fleet.Incarnation, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last, known := s.byEngine[incarnation]
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -38,7 +38,7 @@
 
 // State is what the engine's controller knows of it.
 type State struct {
-	Life    fleet.Life
+	Life    fleet.Incarnation
 	Weights map[string]int64
 	Phase   weights.Phase
 	// ReportedAt is when the engine last reported.
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -25,7 +25,7 @@
 func newBench() *bench {
 	b := &bench{at: start}
 	b.Tracker = New(func() time.Time { return b.at })
-	b.Set(State{Life: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	b.Set(State{Life: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
 	return b
 }
 
@@ -146,7 +146,7 @@
 	id := b.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
 	b.OnProgress(id, probe.Progress{PrefillDone: true})
 	b.Learn(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
-	b.Set(State{Life: fleet.Life{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	b.Set(State{Life: fleet.Incarnation{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
 	if a := b.probe(t, promptOf("a")); a.Work.Running != 0 || a.CachedTokens != 0 || a.Incarnation.Instance != "i-2" {
 		t.Errorf("answer %+v", a)
 	}
@@ -174,7 +174,7 @@
 	if a := b.probe(t, promptOf("a", "b")); a.CachedTokens != 0 {
 		t.Errorf("%d held of a prompt whose beginning was dropped", a.CachedTokens)
 	}
-	b.Set(State{Life: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: b.at})
+	b.Set(State{Life: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: b.at})
 	if a := b.probe(t, promptOf("b")); a.CachedTokens != 0 {
 		t.Errorf("%d held that were made by other weights", a.CachedTokens)
 	}
@@ -255,7 +255,7 @@
 	if a := b.probe(t, promptOf()); a.Phase != weights.Silent || a.Work.Running != 1 {
 		t.Errorf("while it is silent: %+v", a)
 	}
-	b.Set(State{Life: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	b.Set(State{Life: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
 	if a := b.probe(t, promptOf("a")); a.Work.Running != 1 || !a.PrefillInProgress {
 		t.Errorf("afterwards: %+v", a)
 	}
