--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -48,7 +48,7 @@
 	probed, inProgress bool
 	// probeCount is the number of engines probed, probeAnswer the answer of the chosen one.
 	probeCount  int
-	probeAnswer probe.Answer
+	probeAnswer probe.Response
 	// familyFirst is the best ranked engine of the prompt's family, whose sidecar tracks
 	// where the family's parts are computed. familyFirstSendID is the ID of the send at
 	// that sidecar; zero if the send was not reported to it.
@@ -117,7 +117,7 @@
 	defer fl.notifyEnded(dst)
 	link := fl.beginFetch(dst)
 	defer link.End()
-	if fl.recordParts(dst, false) || dst.choice.Read > announcePrefill {
+	if fl.recordParts(dst, false) || dst.choice.Prefill > announcePrefill {
 		fl.AnnounceWork(dst.target.ID)
 	}
 	fl.sentAt = time.Now()
@@ -132,7 +132,7 @@
 	}
 	defer resp.Close()
 	if fl.service.Engine != nil {
-		fl.Reach.Answered(fl.Now())
+		fl.Reach.EngineResponded(fl.Now())
 	}
 	fl.lastSend.status = resp.Status
 	reply := fl.Protocol.ReadReply(resp.Status, resp.Header)
@@ -153,8 +153,8 @@
 
 // beginFetch adds the fetch to the work of the source's link, so that other prompts take
 // its queue into account.
-func (fl *flow) beginFetch(dst *destination) *ledger.Item {
-	return fl.Ledger.Begin(linkID(dst.fetchFrom), ledger.Work{Reading: ledger.Lane(0, dst.linkTime)}, fl.linkQueue(dst.fetchFrom), fl.Now())
+func (fl *flow) beginFetch(dst *destination) *ledger.Request {
+	return fl.Ledger.Begin(linkID(dst.fetchFrom), ledger.Work{Prefill: ledger.AtPriority(0, dst.linkTime)}, fl.linkQueue(dst.fetchFrom), fl.Now())
 }
 
 // recordParts records that the engine, and the store that it offloads to, has the prompt's
@@ -182,7 +182,7 @@
 		send.FetchFrom = dst.fetchFrom.String()
 	}
 	if fl.service.Engine != nil {
-		send.Priority = dst.choice.Urgency
+		send.Priority = dst.choice.Priority
 	}
 	return &upstream.Request{
 		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
@@ -197,7 +197,7 @@
 const (
 	// onTimePriorities is the number of priorities for requests that can be answered in
 	// time; as many follow for late ones.
-	onTimePriorities = ledger.Urgencies / 2
+	onTimePriorities = ledger.Priorities / 2
 	// workspaceStep is the weight of a workspace's priority relative to a route's.
 	workspaceStep = 2
 )
@@ -229,7 +229,7 @@
 		fl.runs--
 		fl.delivered--
 		if fl.service.Engine != nil {
-			fl.Reach.Failed(fl.Now())
+			fl.Reach.ConnectFailed(fl.Now())
 		}
 		fl.recordOutcome(dst, health.Unreachable)
 		return sendResult{notRun: true, refusal: errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%v", err)}
