--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/caches_test.go
@@ -41,12 +41,12 @@
 // What an entry is told of a cache is what the sidecar knows of it, and of work what the
 // other entry has.
 func TestToldStateIsHeardAlike(t *testing.T) {
-	e := &entry{parts: parts.NewBook(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
+	e := &entry{parts: parts.NewIndex(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
 	held := heldParts(3)
 	now := time.Unix(1000, 0)
 	e.learnCache(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
 	for _, h := range held {
-		if got := e.parts.At(h.Part, h.Tokens, fleet.IDOf("c"), now); got != parts.Held {
+		if got := e.parts.StateAt(h.Part, h.Tokens, fleet.IDOf("c"), now); got != parts.Cached {
 			t.Errorf("part %d: state %v", h.Part, got)
 		}
 	}
@@ -59,7 +59,7 @@
 
 // BenchmarkLearnCache is what it costs an entry to take in one part of a cache's word.
 func BenchmarkLearnCache(b *testing.B) {
-	e := &entry{parts: parts.NewBook(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
+	e := &entry{parts: parts.NewIndex(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
 	member := &mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, heldParts(toldParts))}}
 	b.ReportMetric(float64(proto.Size(member.Beat))/toldParts, "bytes/part")
 	for b.Loop() {
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -110,7 +110,7 @@
 		maxWaitTimer = time.AfterFunc(dst.maxWait, func() { cancel(errMaxWait) })
 		defer maxWaitTimer.Stop()
 	}
-	fl.turnover.Intake(dst.memoryTokens, fl.Now())
+	fl.retention.AddTokens(dst.memoryTokens, fl.Now())
 	item := fl.Ledger.Begin(dst.target.ID, dst.work, dst.choice.Wait+dst.choice.Fetch, fl.Now())
 	defer item.End()
 	fl.notifySent(dst)
@@ -160,9 +160,9 @@
 // recordParts records that the engine, and the store that it offloads to, has the prompt's
 // parts or is computing them. It reports whether the other entries should be told.
 func (fl *flow) recordParts(dst *destination, done bool) bool {
-	updated := fl.Parts.Note(dst.target.ID, dst.partKeys, done, fl.Now())
+	updated := fl.Parts.Record(dst.target.ID, dst.partKeys, done, fl.Now())
 	if dst.offloadTo != "" {
-		updated = fl.Parts.Note(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
+		updated = fl.Parts.Record(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
 	}
 	return updated
 }
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -52,7 +52,7 @@
 	mu     sync.Mutex
 	known  bool
 	state  State
-	book   *parts.Book
+	book   *parts.Index
 	paces  *readtime.Paces
 	health *health.Book
 	sends  map[probe.SendID]*send
@@ -67,7 +67,7 @@
 // New returns a tracker of an engine of which nothing is known.
 func New(now func() time.Time) *Tracker {
 	return &Tracker{
-		now: now, book: parts.NewBook(), paces: readtime.NewPaces(),
+		now: now, book: parts.NewIndex(), paces: readtime.NewPaces(),
 		health: health.NewBook(nil), sends: map[probe.SendID]*send{}, elsewhere: newElsewhere(),
 	}
 }
@@ -87,7 +87,7 @@
 }
 
 func (t *Tracker) forget() {
-	t.book, t.paces = parts.NewBook(), readtime.NewPaces()
+	t.book, t.paces = parts.NewIndex(), readtime.NewPaces()
 	clear(t.sends)
 }
 
@@ -95,7 +95,7 @@
 func (t *Tracker) Learn(k parts.Key, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.book.Learn(t.id(), k, tokens, t.now())
+	t.book.RecordReport(t.id(), k, tokens, t.now())
 }
 
 // id is the engine's short name. The caller holds mu.
@@ -133,12 +133,12 @@
 		}
 	}
 	for i, k := range keys {
-		if t.book.At(k, p.Parts[i].Tokens, id, now) == parts.Coming {
+		if t.book.StateAt(k, p.Parts[i].Tokens, id, now) == parts.InProgress {
 			a.Coming = true
 		}
 	}
 	last := len(keys) - 1
-	a.Saved = t.book.At(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Held
+	a.Saved = t.book.StateAt(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Cached
 	t.elsewhere.lookUp(keys[last], a, now)
 }
 
@@ -171,8 +171,8 @@
 	}
 	t.sends[id] = one
 	t.arriving.add(one.urgency, one.reads, now)
-	t.book.Note(t.id(), one.keys, false, now)
-	t.book.DropFresh() // nobody else is told
+	t.book.Record(t.id(), one.keys, false, now)
+	t.book.DropUpdates() // nobody else is told
 }
 
 // Progressed implements probe.Engine. The failure guarded against is a word that comes
@@ -188,11 +188,11 @@
 	}
 	if p.Read {
 		one.wasRead, t.freeAt = true, now
-		t.book.Note(t.id(), one.keys, true, now)
+		t.book.Record(t.id(), one.keys, true, now)
 		if one.saved {
-			t.book.Note(theStore, one.keys, true, now)
+			t.book.Record(theStore, one.keys, true, now)
 		}
-		t.book.DropFresh()
+		t.book.DropUpdates()
 		t.paces.Note(t.state.Life, p.Took, p.Expected, now)
 	}
 	if p.Ended {
