--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/caches_test.go
@@ -16,10 +16,10 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/probe"
 )
 
-func heldParts(n int) []holdings.Held {
-	var held []holdings.Held
+func heldParts(n int) []holdings.CachedPart {
+	var held []holdings.CachedPart
 	for i := range n {
-		held = append(held, holdings.Held{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
+		held = append(held, holdings.CachedPart{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
 	}
 	return held
 }
@@ -74,10 +74,10 @@
 	for i := range 200 {
 		page.Changes = append(page.Changes, holdings.Change{Scope: "1.m.7.town", Part: fmt.Sprintf("part-%d", i), Tokens: 3000})
 	}
-	cache := holdings.NewCache(0)
+	cache := holdings.NewContents(0)
 	for b.Loop() {
 		cache.Apply(page)
-		cache.TakeChanged(len(page.Changes))
+		cache.TakeUpdates(len(page.Changes))
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(len(page.Changes)), "ns/change")
 }
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -59,7 +59,7 @@
 	e.suspects = newSuspects(p)
 	e.forwarder = forward.New(forward.Deps{
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
-		Quarantine: e.suspects.book, CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
+		Quarantine: e.suspects.book, CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return e.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds: forward.Bounds{
 			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.Weights.Duration,
 		},
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -194,7 +194,7 @@
 		Protocol: wiretest.Protocol{}, View: func() (*view.View, bool) { return env.view, true }, Pool: env.pool,
 		Ledger: ledger.New(), Parts: parts.NewIndex(), Health: health.NewBook(nil), Reach: &reach.Book{},
 		Quarantine:    quarantine.NewBook(quarantine.Limits{Ends: 3, SuspectFor: time.Hour, HoldFor: time.Hour, Records: 100}, noObserver{}),
-		CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return env.pool.Refuses(ctx, t.Address) }),
+		CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return env.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds:        Bounds{RetryRatio: 0.5, RetrySlack: 100, MaxStaleness: 5 * time.Second}, Zone: "a",
 		Logger: logr.Discard(), RoutineLogger: logr.Discard(), Metrics: noMetrics{}, AnnounceWork: func(fleet.ID) {}, Now: time.Now, Seed: 1,
 	})
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -137,7 +137,7 @@
 	fl.lastSend.status = resp.Status
 	reply := fl.Protocol.ReadReply(resp.Status, resp.Header)
 	if reply.IdleTimeout > 0 {
-		fl.Pool.LimitIdle(dst.target.Address, reply.IdleTimeout)
+		fl.Pool.SetIdleLimit(dst.target.Address, reply.IdleTimeout)
 	}
 	if reply.NotRun {
 		return fl.handleNotRun(dst, resp, reply)
@@ -185,9 +185,9 @@
 		send.Urgency = dst.choice.Urgency
 	}
 	return &upstream.Request{
-		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Repeatable(),
-		Mine: func(status int, h http.Header) bool {
+		Method: fl.r.Method, RequestURI: fl.r.RequestURI, Host: fl.r.Host,
+		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Repeatable(),
+		Matches: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
 		},
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -38,9 +38,9 @@
 
 // State is what the engine's controller knows of it.
 type State struct {
-	Life    fleet.Life
-	Weights map[string]int64
-	Phase   weights.Phase
+	Incarnation fleet.Life
+	Weights     map[string]int64
+	Phase       weights.Phase
 	// ReportedAt is when the engine last reported.
 	ReportedAt time.Time
 }
@@ -72,15 +72,15 @@
 	}
 }
 
-// Set takes in what the engine's controller knows. What was sent to an earlier life of
+// SetState takes in what the engine's controller knows. What was sent to an earlier life of
 // the engine ended with it; one that does not answer for a moment keeps its life.
-func (t *Tracker) Set(s State) {
+func (t *Tracker) SetState(s State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s.Life.Instance == "" {
-		s.Life = t.state.Life
+	if s.Incarnation.Instance == "" {
+		s.Incarnation = t.state.Incarnation
 	}
-	if t.known && s.Life != t.state.Life && t.state.Life.Instance != "" {
+	if t.known && s.Incarnation != t.state.Incarnation && t.state.Incarnation.Instance != "" {
 		t.forget()
 	}
 	t.known, t.state = true, s
@@ -91,15 +91,15 @@
 	clear(t.sends)
 }
 
-// Learn takes in that the engine's cache holds so many tokens of a part now.
-func (t *Tracker) Learn(k parts.Key, tokens int) {
+// SetCached takes in that the engine's cache holds so many tokens of a part now.
+func (t *Tracker) SetCached(k parts.Key, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.book.RecordReport(t.id(), k, tokens, t.now())
 }
 
 // id is the engine's short name. The caller holds mu.
-func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Life.String()) }
+func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Incarnation.String()) }
 
 // Probe implements probe.Engine.
 func (t *Tracker) Probe(p probe.Prompt) (probe.Answer, bool) {
@@ -111,10 +111,10 @@
 	}
 	t.sweep(now)
 	a := probe.Answer{
-		Life: t.state.Life, Weights: t.state.Weights, Phase: t.state.Phase,
-		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), Arriving: t.arriving.thousandths(now), Pace: t.paces.Of(t.state.Life, now), ReportAge: now.Sub(t.state.ReportedAt),
+		Life: t.state.Incarnation, Weights: t.state.Weights, Phase: t.state.Phase,
+		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), Arriving: t.arriving.thousandths(now), Pace: t.paces.Of(t.state.Incarnation, now), ReportAge: now.Sub(t.state.ReportedAt),
 	}
-	_, a.Ill = t.health.Rested(now)[t.state.Life]
+	_, a.Ill = t.health.Rested(now)[t.state.Incarnation]
 	t.lookUp(p, &a, now)
 	return a, true
 }
@@ -193,11 +193,11 @@
 			t.book.Record(theStore, one.keys, true, now)
 		}
 		t.book.DropUpdates()
-		t.paces.Note(t.state.Life, p.Took, p.Expected, now)
+		t.paces.Note(t.state.Incarnation, p.Took, p.Expected, now)
 	}
 	if p.Ended {
 		delete(t.sends, id)
-		t.health.Note("", t.state.Life, p.Outcome, now)
+		t.health.Note("", t.state.Incarnation, p.Outcome, now)
 	}
 }
 
--- a/internal/gateway/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -120,9 +120,9 @@
 	return maxIdle
 }
 
-// LimitIdle notes how long a target says that it keeps idle connections. Half
+// SetIdleLimit notes how long a target says that it keeps idle connections. Half
 // of it is used: the target's clock and the way there take their part.
-func (p *Pool) LimitIdle(address netip.AddrPort, timeout time.Duration) {
+func (p *Pool) SetIdleLimit(address netip.AddrPort, timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits[address] = timeout / 2
@@ -144,12 +144,12 @@
 	refusePause = 5 * time.Millisecond
 )
 
-// Refuses reports whether the host at an address answers that no process listens there. A
+// RefusesConnections reports whether the host at an address answers that no process listens there. A
 // connection that is made and stays is kept for the next request.
 //
 // The failure guarded against: a process that ends closes its connections and its listener
 // one after the other. A connection that is made in between is closed a moment later.
-func (p *Pool) Refuses(ctx context.Context, address netip.AddrPort) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, address netip.AddrPort) bool {
 	for range refuseTries {
 		c, err := p.dial(ctx, address)
 		if err != nil {
