--- a/internal/gateway/parts/parts.go
+++ b/internal/gateway/parts/parts.go
@@ -1,11 +1,10 @@
-// Package parts remembers which targets hold which shared parts of prompts.
+// Package parts indexes which targets have which shared prompt parts cached.
 //
-// What it says is a belief, from two kinds of word. Processes note what they send:
-// that is known at once, and nobody tells when a target drops the part again. Targets
-// tell of their caches, through their sidecars: that comes a tenth of a second later,
-// and is sure until it is told otherwise. A wrong belief costs the time to read a part
-// again, never a wrong answer, because parts are named together with all that decides
-// whether they may be used.
+// The index combines two sources. Sends observed by this process, or announced by others,
+// are known at once, but evictions are not. Caches report their contents through sidecars:
+// that takes about 100 ms, and includes evictions. A wrong entry costs a repeated prefill
+// but never yields a wrong answer, because a part's key covers everything that decides
+// whether its cached state is valid.
 package parts
 
 import (
@@ -22,10 +21,11 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// Key names a part within its cache scope, as targets do. A part is of use only where
-// all parts before it are held too; who asks looks at them in their order. It is short,
-// since processes tell each other of parts all the time; two parts that share one are
-// taken for each other, which costs a fetch that brings nothing.
+// Key identifies a part within a cache scope. A cached part is usable only if all parts
+// before it in the prompt are cached too; callers must check them in order.
+//
+// Keys are short because processes announce them often. A collision costs a fetch that
+// returns nothing.
 type Key uint32
 
 // KeyOf returns the key of a part in a cache scope.
@@ -37,16 +37,15 @@
 	return Key(d.Sum64())
 }
 
-// Scope returns the cache scope of a prompt: parts are shared within it only.
-// It names the model, its weights, and the workspace where that is isolated.
-// The failure guarded against is an answer made from parts of other weights or
-// of another workspace; the length before each name keeps two scopes apart that
-// read alike when joined.
+// Scope returns the cache scope of a prompt: the model, the version of its weights, and the
+// workspace if it is isolated. Parts are shared only within a scope.
+//
+// The length prefix of the model name keeps the scopes of different inputs distinct.
 func Scope(model string, weights int64, isolated string) string {
 	return strconv.Itoa(len(model)) + "." + model + "." + strconv.FormatInt(weights, 10) + "." + isolated
 }
 
-// Keys returns the keys of the prompt's shared parts: all but the last.
+// Keys returns the keys of the prompt's shared parts: all but the last part.
 func Keys(scope string, prompt []wire.Part) []Key {
 	if len(prompt) < 2 {
 		return nil
@@ -58,289 +57,293 @@
 	return keys
 }
 
-// State is what is believed of a part at a target.
+// State is what the index knows about a part at a target.
 type State uint8
 
-// The states.
 const (
+	// Absent means that the part is not known to be cached or in progress.
 	Absent State = iota
-	// InProgress parts are being read.
+	// InProgress means that the prefill of the part is in progress.
 	InProgress
-	// Cached parts were read to their end.
+	// Cached means that the part is cached.
 	Cached
 )
 
 const (
-	// comingFor is how long a part counts as being read; a request that takes
-	// longer has failed or waits behind others.
-	comingFor = 2 * time.Second
-	// heldFor is how long after its last use a part is believed to be held.
-	// Engines of the deployments known evict parts that were not used for some
-	// seconds.
-	heldFor = 8 * time.Second
-	// sureFor is how long the word of a target on its own cache counts. Sidecars say
-	// all of it anew in half of that time, so that what was lost on the way is made up
-	// for.
-	sureFor = 10 * time.Second
-	// settleTime is how old the word of a target may be when it arrives: some 80 ms until
-	// it tells of a change, and as long again until the processes have heard of it.
-	settleTime = 300 * time.Millisecond
-	// maxKeys bounds the memory, some 100 bytes each; what was not noted for the
-	// longest time is dropped first.
+	// inProgressTTL is how long a prefill counts as in progress; one that takes longer has
+	// failed or is queued.
+	inProgressTTL = 2 * time.Second
+	// cachedTTL is how long after its last use a part counts as cached without a report.
+	// Engines evict parts that were not used for some seconds.
+	cachedTTL = 8 * time.Second
+	// reportTTL is how long a cache's report of a part is valid. Sidecars repeat all
+	// reports in half that time, which makes up for lost messages.
+	reportTTL = 10 * time.Second
+	// maxReportDelay is the largest expected age of a report on arrival. A cache reports a
+	// change after about 80 ms, and the broadcast takes as long again.
+	maxReportDelay = 300 * time.Millisecond
+	// maxKeys bounds the memory to about 100 bytes per key; the least recently updated keys
+	// are dropped first.
 	maxKeys = 40_000
 )
 
-// Update is one belief, as processes tell it to each other.
+// Update is a change of the index that processes announce to each other.
 type Update struct {
 	Part   Key
 	Target fleet.ID
-	Done   bool
+	// Done is set when the part is cached, and not set while its prefill is in progress.
+	Done bool
 }
 
-// AllTokens is the number of tokens of a part that is held to its end, for one whose length
-// is not known.
+// AllTokens is the number of cached tokens of a part that is cached completely and whose
+// length is not known.
 const AllTokens = math.MaxInt32
 
-type belief struct {
+// entry is what the index knows about one part at one target.
+type entry struct {
 	target fleet.ID
-	// state and at are what was noted of sends last, and when.
-	state State
-	at    time.Time
-	// tokens of the part are held, by the target's own word of toldAt; none before
-	// there is any.
-	tokens int
-	toldAt time.Time
+	// state is the last state recorded from sends, and recordedAt when it was recorded.
+	state      State
+	recordedAt time.Time
+	// tokens is how many tokens of the part the target reported as cached, and reportedAt
+	// when it reported them.
+	tokens     int
+	reportedAt time.Time
 }
 
-// Index holds the beliefs. It is safe for concurrent use.
+// Index records which targets have which parts cached. It is safe for concurrent use.
 //
-// Keys live in two generations. A key that is noted moves to the young one; when
-// that is full it becomes the old one, and what was left in the old one is
-// dropped, without a walk over all keys.
+// Keys are stored in two generations. An update moves its key to the recent generation.
+// When that is full it replaces the older one, whose remaining keys are dropped without
+// iterating over them.
 type Index struct {
-	mu         sync.Mutex
-	young, old map[Key][]belief
-	fresh      []Update
-	// told is when each target's own word came last.
-	told map[fleet.ID]time.Time
+	mu            sync.Mutex
+	recent, older map[Key][]entry
+	// pending are the updates that were not announced yet.
+	pending []Update
+	// lastReport is when each target last reported its cache.
+	lastReport map[fleet.ID]time.Time
 }
 
-// NewIndex returns an empty book.
+// NewIndex returns an empty index.
 func NewIndex() *Index {
-	return &Index{young: map[Key][]belief{}, old: map[Key][]belief{}, told: map[fleet.ID]time.Time{}}
+	return &Index{recent: map[Key][]entry{}, older: map[Key][]entry{}, lastReport: map[fleet.ID]time.Time{}}
 }
 
-// get returns what is believed of a key. The caller holds mu.
-func (b *Index) get(k Key) []belief {
-	if list, ok := b.young[k]; ok {
+// get returns the entries of a key. The caller holds mu.
+func (x *Index) get(k Key) []entry {
+	if list, ok := x.recent[k]; ok {
 		return list
 	}
-	return b.old[k]
+	return x.older[k]
 }
 
-// put keeps what is believed of a key. The caller holds mu.
-func (b *Index) put(k Key, list []belief) {
-	if len(b.young) >= maxKeys/2 {
-		b.old, b.young = b.young, map[Key][]belief{}
+// put stores the entries of a key in the recent generation. The caller holds mu.
+func (x *Index) put(k Key, list []entry) {
+	if len(x.recent) >= maxKeys/2 {
+		x.older, x.recent = x.recent, map[Key][]entry{}
 	}
-	b.young[k] = list
+	x.recent[k] = list
 }
 
-// Record takes in what this process learned: a target reads parts, or has read
-// them. It is told to other processes.
-//
-// It reports whether others should hear of it.
-func (b *Index) Record(target fleet.ID, keys []Key, done bool, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	before := len(b.fresh)
+// Record records that the prefill of parts at a target has begun or, if done, that the parts
+// are cached. It reports whether there are updates to announce to other processes.
+func (x *Index) Record(target fleet.ID, keys []Key, done bool, now time.Time) bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	before := len(x.pending)
 	for _, k := range keys {
-		if b.note(Update{Part: k, Target: target, Done: done}, now) {
-			b.fresh = append(b.fresh, Update{Part: k, Target: target, Done: done})
+		if x.record(Update{Part: k, Target: target, Done: done}, now) {
+			x.pending = append(x.pending, Update{Part: k, Target: target, Done: done})
 		}
 	}
-	return len(b.fresh) > before
+	return len(x.pending) > before
 }
 
-// Apply takes in what another process learned.
-func (b *Index) Apply(f Update, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.note(f, now)
+// Apply applies an update that another process announced.
+func (x *Index) Apply(u Update, now time.Time) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.record(u, now)
 }
 
-// note reports whether it changed what others should know.
-func (b *Index) note(f Update, now time.Time) bool {
+// record reports whether the update is worth announcing: it changes the state, or renews an
+// entry that is not recent. The caller holds mu.
+func (x *Index) record(u Update, now time.Time) bool {
 	state := InProgress
-	if f.Done {
+	if u.Done {
 		state = Cached
 	}
-	list := b.get(f.Part)
+	list := x.get(u.Part)
 	for i := range list {
-		if list[i].target != f.Target {
+		if list[i].target != u.Target {
 			continue
 		}
-		was := list[i]
-		if was.state == Cached && now.Sub(was.at) <= heldFor {
+		previous := list[i]
+		if previous.state == Cached && now.Sub(previous.recordedAt) <= cachedTTL {
 			state = Cached
 		}
-		list[i].state, list[i].at = state, now
-		b.put(f.Part, list)
-		return was.current(now) != state || now.Sub(was.at) > heldFor/4
+		list[i].state, list[i].recordedAt = state, now
+		x.put(u.Part, list)
+		return previous.current(now) != state || now.Sub(previous.recordedAt) > cachedTTL/4
 	}
-	b.put(f.Part, append(believed(list, now), belief{target: f.Target, state: state, at: now}))
+	x.put(u.Part, append(dropExpired(list, now), entry{target: u.Target, state: state, recordedAt: now}))
 	return true
 }
 
-// RecordReport takes in a target's own word: so many tokens of a part are in its cache now.
-// What was noted of sends before is overruled, but for a part that is being read.
-func (b *Index) RecordReport(target fleet.ID, k Key, tokens int, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.noteWord(target, now)
-	list := b.get(k)
-	i := slices.IndexFunc(list, func(one belief) bool { return one.target == target })
+// RecordReport records a target's report of how many tokens of a part it has cached. The
+// report overrides what was recorded from sends, except for a prefill in progress and for
+// parts recorded as cached so recently that the report may be older.
+func (x *Index) RecordReport(target fleet.ID, k Key, tokens int, now time.Time) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.recordReportTime(target, now)
+	list := x.get(k)
+	i := slices.IndexFunc(list, func(e entry) bool { return e.target == target })
 	switch {
 	case i < 0 && tokens > 0:
-		b.put(k, append(believed(list, now), belief{target: target, tokens: tokens, toldAt: now}))
+		x.put(k, append(dropExpired(list, now), entry{target: target, tokens: tokens, reportedAt: now}))
 	case i >= 0:
-		list[i].learn(tokens, now)
-		b.put(k, believed(list, now))
+		list[i].applyReport(tokens, now)
+		x.put(k, dropExpired(list, now))
 	}
 }
 
-// noteWord notes that a target's own word came, and forgets those that are silent.
-func (b *Index) noteWord(target fleet.ID, now time.Time) {
-	if _, known := b.told[target]; !known {
-		maps.DeleteFunc(b.told, func(_ fleet.ID, at time.Time) bool { return now.Sub(at) > sureFor })
+// recordReportTime records that a target reported its cache. When the target is new, it also
+// deletes the targets whose last report has expired.
+func (x *Index) recordReportTime(target fleet.ID, now time.Time) {
+	if _, known := x.lastReport[target]; !known {
+		maps.DeleteFunc(x.lastReport, func(_ fleet.ID, at time.Time) bool { return now.Sub(at) > reportTTL })
 	}
-	b.told[target] = now
+	x.lastReport[target] = now
 }
 
-// ReportedRecently reports whether a target has told of its cache lately: what it has not named
-// it does not hold.
-func (b *Index) ReportedRecently(target fleet.ID, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	at, ok := b.told[target]
-	return ok && now.Sub(at) <= sureFor
+// ReportedRecently reports whether a target has recently reported its cache: parts that it
+// did not report are then not cached.
+func (x *Index) ReportedRecently(target fleet.ID, now time.Time) bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	at, ok := x.lastReport[target]
+	return ok && now.Sub(at) <= reportTTL
 }
 
-// learn overrules what was noted of sends, unless that is newer than the word can be.
+// applyReport overrides the recorded state with a report, unless the state may be newer.
 //
-// The failure guarded against: an engine says block by block that it reads a part, a
-// tenth of a second late. The part's first user has had its answer by then. Were the
-// old word taken, the next prompts would find the part held in part, and read the rest
-// again elsewhere.
-func (b *belief) learn(tokens int, now time.Time) {
-	settled := b.state == Cached && now.Sub(b.at) > settleTime
-	if settled {
-		b.state = Absent
+// Engines report the prefill of a part block by block and with a delay. Such a report may
+// arrive after the first response for the part; if it were applied, the part would count as
+// partly cached and its rest would be computed again elsewhere.
+func (e *entry) applyReport(tokens int, now time.Time) {
+	predatesReport := e.state == Cached && now.Sub(e.recordedAt) > maxReportDelay
+	if predatesReport {
+		e.state = Absent
 	}
-	b.tokens, b.toldAt = tokens, now
+	e.tokens, e.reportedAt = tokens, now
 }
 
-// believed drops what is believed no more.
-func believed(list []belief, now time.Time) []belief {
-	return slices.DeleteFunc(list, func(one belief) bool { return one.current(now) == Absent })
+// dropExpired removes expired entries.
+func dropExpired(list []entry, now time.Time) []entry {
+	return slices.DeleteFunc(list, func(e entry) bool { return e.current(now) == Absent })
 }
 
-// sure reports whether the target's own word counts.
-func (b *belief) sure(now time.Time) bool { return b.tokens > 0 && now.Sub(b.toldAt) <= sureFor }
+// reportValid reports whether the target has reported cached tokens recently enough.
+func (e *entry) reportValid(now time.Time) bool {
+	return e.tokens > 0 && now.Sub(e.reportedAt) <= reportTTL
+}
 
-func (b *belief) coming(now time.Time) bool {
-	return b.state == InProgress && now.Sub(b.at) <= comingFor
+func (e *entry) inProgress(now time.Time) bool {
+	return e.state == InProgress && now.Sub(e.recordedAt) <= inProgressTTL
 }
 
-// current is the state of the part, whether it is held in full or in part.
-func (b *belief) current(now time.Time) State {
+// current returns the state of the part, which may be cached only partly.
+func (e *entry) current(now time.Time) State {
 	switch {
-	case b.coming(now):
+	case e.inProgress(now):
 		return InProgress
-	case b.sure(now), b.state == Cached && now.Sub(b.at) <= heldFor:
+	case e.reportValid(now), e.state == Cached && now.Sub(e.recordedAt) <= cachedTTL:
 		return Cached
 	default:
 		return Absent
 	}
 }
 
-// whole is the state of a part of so many tokens. One of which a cache has dropped some
-// blocks is not held: prompts would neither wait for who reads it, nor save it again.
-func (b *belief) whole(tokens int, now time.Time) State {
+// stateOf returns the state of a part with the given number of tokens. A partly evicted part
+// counts as absent: prompts must wait for its new prefill, and offload it again.
+func (e *entry) stateOf(tokens int, now time.Time) State {
 	switch {
-	case b.held(heldFor, now) > max(tokens-blockTokens, 0):
+	case e.cachedTokens(cachedTTL, now) > max(tokens-blockTokens, 0):
 		return Cached
-	case b.coming(now):
+	case e.inProgress(now):
 		return InProgress
 	default:
 		return Absent
 	}
 }
 
-// held is how many tokens of the part are believed to be held. What was noted of a
-// send counts for the time kept, in which a cache drops what is not used.
-func (b *belief) held(kept time.Duration, now time.Time) int {
+// cachedTokens returns how many tokens of the part are cached. What was recorded from sends
+// is valid for the given retention, after which caches evict unused parts.
+func (e *entry) cachedTokens(retention time.Duration, now time.Time) int {
 	switch {
-	case b.state == Cached && now.Sub(b.at) <= min(kept, heldFor):
+	case e.state == Cached && now.Sub(e.recordedAt) <= min(retention, cachedTTL):
 		return AllTokens
-	case b.sure(now):
-		return b.tokens
+	case e.reportValid(now):
+		return e.tokens
 	default:
 		return 0
 	}
 }
 
-// TakeUpdates returns up to n facts that others were not told yet.
-func (b *Index) TakeUpdates(n int) []Update {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n = min(n, len(b.fresh))
-	facts := b.fresh[:n:n]
-	b.fresh = b.fresh[n:]
-	if len(b.fresh) == 0 {
-		b.fresh = nil
+// TakeUpdates removes and returns up to n pending updates.
+func (x *Index) TakeUpdates(n int) []Update {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	n = min(n, len(x.pending))
+	updates := x.pending[:n:n]
+	x.pending = x.pending[n:]
+	if len(x.pending) == 0 {
+		x.pending = nil
 	}
-	return facts
+	return updates
 }
 
-// DropUpdates forgets which facts others were not told: in a large fleet they are not.
-func (b *Index) DropUpdates() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.fresh = nil
+// DropUpdates discards the pending updates. Large fleets don't announce them.
+func (x *Index) DropUpdates() {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.pending = nil
 }
 
-// Forget drops what is believed of a target, which was emptied.
-func (b *Index) Forget(target fleet.ID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, generation := range []map[Key][]belief{b.young, b.old} {
+// Forget deletes the entries of a target whose cache was cleared.
+func (x *Index) Forget(target fleet.ID) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for _, generation := range []map[Key][]entry{x.recent, x.older} {
 		for k, list := range generation {
-			generation[k] = slices.DeleteFunc(list, func(one belief) bool { return one.target == target })
+			generation[k] = slices.DeleteFunc(list, func(e entry) bool { return e.target == target })
 		}
 	}
 }
 
-// StateAt returns the state of a part of so many tokens at a target.
-func (b *Index) StateAt(k Key, tokens int, target fleet.ID, now time.Time) State {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	list := b.get(k)
+// StateAt returns the state of a part with the given number of tokens at a target.
+func (x *Index) StateAt(k Key, tokens int, target fleet.ID, now time.Time) State {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	list := x.get(k)
 	for i := range list {
 		if list[i].target == target {
-			return list[i].whole(tokens, now)
+			return list[i].stateOf(tokens, now)
 		}
 	}
 	return Absent
 }
 
-// VisitLocations calls visit with each target that holds or reads a part of so many tokens.
-func (b *Index) VisitLocations(k Key, tokens int, now time.Time, visit func(target fleet.ID, s State)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	list := b.get(k)
+// VisitLocations calls visit for each target that has a part with the given number of tokens
+// cached or in progress.
+func (x *Index) VisitLocations(k Key, tokens int, now time.Time, visit func(target fleet.ID, s State)) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	list := x.get(k)
 	for i := range list {
-		if s := list[i].whole(tokens, now); s != Absent {
+		if s := list[i].stateOf(tokens, now); s != Absent {
 			visit(list[i].target, s)
 		}
 	}
--- a/internal/gateway/parts/parts_test.go
+++ b/internal/gateway/parts/parts_test.go
@@ -15,11 +15,12 @@
 
 var now = time.Unix(1000, 0)
 
-// stateAt is a part's state at a target.
-func stateAt(b *Index, k Key, target fleet.ID, at time.Time) State {
-	return b.StateAt(k, 10, target, at)
+// stateAt returns the state of a part of 10 tokens at a target.
+func stateAt(x *Index, k Key, target fleet.ID, at time.Time) State {
+	return x.StateAt(k, 10, target, at)
 }
 
+// prompt returns a prompt of 10-token parts.
 func prompt(ids ...string) []wire.Part {
 	var p []wire.Part
 	for _, id := range ids {
@@ -28,9 +29,8 @@
 	return p
 }
 
-// Two prompts share parts only under the same model, weights and isolated
-// workspace. Scopes that differ in any of these are never equal, whatever the
-// names are.
+// Scopes are equal only for the same model, weights and isolated workspace, whatever the
+// names are. Otherwise prompts would use state of other weights or workspaces.
 func TestScopesOfDifferentOriginDiffer(t *testing.T) {
 	name := rapid.StringMatching(`[a-z0-9.]{0,6}`)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -39,92 +39,90 @@
 		w1, w2 := name.Draw(rt, "workspace 1"), name.Draw(rt, "workspace 2")
 		same := m1 == m2 && v1 == v2 && w1 == w2
 		if (Scope(m1, v1, w1) == Scope(m2, v2, w2)) != same {
-			rt.Fatalf("%q and %q", Scope(m1, v1, w1), Scope(m2, v2, w2))
+			rt.Fatalf("scopes %q and %q must be equal exactly if their inputs are", Scope(m1, v1, w1), Scope(m2, v2, w2))
 		}
 	})
 }
 
-// The last part belongs to the request alone and is not remembered; a part is named
-// within its cache scope.
-func TestKeysNameSharedParts(t *testing.T) {
+// Only shared parts have keys, and a key depends on the cache scope.
+func TestKeysOfSharedParts(t *testing.T) {
 	a, b := Keys("s", prompt("x", "y", "own1")), Keys("s", prompt("x", "y", "own2"))
 	if len(a) != 2 || a[0] != b[0] || a[1] != b[1] || a[0] == a[1] {
-		t.Errorf("%v and %v", a, b)
+		t.Errorf("keys %v and %v, want two equal pairs of distinct keys", a, b)
 	}
 	if a[1] != KeyOf("s", "y") {
-		t.Error("a part is not named as targets name it")
+		t.Error("Keys and KeyOf differ for the same part")
 	}
 	if other := Keys("t", prompt("x", "y", "own1")); other[0] == a[0] {
-		t.Error("a part is the same in another scope")
+		t.Error("a part has the same key in another scope")
 	}
 }
 
-// Beliefs end: engines evict what was not used, and a read that takes long has
-// failed.
-func TestBeliefsEnd(t *testing.T) {
-	b := NewIndex()
+// Entries expire: engines evict unused parts, and a prefill that takes too long has failed.
+func TestEntriesExpire(t *testing.T) {
+	x := NewIndex()
 	keys := Keys("s", prompt("x", "own"))
-	b.Record(1, keys, false, now)
-	if got := stateAt(b, keys[0], 1, now); got != InProgress {
-		t.Errorf("state %v", got)
+	x.Record(1, keys, false, now)
+	if got := stateAt(x, keys[0], 1, now); got != InProgress {
+		t.Errorf("state %v, want in progress", got)
 	}
-	if got := stateAt(b, keys[0], 1, now.Add(comingFor+1)); got != Absent {
-		t.Errorf("a read that hangs: state %v", got)
+	if got := stateAt(x, keys[0], 1, now.Add(inProgressTTL+1)); got != Absent {
+		t.Errorf("state %v after a prefill timed out, want absent", got)
 	}
-	b.Record(1, keys, true, now)
-	if got := stateAt(b, keys[0], 1, now.Add(heldFor-1)); got != Cached {
-		t.Errorf("state %v", got)
+	x.Record(1, keys, true, now)
+	if got := stateAt(x, keys[0], 1, now.Add(cachedTTL-1)); got != Cached {
+		t.Errorf("state %v, want cached", got)
 	}
-	if got := stateAt(b, keys[0], 1, now.Add(heldFor+1)); got != Absent {
-		t.Errorf("a part not used for long: state %v", got)
+	if got := stateAt(x, keys[0], 1, now.Add(cachedTTL+1)); got != Absent {
+		t.Errorf("state %v of a part that was not used, want absent", got)
 	}
 }
 
-// A part that is held stays so while another request reads it.
-func TestHeldPartIsNotComingAgain(t *testing.T) {
-	b := NewIndex()
+// A cached part stays cached while another request uses it.
+func TestCachedPartStaysCachedWhileUsed(t *testing.T) {
+	x := NewIndex()
 	keys := Keys("s", prompt("x", "own"))
-	b.Record(1, keys, true, now)
-	b.Record(1, keys, false, now.Add(time.Second))
-	if got := stateAt(b, keys[0], 1, now.Add(time.Second)); got != Cached {
-		t.Errorf("state %v", got)
+	x.Record(1, keys, true, now)
+	x.Record(1, keys, false, now.Add(time.Second))
+	if got := stateAt(x, keys[0], 1, now.Add(time.Second)); got != Cached {
+		t.Errorf("state %v, want cached", got)
 	}
 }
 
-// What one process learned is told once; what it was told is not told on.
-func TestFactsAreToldOnce(t *testing.T) {
-	b := NewIndex()
+// Recorded updates are announced once, and applied ones are not announced again.
+func TestUpdatesAreAnnouncedOnce(t *testing.T) {
+	x := NewIndex()
 	keys := Keys("s", prompt("x", "y", "own"))
-	b.Record(1, keys, true, now)
-	b.Record(1, keys, true, now.Add(time.Millisecond))
-	b.Apply(Update{Part: 5, Target: 2, Done: true}, now)
-	if got := b.TakeUpdates(10); len(got) != 2 {
-		t.Errorf("facts %v", got)
+	x.Record(1, keys, true, now)
+	x.Record(1, keys, true, now.Add(time.Millisecond))
+	x.Apply(Update{Part: 5, Target: 2, Done: true}, now)
+	if got := x.TakeUpdates(10); len(got) != 2 {
+		t.Errorf("updates %v, want 2", got)
 	}
-	if got := b.TakeUpdates(10); len(got) != 0 {
-		t.Errorf("again %v", got)
+	if got := x.TakeUpdates(10); len(got) != 0 {
+		t.Errorf("updates %v announced again", got)
 	}
-	if stateAt(b, 5, 2, now) != Cached {
-		t.Error("what was told is not believed")
+	if stateAt(x, 5, 2, now) != Cached {
+		t.Error("an applied update has no effect")
 	}
 }
 
-// A target that was emptied holds nothing, and memory stays bounded.
-func TestForgetAndBound(t *testing.T) {
-	b := NewIndex()
+// Forgotten targets have nothing cached, and the memory stays bounded.
+func TestForgetAndMemoryBound(t *testing.T) {
+	x := NewIndex()
 	for i := range 3 * maxKeys {
-		b.Apply(Update{Part: Key(i), Target: 1, Done: true}, now)
+		x.Apply(Update{Part: Key(i), Target: 1, Done: true}, now)
 	}
-	if n := len(b.young) + len(b.old); n > maxKeys {
-		t.Errorf("%d keys", n)
+	if n := len(x.recent) + len(x.older); n > maxKeys {
+		t.Errorf("%d keys, more than maxKeys", n)
 	}
-	if stateAt(b, Key(3*maxKeys-1), 1, now) != Cached {
-		t.Error("the newest belief was dropped")
+	if stateAt(x, Key(3*maxKeys-1), 1, now) != Cached {
+		t.Error("the newest entry was dropped")
 	}
-	b = NewIndex()
-	b.Apply(Update{Part: 7, Target: 1, Done: true}, now)
-	b.Forget(1)
-	if stateAt(b, 7, 1, now) != Absent {
-		t.Error("an emptied target holds a part")
+	x = NewIndex()
+	x.Apply(Update{Part: 7, Target: 1, Done: true}, now)
+	x.Forget(1)
+	if stateAt(x, 7, 1, now) != Absent {
+		t.Error("a forgotten target has a part cached")
 	}
 }
--- a/internal/gateway/parts/prefix.go
+++ b/internal/gateway/parts/prefix.go
@@ -8,51 +8,52 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// blockTokens is by how much the word of a cache may be short of a part that it holds
-// whole: caches are filled by blocks of 16 tokens.
+// blockTokens is the block size of caches in tokens. A cache reports up to one block less
+// than the length of a part that it has completely.
 const blockTokens = 16
 
-// Prefix is how much of a prompt's beginning one target holds.
+// Prefix is the prefix of a prompt that one target has cached.
 type Prefix struct {
 	Target fleet.ID
 	Tokens int
-	// whole is how many parts it holds to their end.
-	whole int
+	// fullParts is the number of parts that are cached completely.
+	fullParts int
 }
 
-// Prefixes returns, for each target that holds the beginning of a prompt's shared
-// parts, how many of their tokens it holds. keys are those of the parts. What was noted
-// of sends counts for the time kept.
-func (b *Index) Prefixes(keys []Key, shared []wire.Part, kept time.Duration, now time.Time) []Prefix {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Prefixes returns the cached prefix of a prompt's shared parts for each target that has
+// one. keys are the keys of the parts. What was recorded from sends is valid for the given
+// retention.
+func (x *Index) Prefixes(keys []Key, shared []wire.Part, retention time.Duration, now time.Time) []Prefix {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	var all []Prefix
 	for i, k := range keys {
-		list := b.get(k)
+		list := x.get(k)
 		for j := range list {
-			held := min(list[j].held(kept, now), shared[i].Tokens)
-			if held <= 0 {
+			cached := min(list[j].cachedTokens(retention, now), shared[i].Tokens)
+			if cached <= 0 {
 				continue
 			}
-			all = extend(all, i, list[j].target, held, held > shared[i].Tokens-blockTokens)
+			all = extend(all, i, list[j].target, cached, cached > shared[i].Tokens-blockTokens)
 		}
 	}
 	return all
 }
 
-// extend adds what a target holds of part i to what it holds of those before.
-func extend(all []Prefix, i int, target fleet.ID, held int, whole bool) []Prefix {
-	at := slices.IndexFunc(all, func(p Prefix) bool { return p.Target == target })
-	if at < 0 && i > 0 || at >= 0 && all[at].whole < i {
-		return all // a part before is not there
+// extend adds the cached tokens of part i to the target's prefix. It ignores them if an
+// earlier part is not cached completely. full is set if part i is.
+func extend(all []Prefix, i int, target fleet.ID, cached int, full bool) []Prefix {
+	index := slices.IndexFunc(all, func(p Prefix) bool { return p.Target == target })
+	if index < 0 && i > 0 || index >= 0 && all[index].fullParts < i {
+		return all
 	}
-	if at < 0 {
+	if index < 0 {
 		all = append(all, Prefix{Target: target})
-		at = len(all) - 1
+		index = len(all) - 1
 	}
-	all[at].Tokens += held
-	if whole {
-		all[at].whole = i + 1
+	all[index].Tokens += cached
+	if full {
+		all[index].fullParts = i + 1
 	}
 	return all
 }
--- a/internal/gateway/parts/prefix_test.go
+++ b/internal/gateway/parts/prefix_test.go
@@ -8,17 +8,18 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// prefixOf is how many tokens of a prompt's beginning a target is believed to hold.
-func prefixOf(b *Index, target fleet.ID, p []wire.Part, kept time.Duration, at time.Time) int {
-	for _, one := range b.Prefixes(Keys("s", p), p[:len(p)-1], kept, at) {
-		if one.Target == target {
-			return one.Tokens
+// prefixTokens returns how many tokens of a prompt's prefix a target has cached.
+func prefixTokens(x *Index, target fleet.ID, p []wire.Part, retention time.Duration, at time.Time) int {
+	for _, prefix := range x.Prefixes(Keys("s", p), p[:len(p)-1], retention, at) {
+		if prefix.Target == target {
+			return prefix.Tokens
 		}
 	}
 	return 0
 }
 
-func sized(tokens ...int) []wire.Part {
+// sizedPrompt returns a prompt whose parts x, y, z and own have the given numbers of tokens.
+func sizedPrompt(tokens ...int) []wire.Part {
 	names := []string{"x", "y", "z", "own"}
 	var p []wire.Part
 	for i, n := range tokens {
@@ -27,124 +28,122 @@
 	return p
 }
 
-// A part is of no use without those before it: a prompt whose first part was dropped
-// is read from the start, whatever else the engine holds.
-func TestPartsCountOnlyAfterThoseBefore(t *testing.T) {
-	b := NewIndex()
-	p := sized(1000, 2000, 500)
-	b.RecordReport(1, KeyOf("s", "y"), 2000, now)
-	if got := prefixOf(b, 1, p, time.Minute, now); got != 0 {
-		t.Errorf("%d tokens without the first part", got)
-	}
-	b.RecordReport(1, KeyOf("s", "x"), 992, now)
-	if got := prefixOf(b, 1, p, time.Minute, now); got != 2992 {
-		t.Errorf("%d tokens; a part is whole but for its last block", got)
-	}
-	b.RecordReport(1, KeyOf("s", "x"), 400, now)
-	if got := prefixOf(b, 1, p, time.Minute, now); got != 400 {
-		t.Errorf("%d tokens of a part that is dropped block by block", got)
+// Parts after an evicted one don't count: they are unusable without it.
+func TestPrefixEndsAtMissingPart(t *testing.T) {
+	x := NewIndex()
+	p := sizedPrompt(1000, 2000, 500)
+	x.RecordReport(1, KeyOf("s", "y"), 2000, now)
+	if got := prefixTokens(x, 1, p, time.Minute, now); got != 0 {
+		t.Errorf("prefix has %d tokens without the first part, want 0", got)
+	}
+	x.RecordReport(1, KeyOf("s", "x"), 992, now)
+	if got := prefixTokens(x, 1, p, time.Minute, now); got != 2992 {
+		t.Errorf("prefix has %d tokens, want 2992: the first part lacks less than a block", got)
+	}
+	x.RecordReport(1, KeyOf("s", "x"), 400, now)
+	if got := prefixTokens(x, 1, p, time.Minute, now); got != 400 {
+		t.Errorf("prefix has %d tokens of a partly evicted part, want 400", got)
 	}
 }
 
-// An engine drops a part a moment after a prompt that used it. The process that sent
-// the prompt would believe it for seconds, and send there what shares the part.
-func TestDroppedPartOverrulesWhatWasSent(t *testing.T) {
-	b := NewIndex()
-	p := sized(1000, 500)
-	b.Record(1, Keys("s", p), true, now)
-	if got := prefixOf(b, 1, p, time.Minute, now); got != 1000 {
-		t.Errorf("%d tokens after the send", got)
-	}
-	b.RecordReport(1, KeyOf("s", "x"), 0, now.Add(time.Second))
-	if got := prefixOf(b, 1, p, time.Minute, now.Add(time.Second)); got != 0 {
-		t.Errorf("%d tokens after the engine's word", got)
+// A reported eviction overrides a recorded send. Otherwise prompts would be sent to an
+// engine that has evicted the part they share.
+func TestReportedEvictionOverridesSend(t *testing.T) {
+	x := NewIndex()
+	p := sizedPrompt(1000, 500)
+	x.Record(1, Keys("s", p), true, now)
+	if got := prefixTokens(x, 1, p, time.Minute, now); got != 1000 {
+		t.Errorf("prefix has %d tokens after the send, want 1000", got)
+	}
+	x.RecordReport(1, KeyOf("s", "x"), 0, now.Add(time.Second))
+	if got := prefixTokens(x, 1, p, time.Minute, now.Add(time.Second)); got != 0 {
+		t.Errorf("prefix has %d tokens after the reported eviction, want 0", got)
 	}
 }
 
-// A process has just started. What an engine says of its cache is all that it knows,
-// and holds for as long as it is repeated.
-func TestEnginesWordAloneIsEnough(t *testing.T) {
-	b := NewIndex()
-	p := sized(1000, 500)
-	b.RecordReport(1, KeyOf("s", "x"), 1000, now)
-	if got := prefixOf(b, 1, p, time.Second, now.Add(sureFor)); got != 1000 {
-		t.Errorf("%d tokens; what is kept for a second only was not guessed here", got)
-	}
-	if got := prefixOf(b, 1, p, time.Second, now.Add(sureFor+1)); got != 0 {
-		t.Errorf("%d tokens by a word that is too old", got)
+// A process that has just started knows only reports. They are valid for reportTTL,
+// whatever the retention.
+func TestReportAloneSuffices(t *testing.T) {
+	x := NewIndex()
+	p := sizedPrompt(1000, 500)
+	x.RecordReport(1, KeyOf("s", "x"), 1000, now)
+	if got := prefixTokens(x, 1, p, time.Second, now.Add(reportTTL)); got != 1000 {
+		t.Errorf("prefix has %d tokens, want 1000: retention does not limit reports", got)
+	}
+	if got := prefixTokens(x, 1, p, time.Second, now.Add(reportTTL+1)); got != 0 {
+		t.Errorf("prefix has %d tokens from an expired report, want 0", got)
 	}
 }
 
-// A prompt is being read and its part fills block by block. Others wait for it on, in
-// place of reading the rest themselves.
-func TestPartThatIsReadStaysComing(t *testing.T) {
-	b := NewIndex()
+// A part stays in progress while reports show how it fills. Otherwise other prompts would
+// stop waiting for it and compute the rest themselves.
+func TestReportsDoNotEndPrefillInProgress(t *testing.T) {
+	x := NewIndex()
 	k := KeyOf("s", "x")
-	b.Record(1, []Key{k}, false, now)
-	b.RecordReport(1, k, 512, now.Add(time.Millisecond))
-	if got := b.StateAt(k, 5000, 1, now.Add(2*time.Millisecond)); got != InProgress {
-		t.Errorf("state %v", got)
+	x.Record(1, []Key{k}, false, now)
+	x.RecordReport(1, k, 512, now.Add(time.Millisecond))
+	if got := x.StateAt(k, 5000, 1, now.Add(2*time.Millisecond)); got != InProgress {
+		t.Errorf("state %v, want in progress", got)
 	}
-	b.RecordReport(1, k, 0, now.Add(3*time.Millisecond))
-	if got := b.StateAt(k, 5000, 1, now.Add(4*time.Millisecond)); got != InProgress {
-		t.Errorf("state %v after the word that an earlier copy was dropped", got)
+	x.RecordReport(1, k, 0, now.Add(3*time.Millisecond))
+	if got := x.StateAt(k, 5000, 1, now.Add(4*time.Millisecond)); got != InProgress {
+		t.Errorf("state %v after the reported eviction of an earlier copy, want in progress", got)
 	}
 }
 
-// A cache has dropped most blocks of a part. Prompts that share it wait for who reads
-// it again, and save it again, as if it were gone.
-func TestPartThatIsHeldInPartCountsAsGone(t *testing.T) {
-	b := NewIndex()
+// A partly evicted part counts as absent: prompts wait for its new prefill and offload it
+// again.
+func TestPartlyEvictedPartIsAbsent(t *testing.T) {
+	x := NewIndex()
 	k := KeyOf("s", "x")
-	b.RecordReport(1, k, 512, now)
-	if got := b.StateAt(k, 5000, 1, now); got != Absent {
-		t.Errorf("state %v", got)
+	x.RecordReport(1, k, 512, now)
+	if got := x.StateAt(k, 5000, 1, now); got != Absent {
+		t.Errorf("state %v, want absent", got)
 	}
-	if got := b.StateAt(k, 520, 1, now); got != Cached {
-		t.Errorf("state %v but for its last block", got)
+	if got := x.StateAt(k, 520, 1, now); got != Cached {
+		t.Errorf("state %v of a part that lacks less than a block, want cached", got)
 	}
-	b.Record(2, []Key{k}, false, now)
+	x.Record(2, []Key{k}, false, now)
 	seen := map[fleet.ID]State{}
-	b.VisitLocations(k, 5000, now, func(target fleet.ID, s State) { seen[target] = s })
+	x.VisitLocations(k, 5000, now, func(target fleet.ID, s State) { seen[target] = s })
 	if len(seen) != 1 || seen[2] != InProgress {
-		t.Errorf("holders %v", seen)
+		t.Errorf("locations %v, want target 2 in progress only", seen)
 	}
 }
 
-// A part that is held in part is read again. It is coming there, and is no source for
-// others yet.
-func TestReadingAgainWhatIsHeldInPart(t *testing.T) {
-	b := NewIndex()
+// A partly cached part that is computed again is in progress, and becomes cached when the
+// engine reports all of it.
+func TestRepeatedPrefillOfPartlyEvictedPart(t *testing.T) {
+	x := NewIndex()
 	k := KeyOf("s", "x")
-	b.RecordReport(1, k, 512, now)
-	b.Record(1, []Key{k}, false, now)
-	if got := b.StateAt(k, 5000, 1, now); got != InProgress {
-		t.Errorf("state %v", got)
+	x.RecordReport(1, k, 512, now)
+	x.Record(1, []Key{k}, false, now)
+	if got := x.StateAt(k, 5000, 1, now); got != InProgress {
+		t.Errorf("state %v, want in progress", got)
 	}
-	if got := prefixOf(b, 1, sized(5000, 10), time.Minute, now); got != 512 {
-		t.Errorf("%d tokens while it is read", got)
+	if got := prefixTokens(x, 1, sizedPrompt(5000, 10), time.Minute, now); got != 512 {
+		t.Errorf("prefix has %d tokens during the prefill, want 512", got)
 	}
-	b.RecordReport(1, k, 5000, now)
-	if got := b.StateAt(k, 5000, 1, now); got != Cached {
-		t.Errorf("state %v after the engine's word", got)
+	x.RecordReport(1, k, 5000, now)
+	if got := x.StateAt(k, 5000, 1, now); got != Cached {
+		t.Errorf("state %v after the report of all tokens, want cached", got)
 	}
 }
 
-// Engines tell of what they read block by block, and late. A part that a prompt has
-// just been answered from is whole, whatever such a word says.
-func TestLateWordOfAPartThatWasReadMeanwhile(t *testing.T) {
-	b := NewIndex()
+// A delayed report of an incomplete part doesn't override a prefill that finished meanwhile.
+func TestDelayedReportDoesNotOverrideFinishedPrefill(t *testing.T) {
+	x := NewIndex()
 	k := KeyOf("s", "x")
-	b.Record(1, []Key{k}, false, now)
-	b.Record(1, []Key{k}, true, now.Add(100*time.Millisecond))
+	x.Record(1, []Key{k}, false, now)
+	x.Record(1, []Key{k}, true, now.Add(100*time.Millisecond))
 	for _, late := range []int{2048, 0} {
-		b.RecordReport(1, k, late, now.Add(200*time.Millisecond))
-		if got := b.StateAt(k, 5000, 1, now.Add(200*time.Millisecond)); got != Cached {
-			t.Errorf("%d tokens: state %v", late, got)
+		x.RecordReport(1, k, late, now.Add(200*time.Millisecond))
+		if got := x.StateAt(k, 5000, 1, now.Add(200*time.Millisecond)); got != Cached {
+			t.Errorf("delayed report of %d tokens: state %v, want cached", late, got)
 		}
 	}
-	b.RecordReport(1, k, 2048, now.Add(101*time.Millisecond+settleTime))
-	if got := b.StateAt(k, 5000, 1, now.Add(101*time.Millisecond+settleTime)); got != Absent {
-		t.Errorf("state %v by a word that is newer", got)
+	x.RecordReport(1, k, 2048, now.Add(101*time.Millisecond+maxReportDelay))
+	if got := x.StateAt(k, 5000, 1, now.Add(101*time.Millisecond+maxReportDelay)); got != Absent {
+		t.Errorf("state %v after a newer report, want absent", got)
 	}
 }
