--- a/internal/gateway/tracker/queue.go
+++ b/internal/gateway/tracker/queue.go
@@ -8,100 +8,101 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/parts"
 )
 
-// send is one prompt at the engine.
+// send is a prompt that was sent to the engine and has not ended.
 type send struct {
-	urgency int
-	// reads is how long the engine reads it, memory the tokens that it takes.
-	reads  time.Duration
-	memory int
-	keys   []parts.Key
-	// saved is set when the engine saves the parts to their store.
-	saved bool
-	// begunAt is when it was sent, endsAt when the engine has certainly ended it.
-	begunAt, endsAt time.Time
-	// wasRead is set once its first event has come.
-	wasRead bool
+	priority int
+	// prefill is the estimated prefill time, and memoryTokens the memory that the prompt
+	// takes in tokens.
+	prefill      time.Duration
+	memoryTokens int
+	keys         []parts.Key
+	// offloaded is set if the engine offloads the parts to their store.
+	offloaded bool
+	// expiresAt is when the engine has certainly finished the prompt.
+	sentAt, expiresAt time.Time
+	// prefilled is set once the first event has arrived.
+	prefilled bool
 }
 
-// before reports whether the engine reads s before o.
-func (s *send) before(o *send) bool {
-	if s.urgency != o.urgency {
-		return s.urgency < o.urgency
+// precedes reports whether the prefill of s comes before that of o.
+func (s *send) precedes(o *send) bool {
+	if s.priority != o.priority {
+		return s.priority < o.priority
 	}
-	return s.begunAt.Before(o.begunAt)
+	return s.sentAt.Before(o.sentAt)
 }
 
-// readAtLeast is the part of a prompt's reading that counts until its first event comes.
-const readAtLeast = 0.15
+// minRemainingShare is the least share of a prefill that counts as remaining until the first
+// event arrives.
+const minRemainingShare = 0.15
 
-// remaining is how much of the prompt that is being read is left, when the engine was
-// free for it from a time on.
-func (s *send) remaining(freeAt, now time.Time) time.Duration {
-	since := s.begunAt
-	if freeAt.After(since) {
-		since = freeAt
+// remaining returns the remaining prefill time of the prompt that the engine is computing,
+// whose prefill began when it was sent or when the previous prefill finished.
+func (s *send) remaining(lastPrefillEnd, now time.Time) time.Duration {
+	since := s.sentAt
+	if lastPrefillEnd.After(since) {
+		since = lastPrefillEnd
 	}
-	return max(s.reads-now.Sub(since), time.Duration(readAtLeast*float64(s.reads)))
+	return max(s.prefill-now.Sub(since), time.Duration(minRemainingShare*float64(s.prefill)))
 }
 
-// workOf is what is under way at an engine that reads one prompt after the other, the
-// most urgent first, and was free for the next one from a time on.
+// workOf returns the outstanding work of an engine that prefills one prompt at a time in order
+// of priority, and finished the previous prefill at lastPrefillEnd.
 //
-// The load pattern that it answers: short urgent prompts and long ones of another route
-// share engines that read all the time. Only one prompt is being read, and holds up all
-// others; the rest hold up those that are as urgent or less so. Were each that should
-// have begun by now to count as being read, the urgent ones would be expected much later
-// than they begin, and be put behind the others as late.
-func workOf(sends []*send, freeAt, now time.Time) ledger.Work {
+// Short prompts of high priority and long ones of low priority can share a saturated engine.
+// Only the prompt being computed delays all others; the rest delay those of the same or a
+// lower priority. Counting several as being computed would overestimate the wait of prompts
+// of high priority and demote them as late.
+func workOf(sends []*send, lastPrefillEnd, now time.Time) ledger.Work {
 	var w ledger.Work
-	var head *send
+	var current *send
 	for _, s := range sends {
 		w.Running++
-		w.Memory[s.urgency] += s.memory
-		if s.wasRead {
+		w.Memory[s.priority] += s.memoryTokens
+		if s.prefilled {
 			continue
 		}
-		w.Reading[s.urgency] += s.reads
-		if head == nil || s.before(head) {
-			head = s
+		w.Reading[s.priority] += s.prefill
+		if current == nil || s.precedes(current) {
+			current = s
 		}
 	}
-	if head != nil {
-		w.Reading[head.urgency] -= head.reads
-		w.Reading[0] += head.remaining(freeAt, now)
+	if current != nil {
+		w.Reading[current.priority] -= current.prefill
+		w.Reading[0] += current.remaining(lastPrefillEnd, now)
 	}
 	return w
 }
 
-// arrivalsWindow is the time over which what the engine is given to read is averaged.
-const arrivalsWindow = 2 * time.Second
+// offeredLoadWindow is the time constant of the average offered load.
+const offeredLoadWindow = 2 * time.Second
 
-// arrivals averages the share of its time for which an engine is given prompts to read,
-// by their urgency.
-type arrivals struct {
-	share [ledger.Urgencies]float64
-	at    time.Time
+// offeredLoad averages the prefill time that an engine is sent per unit of time, by
+// priority.
+type offeredLoad struct {
+	share     [ledger.Urgencies]float64
+	updatedAt time.Time
 }
 
-func (a *arrivals) add(urgency int, reads time.Duration, now time.Time) {
-	a.decay(now)
-	a.share[urgency] += reads.Seconds() / arrivalsWindow.Seconds()
+func (l *offeredLoad) add(priority int, prefill time.Duration, now time.Time) {
+	l.decay(now)
+	l.share[priority] += prefill.Seconds() / offeredLoadWindow.Seconds()
 }
 
-func (a *arrivals) decay(now time.Time) {
-	keep := math.Exp(-now.Sub(a.at).Seconds() / arrivalsWindow.Seconds())
-	for u := range a.share {
-		a.share[u] *= keep
+func (l *offeredLoad) decay(now time.Time) {
+	factor := math.Exp(-now.Sub(l.updatedAt).Seconds() / offeredLoadWindow.Seconds())
+	for priority := range l.share {
+		l.share[priority] *= factor
 	}
-	a.at = now
+	l.updatedAt = now
 }
 
-// thousandths returns the shares as they are told.
-func (a *arrivals) thousandths(now time.Time) ledger.Lanes[int] {
-	a.decay(now)
+// permille returns the load by priority, in thousandths of the engine's time.
+func (l *offeredLoad) permille(now time.Time) ledger.Lanes[int] {
+	l.decay(now)
 	var all ledger.Lanes[int]
-	for u, share := range a.share {
-		all[u] = int(1000 * share)
+	for priority, share := range l.share {
+		all[priority] = int(1000 * share)
 	}
 	return all
 }
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -1,7 +1,8 @@
-// Package tracker is what a sidecar knows of its engine: what all entries have sent
-// there and it has not finished, what its cache holds, how fast it is, and whether it
-// fails. It is soft state: a sidecar that starts again knows it anew within the time in
-// which requests end.
+// Package tracker records what a sidecar knows about its engine: the prompts that all entries
+// have sent and that have not finished, the content of its cache, its speed and its health.
+//
+// The state is kept in memory only. After a restart it is complete again once the requests
+// from before the restart have ended.
 package tracker
 
 import (
@@ -19,24 +20,24 @@
 )
 
 const (
-	// keptFor is for how long a part that was read counts as held without the cache's
-	// own word, which comes some 150 ms later.
-	keptFor = 2 * time.Second
-	// sweepPeriod is how often sends are looked through for those whose end was never
-	// told: its datagram was lost, or its entry died.
-	sweepPeriod = 250 * time.Millisecond
-	// mostSends bounds the memory, some 300 bytes each. An engine runs and queues some
+	// unreportedTTL is how long a part counts as cached after its prefill without a report of
+	// the cache, which arrives after about 150 ms.
+	unreportedTTL = 2 * time.Second
+	// sweepInterval is how often expired sends are removed, whose end was never announced
+	// because the datagram was lost or the entry died.
+	sweepInterval = 250 * time.Millisecond
+	// maxSends bounds the memory to about 300 bytes per send. An engine runs and queues some
 	// hundred requests.
-	mostSends = 4096
-	// mostParts bounds the shared parts that one send names.
-	mostParts = 16
+	maxSends = 4096
+	// maxParts is the largest number of shared parts that are tracked for a prompt.
+	maxParts = 16
 )
 
-// theStore stands for the store of a prompt's parts, whichever that is: what it holds is
-// known here only from this engine's saves.
-const theStore = fleet.ID(0)
+// anyStore stands for the store of a prompt's parts, whichever that is: only what this engine
+// offloads is known of stores.
+const anyStore = fleet.ID(0)
 
-// State is what the engine's controller knows of it.
+// State is what the engine's controller knows of the engine.
 type State struct {
 	Incarnation fleet.Life
 	Weights     map[string]int64
@@ -45,35 +46,36 @@
 	ReportedAt time.Time
 }
 
-// Tracker is safe for concurrent use.
+// Tracker tracks one engine. It implements probe.Engine and is safe for concurrent use.
 type Tracker struct {
 	now func() time.Time
 
 	mu     sync.Mutex
 	known  bool
 	state  State
-	book   *parts.Index
+	index  *parts.Index
 	paces  *readtime.Paces
 	health *health.Book
 	sends  map[probe.SendID]*send
-	// elsewhere is where other engines read the families of which this one is the first.
-	elsewhere *elsewhere
-	// freeAt is when the engine had read the last prompt.
-	freeAt   time.Time
-	arriving arrivals
-	sweptAt  time.Time
+	// remote tracks families that have this engine as their first choice.
+	remote *remotePrefills
+	// lastPrefillEnd is when the engine last finished a prefill.
+	lastPrefillEnd time.Time
+	offered        offeredLoad
+	sweptAt        time.Time
 }
 
-// New returns a tracker of an engine of which nothing is known.
+// New returns a tracker with no knowledge of its engine.
 func New(now func() time.Time) *Tracker {
 	return &Tracker{
-		now: now, book: parts.NewIndex(), paces: readtime.NewPaces(),
-		health: health.NewBook(nil), sends: map[probe.SendID]*send{}, elsewhere: newElsewhere(),
+		now: now, index: parts.NewIndex(), paces: readtime.NewPaces(),
+		health: health.NewBook(nil), sends: map[probe.SendID]*send{}, remote: newRemotePrefills(),
 	}
 }
 
-// SetState takes in what the engine's controller knows. What was sent to an earlier life of
-// the engine ended with it; one that does not answer for a moment keeps its life.
+// SetState sets the state of the engine. If the engine has restarted, the sends and the cache
+// content of the earlier incarnation are deleted. An empty incarnation, of an engine that
+// does not respond at the moment, leaves the last one in place.
 func (t *Tracker) SetState(s State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,24 +83,25 @@
 		s.Incarnation = t.state.Incarnation
 	}
 	if t.known && s.Incarnation != t.state.Incarnation && t.state.Incarnation.Instance != "" {
-		t.forget()
+		t.reset()
 	}
 	t.known, t.state = true, s
 }
 
-func (t *Tracker) forget() {
-	t.book, t.paces = parts.NewIndex(), readtime.NewPaces()
+// reset deletes what is known of an earlier incarnation. The caller holds mu.
+func (t *Tracker) reset() {
+	t.index, t.paces = parts.NewIndex(), readtime.NewPaces()
 	clear(t.sends)
 }
 
-// SetCached takes in that the engine's cache holds so many tokens of a part now.
+// SetCached records how many tokens of a part the engine's cache has reported.
 func (t *Tracker) SetCached(k parts.Key, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.book.RecordReport(t.id(), k, tokens, t.now())
+	t.index.RecordReport(t.id(), k, tokens, t.now())
 }
 
-// id is the engine's short name. The caller holds mu.
+// id returns the engine's ID. The caller holds mu.
 func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Incarnation.String()) }
 
 // Probe implements probe.Engine.
@@ -112,39 +115,40 @@
 	t.sweep(now)
 	a := probe.Answer{
 		Life: t.state.Incarnation, Weights: t.state.Weights, Phase: t.state.Phase,
-		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), Arriving: t.arriving.thousandths(now), Pace: t.paces.Of(t.state.Incarnation, now), ReportAge: now.Sub(t.state.ReportedAt),
+		Work: workOf(slices.Collect(maps.Values(t.sends)), t.lastPrefillEnd, now), Arriving: t.offered.permille(now), Pace: t.paces.Of(t.state.Incarnation, now), ReportAge: now.Sub(t.state.ReportedAt),
 	}
 	_, a.Ill = t.health.Rested(now)[t.state.Incarnation]
-	t.lookUp(p, &a, now)
+	t.fillCacheState(p, &a, now)
 	return a, true
 }
 
-// lookUp fills in what the engine holds or reads of a prompt's shared parts, at the
-// weights that it has. The caller holds mu.
-func (t *Tracker) lookUp(p probe.Prompt, a *probe.Answer, now time.Time) {
-	keys := keysOf(p, t.state.Weights[p.Model])
+// fillCacheState sets which of a prompt's shared parts are cached or in progress, for the
+// weights that the engine has loaded. The caller holds mu.
+func (t *Tracker) fillCacheState(p probe.Prompt, a *probe.Answer, now time.Time) {
+	keys := partKeys(p, t.state.Weights[p.Model])
 	if len(keys) == 0 {
 		return
 	}
 	id := t.id()
-	for _, held := range t.book.Prefixes(keys, p.Parts[:len(keys)], keptFor, now) {
-		if held.Target == id {
-			a.Held = held.Tokens
+	for _, prefix := range t.index.Prefixes(keys, p.Parts[:len(keys)], unreportedTTL, now) {
+		if prefix.Target == id {
+			a.Held = prefix.Tokens
 		}
 	}
 	for i, k := range keys {
-		if t.book.StateAt(k, p.Parts[i].Tokens, id, now) == parts.InProgress {
+		if t.index.StateAt(k, p.Parts[i].Tokens, id, now) == parts.InProgress {
 			a.Coming = true
 		}
 	}
 	last := len(keys) - 1
-	a.Saved = t.book.StateAt(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Cached
-	t.elsewhere.lookUp(keys[last], a, now)
+	a.Saved = t.index.StateAt(keys[last], p.Parts[last].Tokens, anyStore, now) == parts.Cached
+	t.remote.fillAnswer(keys[last], a, now)
 }
 
-func keysOf(p probe.Prompt, version int64) []parts.Key {
+// partKeys returns the keys of a prompt's parts for a version of the weights.
+func partKeys(p probe.Prompt, version int64) []parts.Key {
 	scope := parts.Scope(p.Model, version, p.Isolated)
-	n := min(len(p.Parts), mostParts)
+	n := min(len(p.Parts), maxParts)
 	keys := make([]parts.Key, 0, n)
 	for _, part := range p.Parts[:n] {
 		keys = append(keys, parts.KeyOf(scope, part.ID))
@@ -158,41 +162,41 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	t.sweep(now)
-	if len(t.sends) >= mostSends || t.sends[id] != nil {
+	if len(t.sends) >= maxSends || t.sends[id] != nil {
 		return
 	}
 	if s.Holder.IsValid() {
-		t.elsewhere.sent(id, keysOf(s.Prompt, s.Weights), s, now)
+		t.remote.record(id, partKeys(s.Prompt, s.Weights), s, now)
 		return
 	}
-	one := &send{
-		urgency: s.Urgency, reads: s.Read, memory: s.Memory, keys: keysOf(s.Prompt, s.Weights), saved: s.Saved,
-		begunAt: now, endsAt: now.Add(s.Lifetime),
+	tracked := &send{
+		priority: s.Urgency, prefill: s.Read, memoryTokens: s.Memory, keys: partKeys(s.Prompt, s.Weights), offloaded: s.Saved,
+		sentAt: now, expiresAt: now.Add(s.Lifetime),
 	}
-	t.sends[id] = one
-	t.arriving.add(one.urgency, one.reads, now)
-	t.book.Record(t.id(), one.keys, false, now)
-	t.book.DropUpdates() // nobody else is told
+	t.sends[id] = tracked
+	t.offered.add(tracked.priority, tracked.prefill, now)
+	t.index.Record(t.id(), tracked.keys, false, now)
+	t.index.DropUpdates() // a sidecar announces no updates
 }
 
-// Progressed implements probe.Engine. The failure guarded against is a word that comes
-// late or twice: it finds no send of its name.
+// Progressed implements probe.Engine. It ignores late or repeated messages, which refer to no
+// known send.
 func (t *Tracker) Progressed(id probe.SendID, p probe.Progress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	one := t.sends[id]
-	if one == nil {
-		t.elsewhere.progressed(id, p, now)
+	tracked := t.sends[id]
+	if tracked == nil {
+		t.remote.update(id, p, now)
 		return
 	}
 	if p.Read {
-		one.wasRead, t.freeAt = true, now
-		t.book.Record(t.id(), one.keys, true, now)
-		if one.saved {
-			t.book.Record(theStore, one.keys, true, now)
+		tracked.prefilled, t.lastPrefillEnd = true, now
+		t.index.Record(t.id(), tracked.keys, true, now)
+		if tracked.offloaded {
+			t.index.Record(anyStore, tracked.keys, true, now)
 		}
-		t.book.DropUpdates()
+		t.index.DropUpdates()
 		t.paces.Note(t.state.Incarnation, p.Took, p.Expected, now)
 	}
 	if p.Ended {
@@ -201,14 +205,14 @@
 	}
 }
 
-// sweep ends the sends whose lifetime is over. The caller holds mu.
+// sweep removes expired sends. The caller holds mu.
 func (t *Tracker) sweep(now time.Time) {
-	if now.Sub(t.sweptAt) < sweepPeriod {
+	if now.Sub(t.sweptAt) < sweepInterval {
 		return
 	}
 	t.sweptAt = now
-	for id, one := range t.sends {
-		if now.After(one.endsAt) {
+	for id, tracked := range t.sends {
+		if now.After(tracked.expiresAt) {
 			delete(t.sends, id)
 		}
 	}
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -15,44 +15,45 @@
 
 var start = time.Unix(1000, 0)
 
-// bench is a tracker on a clock of the test's.
-type bench struct {
+// testTracker is a Tracker with a clock that the test advances.
+type testTracker struct {
 	*Tracker
-	at     time.Time
-	number uint32
+	clock      time.Time
+	lastNumber uint32
 }
 
-func newBench() *bench {
-	b := &bench{at: start}
-	b.Tracker = New(func() time.Time { return b.at })
-	b.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
-	return b
+func newTestTracker() *testTracker {
+	tr := &testTracker{clock: start}
+	tr.Tracker = New(func() time.Time { return tr.clock })
+	tr.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
+	return tr
 }
 
-func (b *bench) pass(d time.Duration) { b.at = b.at.Add(d) }
+func (tr *testTracker) advance(d time.Duration) { tr.clock = tr.clock.Add(d) }
 
-func (b *bench) send(s probe.Send) probe.SendID {
-	b.number++
-	id := probe.SendID{Entry: netip.MustParseAddrPort("10.0.0.1:5000"), Number: b.number}
+func (tr *testTracker) send(s probe.Send) probe.SendID {
+	tr.lastNumber++
+	id := probe.SendID{Entry: netip.MustParseAddrPort("10.0.0.1:5000"), Number: tr.lastNumber}
 	if s.Lifetime == 0 {
 		s.Lifetime = 10 * time.Second
 	}
 	if s.Weights == 0 {
 		s.Weights = 1
 	}
-	b.Sent(id, s)
+	tr.Sent(id, s)
 	return id
 }
 
-func (b *bench) probe(t *testing.T, p probe.Prompt) probe.Answer {
+func (tr *testTracker) mustProbe(t *testing.T, p probe.Prompt) probe.Answer {
 	t.Helper()
-	a, ok := b.Probe(p)
+	a, ok := tr.Probe(p)
 	if !ok {
-		t.Fatal("nothing is known")
+		t.Fatal("Probe has no answer")
 	}
 	return a
 }
 
+// promptOf returns a prompt with shared parts of 1000 tokens each.
 func promptOf(parts ...string) probe.Prompt {
 	p := probe.Prompt{Model: "m"}
 	for _, id := range parts {
@@ -61,228 +62,221 @@
 	return p
 }
 
-// Four short urgent prompts and six long ones have been sent to an engine, and should
-// all have begun by now. Only one is being read. A further urgent prompt waits for that
-// one and for the urgent ones, not for the long ones: expected behind all, it was put
-// behind them as late, and was.
-func TestUrgentPromptIsNotExpectedBehindLongOnes(t *testing.T) {
-	b := newBench()
+// The estimated wait of a prompt of high priority includes the prompt being computed and
+// those of its own priority, but not queued ones of lower priority.
+func TestHighPriorityDoesNotWaitForLowPriority(t *testing.T) {
+	tr := newTestTracker()
 	for range 6 {
-		b.send(probe.Send{Urgency: 1, Read: 180 * time.Millisecond})
+		tr.send(probe.Send{Urgency: 1, Read: 180 * time.Millisecond})
 	}
 	for range 4 {
-		b.send(probe.Send{Urgency: 0, Read: 36 * time.Millisecond})
+		tr.send(probe.Send{Urgency: 0, Read: 36 * time.Millisecond})
 	}
-	b.pass(200 * time.Millisecond)
-	work := b.probe(t, promptOf()).Work
-	if urgent := work.Reading.UpTo(0); urgent > 150*time.Millisecond {
-		t.Errorf("an urgent prompt would wait for %v", urgent)
+	tr.advance(200 * time.Millisecond)
+	work := tr.mustProbe(t, promptOf()).Work
+	if high := work.Reading.UpTo(0); high > 150*time.Millisecond {
+		t.Errorf("a prompt of high priority would wait for %v, want at most 150ms", high)
 	}
 	if all := work.Reading.UpTo(1); all < 6*180*time.Millisecond {
-		t.Errorf("a long prompt would wait for %v only", all)
+		t.Errorf("a prompt of low priority would wait for %v, want at least the prefill of all six", all)
 	}
 }
 
-// The prompt that is being read has a part of its reading behind it, and the next one
-// begins when its first event comes: the engine's own pace shows, not the schedule that
-// was expected.
-func TestOnlyThePromptBeingReadShrinks(t *testing.T) {
-	b := newBench()
-	first := b.send(probe.Send{Urgency: 1, Read: 100 * time.Millisecond})
-	b.send(probe.Send{Urgency: 1, Read: 100 * time.Millisecond})
-	b.pass(60 * time.Millisecond)
-	if got := b.probe(t, promptOf()).Work.Reading.All(); got != 140*time.Millisecond {
-		t.Errorf("%v are left, want 140ms", got)
-	}
-	b.pass(400 * time.Millisecond)
-	if got := b.probe(t, promptOf()).Work.Reading.All(); got != 115*time.Millisecond {
-		t.Errorf("%v are left of a prompt that takes longer than expected and of one behind it, want 115ms", got)
-	}
-	b.Progressed(first, probe.Progress{Read: true})
-	b.pass(30 * time.Millisecond)
-	if got := b.probe(t, promptOf()).Work.Reading.All(); got != 70*time.Millisecond {
-		t.Errorf("%v are left of the second, want 70ms", got)
+// Only the remaining prefill time of the prompt being computed decreases. The next prefill
+// starts at the first event, not at its estimated time.
+func TestOnlyCurrentPrefillDecreases(t *testing.T) {
+	tr := newTestTracker()
+	first := tr.send(probe.Send{Urgency: 1, Read: 100 * time.Millisecond})
+	tr.send(probe.Send{Urgency: 1, Read: 100 * time.Millisecond})
+	tr.advance(60 * time.Millisecond)
+	if got := tr.mustProbe(t, promptOf()).Work.Reading.All(); got != 140*time.Millisecond {
+		t.Errorf("remaining prefill time is %v, want 140ms", got)
+	}
+	tr.advance(400 * time.Millisecond)
+	if got := tr.mustProbe(t, promptOf()).Work.Reading.All(); got != 115*time.Millisecond {
+		t.Errorf("remaining prefill time behind an overdue prompt is %v, want 115ms", got)
+	}
+	tr.Progressed(first, probe.Progress{Read: true})
+	tr.advance(30 * time.Millisecond)
+	if got := tr.mustProbe(t, promptOf()).Work.Reading.All(); got != 70*time.Millisecond {
+		t.Errorf("remaining prefill time of the second prompt is %v, want 70ms", got)
 	}
 }
 
-// Urgent prompts come all the time; a less urgent one is read in between. How much of the
-// engine's time they take is told, so that its wait can be reckoned.
-func TestArrivalsAreToldByUrgency(t *testing.T) {
-	b := newBench()
+// Answers contain the offered load by priority. Without it the wait of prompts of low
+// priority at an engine with steady traffic of high priority would be underestimated.
+func TestOfferedLoadByPriority(t *testing.T) {
+	tr := newTestTracker()
 	for range 100 {
-		id := b.send(probe.Send{Urgency: 0, Read: 40 * time.Millisecond})
-		b.pass(100 * time.Millisecond)
-		b.Progressed(id, probe.Progress{Read: true})
-		b.Progressed(id, probe.Progress{Ended: true})
+		id := tr.send(probe.Send{Urgency: 0, Read: 40 * time.Millisecond})
+		tr.advance(100 * time.Millisecond)
+		tr.Progressed(id, probe.Progress{Read: true})
+		tr.Progressed(id, probe.Progress{Ended: true})
 	}
-	arriving := b.probe(t, promptOf()).Arriving
-	if got := arriving.UpTo(0); got < 350 || got > 450 {
-		t.Errorf("urgent prompts take %d thousandths of its time, want some 400", got)
+	offered := tr.mustProbe(t, promptOf()).Arriving
+	if got := offered.UpTo(0); got < 350 || got > 450 {
+		t.Errorf("offered load of high priority is %d permille, want about 400", got)
 	}
-	b.pass(5 * arrivalsWindow)
-	if got := b.probe(t, promptOf()).Arriving.All(); got > 10 {
-		t.Errorf("%d thousandths long after the last one", got)
+	tr.advance(5 * offeredLoadWindow)
+	if got := tr.mustProbe(t, promptOf()).Arriving.All(); got > 10 {
+		t.Errorf("offered load is %d permille long after the last prompt", got)
 	}
 }
 
-// An entry dies, and the end of its sends is never told. They must not count for ever,
-// or the engine would seem full.
-func TestSendsWithoutAnEndAreForgotten(t *testing.T) {
-	b := newBench()
-	b.send(probe.Send{Read: time.Second, Memory: 5000, Lifetime: 3 * time.Second})
-	if got := b.probe(t, promptOf()).Work; got.Running != 1 || got.Memory.All() != 5000 {
-		t.Fatalf("work %+v", got)
-	}
-	b.pass(4 * time.Second)
-	if got := b.probe(t, promptOf()).Work; got.Running != 0 || got.Memory.All() != 0 {
-		t.Errorf("work %+v after its lifetime", got)
+// Sends whose end is never announced, because their entry died, expire. Otherwise the engine
+// would seem fully loaded forever.
+func TestSendsExpire(t *testing.T) {
+	tr := newTestTracker()
+	tr.send(probe.Send{Read: time.Second, Memory: 5000, Lifetime: 3 * time.Second})
+	if got := tr.mustProbe(t, promptOf()).Work; got.Running != 1 || got.Memory.All() != 5000 {
+		t.Fatalf("work %+v, want one send with 5000 tokens", got)
+	}
+	tr.advance(4 * time.Second)
+	if got := tr.mustProbe(t, promptOf()).Work; got.Running != 0 || got.Memory.All() != 0 {
+		t.Errorf("work %+v after the lifetime of the send, want none", got)
 	}
 }
 
-// An engine crashes and starts again under another name. What the earlier life was sent,
-// and held, has ended with it.
-func TestNewLifeOfTheEngineBeginsEmpty(t *testing.T) {
-	b := newBench()
-	id := b.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
-	b.Progressed(id, probe.Progress{Read: true})
-	b.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
-	b.SetState(State{Incarnation: fleet.Life{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
-	if a := b.probe(t, promptOf("a")); a.Work.Running != 0 || a.Held != 0 || a.Life.Instance != "i-2" {
-		t.Errorf("answer %+v", a)
-	}
-	b.Progressed(id, probe.Progress{Ended: true, Outcome: health.Failed})
-	if a := b.probe(t, promptOf("b")); a.Held != 0 || a.Ill {
-		t.Errorf("answer %+v after a late word", a)
+// The sends and cached parts of an earlier incarnation don't count after a restart of the
+// engine.
+func TestNewIncarnationStartsEmpty(t *testing.T) {
+	tr := newTestTracker()
+	id := tr.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
+	tr.Progressed(id, probe.Progress{Read: true})
+	tr.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
+	tr.SetState(State{Incarnation: fleet.Life{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
+	if a := tr.mustProbe(t, promptOf("a")); a.Work.Running != 0 || a.Held != 0 || a.Life.Instance != "i-2" {
+		t.Errorf("answer %+v after the restart", a)
+	}
+	tr.Progressed(id, probe.Progress{Ended: true, Outcome: health.Failed})
+	if a := tr.mustProbe(t, promptOf("b")); a.Held != 0 || a.Ill {
+		t.Errorf("answer %+v after a late message", a)
 	}
 }
 
-// Two prompts share a part. While the first is being read the second is told that the
-// part is coming, afterwards that it is held; the cache's own word overrules that, and
-// other weights share nothing.
-func TestPartsAreComingThenHeldThenAsTheCacheSays(t *testing.T) {
-	b := newBench()
-	id := b.send(probe.Send{Prompt: promptOf("a", "b"), Read: 100 * time.Millisecond})
-	if a := b.probe(t, promptOf("a", "b")); !a.Coming || a.Held != 0 {
-		t.Errorf("while it is read: coming %v, held %d", a.Coming, a.Held)
-	}
-	b.Progressed(id, probe.Progress{Read: true})
-	if a := b.probe(t, promptOf("a", "c")); a.Coming || a.Held != 1000 {
-		t.Errorf("afterwards: coming %v, held %d", a.Coming, a.Held)
-	}
-	b.pass(time.Second)
-	b.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "a"), 0)
-	if a := b.probe(t, promptOf("a", "b")); a.Held != 0 {
-		t.Errorf("%d held of a prompt whose beginning was dropped", a.Held)
-	}
-	b.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: b.at})
-	if a := b.probe(t, promptOf("b")); a.Held != 0 {
-		t.Errorf("%d held that were made by other weights", a.Held)
+// A shared part is in progress during its prefill and cached afterwards, until the cache
+// reports otherwise or the engine loads other weights.
+func TestPartsAreInProgressThenCachedThenAsReported(t *testing.T) {
+	tr := newTestTracker()
+	id := tr.send(probe.Send{Prompt: promptOf("a", "b"), Read: 100 * time.Millisecond})
+	if a := tr.mustProbe(t, promptOf("a", "b")); !a.Coming || a.Held != 0 {
+		t.Errorf("during the prefill: in progress %v, %d tokens cached", a.Coming, a.Held)
+	}
+	tr.Progressed(id, probe.Progress{Read: true})
+	if a := tr.mustProbe(t, promptOf("a", "c")); a.Coming || a.Held != 1000 {
+		t.Errorf("after the prefill: in progress %v, %d tokens cached", a.Coming, a.Held)
+	}
+	tr.advance(time.Second)
+	tr.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "a"), 0)
+	if a := tr.mustProbe(t, promptOf("a", "b")); a.Held != 0 {
+		t.Errorf("%d tokens cached of a prompt whose first part was evicted, want 0", a.Held)
+	}
+	tr.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: tr.clock})
+	if a := tr.mustProbe(t, promptOf("b")); a.Held != 0 {
+		t.Errorf("%d tokens cached that were computed with other weights, want 0", a.Held)
 	}
 }
 
-// A family's first engine is busy; a prompt of it goes elsewhere and is read there. The
-// next prompt asks the first engine, and is told where the parts are instead of having
-// them read again.
-func TestFirstEngineKnowsWhereItsFamilyIsRead(t *testing.T) {
-	b := newBench()
+// When a prompt of a family goes to another engine, its first engine answers where the parts
+// are. Otherwise the next prompt would compute them again.
+func TestFirstEngineKnowsRemotePrefill(t *testing.T) {
+	tr := newTestTracker()
 	other := netip.MustParseAddrPort("10.0.0.9:8000")
-	id := b.send(probe.Send{Prompt: promptOf("a", "b"), Holder: other, Saved: true})
-	if a := b.probe(t, promptOf("a", "b")); !a.Coming || a.Holder.IsValid() || a.Work.Running != 0 {
-		t.Errorf("while it is read elsewhere: %+v", a)
+	id := tr.send(probe.Send{Prompt: promptOf("a", "b"), Holder: other, Saved: true})
+	if a := tr.mustProbe(t, promptOf("a", "b")); !a.Coming || a.Holder.IsValid() || a.Work.Running != 0 {
+		t.Errorf("answer during the prefill elsewhere: %+v", a)
 	}
-	b.Progressed(id, probe.Progress{Read: true})
-	if a := b.probe(t, promptOf("a", "b")); a.Holder != other || !a.Saved || a.Coming {
-		t.Errorf("afterwards: %+v", a)
+	tr.Progressed(id, probe.Progress{Read: true})
+	if a := tr.mustProbe(t, promptOf("a", "b")); a.Holder != other || !a.Saved || a.Coming {
+		t.Errorf("answer after the prefill elsewhere: %+v", a)
 	}
-	b.pass(heldElsewhere)
-	if a := b.probe(t, promptOf("a", "b")); a.Holder.IsValid() || !a.Saved {
-		t.Errorf("once that cache may have dropped it: %+v", a)
+	tr.advance(remoteCachedTTL)
+	if a := tr.mustProbe(t, promptOf("a", "b")); a.Holder.IsValid() || !a.Saved {
+		t.Errorf("answer after the other engine may have evicted the parts: %+v", a)
 	}
-	b.pass(savedFor)
-	if a := b.probe(t, promptOf("a", "b")); a.Saved {
-		t.Error("the store is believed to hold it for ever")
+	tr.advance(offloadedTTL)
+	if a := tr.mustProbe(t, promptOf("a", "b")); a.Saved {
+		t.Error("the parts still count as offloaded after offloadedTTL")
 	}
 }
 
-// The engine elsewhere fails before it has read the parts. Prompts must not wait for
-// them any longer.
-func TestReadingElsewhereThatFailedIsNotAwaited(t *testing.T) {
-	b := newBench()
-	id := b.send(probe.Send{Prompt: promptOf("a"), Holder: netip.MustParseAddrPort("10.0.0.9:8000")})
-	b.Progressed(id, probe.Progress{Ended: true, Outcome: health.Broken})
-	if a := b.probe(t, promptOf("a")); a.Coming || a.Holder.IsValid() {
-		t.Errorf("answer %+v", a)
+// Prompts don't wait for a prefill at another engine that failed.
+func TestFailedRemotePrefillIsNotAwaited(t *testing.T) {
+	tr := newTestTracker()
+	id := tr.send(probe.Send{Prompt: promptOf("a"), Holder: netip.MustParseAddrPort("10.0.0.9:8000")})
+	tr.Progressed(id, probe.Progress{Ended: true, Outcome: health.Broken})
+	if a := tr.mustProbe(t, promptOf("a")); a.Coming || a.Holder.IsValid() {
+		t.Errorf("answer %+v, want neither in progress nor a location", a)
 	}
 }
 
-// Families without number are read elsewhere. What is kept of them stays bounded.
-func TestElsewhereIsBounded(t *testing.T) {
-	e := newElsewhere()
-	for i := range 3 * mostElsewhere {
-		e.sent(probe.SendID{Number: uint32(i)}, []parts.Key{parts.Key(i)}, probe.Send{}, start)
+// The memory for remote prefills stays bounded, however many families there are.
+func TestRemotePrefillsAreBounded(t *testing.T) {
+	r := newRemotePrefills()
+	for i := range 3 * maxRemotePrefills {
+		r.record(probe.SendID{Number: uint32(i)}, []parts.Key{parts.Key(i)}, probe.Send{}, start)
 	}
-	if len(e.families) > mostElsewhere || len(e.byID) > mostElsewhere {
-		t.Errorf("%d families, %d sends", len(e.families), len(e.byID))
+	if len(r.byFamily) > maxRemotePrefills || len(r.byID) > maxRemotePrefills {
+		t.Errorf("%d families and %d sends, want at most maxRemotePrefills", len(r.byFamily), len(r.byID))
 	}
 }
 
-// An engine is slower than the others, then fails nearly all it is sent. Both are told to
-// entries that see it once in ten seconds and could not find out by themselves.
-func TestSlowAndFailingEngineIsTold(t *testing.T) {
-	b := newBench()
+// Answers contain the pace and the health of the engine. Entries that send to it rarely can't
+// measure these themselves.
+func TestAnswerContainsPaceAndHealth(t *testing.T) {
+	tr := newTestTracker()
 	for range 20 {
-		id := b.send(probe.Send{Read: 50 * time.Millisecond})
-		b.Progressed(id, probe.Progress{Read: true, Took: 400 * time.Millisecond, Expected: 100 * time.Millisecond})
-		b.Progressed(id, probe.Progress{Ended: true})
+		id := tr.send(probe.Send{Read: 50 * time.Millisecond})
+		tr.Progressed(id, probe.Progress{Read: true, Took: 400 * time.Millisecond, Expected: 100 * time.Millisecond})
+		tr.Progressed(id, probe.Progress{Ended: true})
 	}
-	if a := b.probe(t, promptOf()); a.Pace < 2 || a.Ill {
-		t.Errorf("pace %.1f, ill %v", a.Pace, a.Ill)
+	if a := tr.mustProbe(t, promptOf()); a.Pace < 2 || a.Ill {
+		t.Errorf("pace %.1f, unhealthy %v, want a slow healthy engine", a.Pace, a.Ill)
 	}
 	for range 10 {
-		b.Progressed(b.send(probe.Send{}), probe.Progress{Ended: true, Outcome: health.Failed})
+		tr.Progressed(tr.send(probe.Send{}), probe.Progress{Ended: true, Outcome: health.Failed})
 	}
-	if a := b.probe(t, promptOf()); !a.Ill {
-		t.Error("an engine that fails all is not told")
+	if a := tr.mustProbe(t, promptOf()); !a.Ill {
+		t.Error("an engine that fails all requests is not unhealthy")
 	}
 }
 
-// An engine is held up for two seconds and its sidecar's questions fail meanwhile. It is
-// the same engine afterwards: what it was sent and holds is still known.
-func TestEngineThatWasHeldUpKeepsWhatIsKnown(t *testing.T) {
-	b := newBench()
-	b.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
-	b.SetState(State{Phase: weights.Silent, Weights: map[string]int64{"m": 1}})
-	if a := b.probe(t, promptOf()); a.Phase != weights.Silent || a.Work.Running != 1 {
-		t.Errorf("while it is silent: %+v", a)
-	}
-	b.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
-	if a := b.probe(t, promptOf("a")); a.Work.Running != 1 || !a.Coming {
-		t.Errorf("afterwards: %+v", a)
+// An engine that is unresponsive for a while and then answers with the same incarnation keeps
+// its sends and cached parts.
+func TestUnresponsiveEngineKeepsState(t *testing.T) {
+	tr := newTestTracker()
+	tr.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
+	tr.SetState(State{Phase: weights.Silent, Weights: map[string]int64{"m": 1}})
+	if a := tr.mustProbe(t, promptOf()); a.Phase != weights.Silent || a.Work.Running != 1 {
+		t.Errorf("answer while unresponsive: %+v", a)
+	}
+	tr.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
+	if a := tr.mustProbe(t, promptOf("a")); a.Work.Running != 1 || !a.Coming {
+		t.Errorf("answer afterwards: %+v", a)
 	}
 }
 
-// BenchmarkProbe is what an answer takes of a sidecar whose engine has 60 prompts.
+// BenchmarkProbe measures an answer about an engine with 60 prompts.
 func BenchmarkProbe(b *testing.B) {
-	t := newBench()
+	tr := newTestTracker()
 	for i := range 60 {
-		t.send(probe.Send{Prompt: promptOf("a", string(rune('b'+i%20))), Urgency: i % 4, Read: 50 * time.Millisecond, Memory: 3000})
+		tr.send(probe.Send{Prompt: promptOf("a", string(rune('b'+i%20))), Urgency: i % 4, Read: 50 * time.Millisecond, Memory: 3000})
 	}
 	p := promptOf("a", "c")
 	b.ReportAllocs()
 	for b.Loop() {
-		t.Probe(p)
+		tr.Probe(p)
 	}
 }
 
-// BenchmarkSend is what a prompt takes of its engine's sidecar: its send, its first event
-// and its end.
+// BenchmarkSend measures the send, first event and end of a prompt.
 func BenchmarkSend(b *testing.B) {
-	t := newBench()
+	tr := newTestTracker()
 	p := promptOf("a", "c")
 	b.ReportAllocs()
 	for b.Loop() {
-		id := t.send(probe.Send{Prompt: p, Urgency: 1, Read: 50 * time.Millisecond, Memory: 3000})
-		t.Progressed(id, probe.Progress{Read: true})
-		t.Progressed(id, probe.Progress{Ended: true})
+		id := tr.send(probe.Send{Prompt: p, Urgency: 1, Read: 50 * time.Millisecond, Memory: 3000})
+		tr.Progressed(id, probe.Progress{Read: true})
+		tr.Progressed(id, probe.Progress{Ended: true})
 	}
 }
