--- a/internal/gateway/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -15,49 +15,48 @@
 )
 
 const (
-	// maxIdle is how long a connection is kept idle. It is below the timeouts
-	// that targets state, so that a request and a target's close seldom cross.
+	// maxIdle is how long idle connections are kept. It is below the timeouts of targets, so
+	// that a request seldom meets a connection that the target is closing.
 	maxIdle = 3 * time.Second
-	// maxFreshIdle is the same for requests that cannot be repeated.
-	maxFreshIdle = 500 * time.Millisecond
-	// maxIdlePerTarget bounds the connections kept to one target.
+	// maxFreshConnIdle replaces maxIdle for requests that can't be retried.
+	maxFreshConnIdle = 500 * time.Millisecond
+	// maxIdlePerTarget is the largest number of idle connections to a target.
 	maxIdlePerTarget = 32
-	// reapPeriod is how often idle connections are looked through.
-	reapPeriod = time.Second
-	// userTimeout is how long sent bytes may stay unacknowledged, and keepAlive
-	// how often an idle connection is probed. Both find a connection that went
-	// silent without a reset: its host is dark or cut off.
+	// reapInterval is the time between checks for expired idle connections.
+	reapInterval = time.Second
+	// userTimeout is how long sent data may remain unacknowledged, and the keep-alive settings
+	// control the probes of idle connections. Both detect hosts that became unreachable
+	// without a reset.
 	userTimeout       = 2 * time.Second
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// tcpUserTimeout is the socket option's number on Linux.
+	// tcpUserTimeout is TCP_USER_TIMEOUT on Linux.
 	tcpUserTimeout = 0x12
 )
 
-// Pool keeps connections to targets. It is safe for concurrent use.
+// Pool manages connections to targets. It is safe for concurrent use.
 type Pool struct {
 	dialer *net.Dialer
-	opened func()
+	onDial func()
 	mu     sync.Mutex
 	idle   map[netip.AddrPort][]*conn
-	// tell of each target how long it keeps idle connections.
-	limits map[netip.AddrPort]time.Duration
-	closed bool
+	// idleLimits are the limits for targets that have announced their idle timeout.
+	idleLimits map[netip.AddrPort]time.Duration
+	closed     bool
 }
 
-// NewPool returns an empty pool. opened is told of each new connection.
-func NewPool(opened func()) *Pool {
+// NewPool returns an empty pool. onDial is called for each new connection.
+func NewPool(onDial func()) *Pool {
 	return &Pool{
-		dialer: NewDialer(),
-		opened: opened,
-		idle:   map[netip.AddrPort][]*conn{},
-		limits: map[netip.AddrPort]time.Duration{},
+		dialer:     NewDialer(),
+		onDial:     onDial,
+		idle:       map[netip.AddrPort][]*conn{},
+		idleLimits: map[netip.AddrPort]time.Duration{},
 	}
 }
 
-// NewDialer returns a dialer whose connections find out by themselves that
-// their other end has gone silent.
+// NewDialer returns a dialer whose connections fail when the remote host is unreachable.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: dialTimeout,
@@ -69,20 +68,20 @@
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout/time.Millisecond))
+		sockoptErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout/time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
 
-// get returns a kept connection that is alive, or a new one.
+// get returns an idle connection that is alive, or a new one.
 func (p *Pool) get(ctx context.Context, address netip.AddrPort, fresh bool) (*conn, error) {
 	for {
-		c := p.take(address, fresh)
+		c := p.takeIdle(address, fresh)
 		if c == nil {
 			return p.dial(ctx, address)
 		}
@@ -93,8 +92,8 @@
 	}
 }
 
-// take removes the connection that was idle for the shortest time.
-func (p *Pool) take(address netip.AddrPort, fresh bool) *conn {
+// takeIdle removes and returns the most recently used idle connection, or nil.
+func (p *Pool) takeIdle(address netip.AddrPort, fresh bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -104,7 +103,7 @@
 	last := list[len(list)-1]
 	limit := p.idleLimit(address)
 	if fresh {
-		limit = min(limit, maxFreshIdle)
+		limit = min(limit, maxFreshConnIdle)
 	}
 	if time.Since(last.idleSince) > limit {
 		return nil
@@ -114,18 +113,18 @@
 }
 
 func (p *Pool) idleLimit(address netip.AddrPort) time.Duration {
-	if limit, ok := p.limits[address]; ok {
+	if limit, ok := p.idleLimits[address]; ok {
 		return min(limit, maxIdle)
 	}
 	return maxIdle
 }
 
-// SetIdleLimit notes how long a target says that it keeps idle connections. Half
-// of it is used: the target's clock and the way there take their part.
+// SetIdleLimit sets the limit for a target that has announced its idle timeout. The limit is
+// half of the timeout, which leaves time for clock differences and network delay.
 func (p *Pool) SetIdleLimit(address netip.AddrPort, timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits[address] = timeout / 2
+	p.idleLimits[address] = timeout / 2
 }
 
 func (p *Pool) dial(ctx context.Context, address netip.AddrPort) (*conn, error) {
@@ -133,29 +132,29 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "connect")
 	}
-	p.opened()
+	p.onDial()
 	return &conn{pool: p, address: address, net: c, reader: bufio.NewReaderSize(c, bufferSize)}, nil
 }
 
 const (
-	// refuseTries and refusePause are how often, and after which time, a target is asked
-	// again that took a connection and closed it at once.
-	refuseTries = 3
-	refusePause = 5 * time.Millisecond
+	// refusedAttempts and refusedRetryDelay control how often a target is dialed again that
+	// accepted a connection and closed it at once.
+	refusedAttempts   = 3
+	refusedRetryDelay = 5 * time.Millisecond
 )
 
-// RefusesConnections reports whether the host at an address answers that no process listens there. A
-// connection that is made and stays is kept for the next request.
+// RefusesConnections reports whether the host at an address refuses connections, because no
+// process listens there. A connection that stays open is added to the pool.
 //
-// The failure guarded against: a process that ends closes its connections and its listener
-// one after the other. A connection that is made in between is closed a moment later.
+// An exiting process closes its connections and its listener one after the other. A
+// connection that it accepts in between is closed a moment later, so dialing is repeated.
 func (p *Pool) RefusesConnections(ctx context.Context, address netip.AddrPort) bool {
-	for range refuseTries {
+	for range refusedAttempts {
 		c, err := p.dial(ctx, address)
 		if err != nil {
 			return errors.Is(err, syscall.ECONNREFUSED)
 		}
-		if !sleep.For(ctx, refusePause) || c.alive() {
+		if !sleep.For(ctx, refusedRetryDelay) || c.alive() {
 			p.put(c)
 			return false
 		}
@@ -164,6 +163,7 @@
 	return false
 }
 
+// put adds a connection to the pool, or closes it if the pool is full or closed.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,33 +176,32 @@
 	p.idle[c.address] = append(list, c)
 }
 
-// alive reports whether an idle connection is open and has nothing to read.
-// The failures guarded against are a target that closed it, which would make
-// the next request's fate unknown, and a second answer, which would be taken
-// for the next request's.
+// alive reports whether an idle connection is open and has no data to read. On a connection
+// that the target has closed it would be unknown whether the next request ran, and data is a
+// late response to an earlier request.
 func (c *conn) alive() bool {
 	raw, err := c.net.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		noData = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// Reap closes connections that were idle for too long, once in each period,
-// until the context ends.
+// Reap periodically closes connections that were idle for too long. It closes all idle
+// connections and returns when the context ends.
 func (p *Pool) Reap(ctx context.Context) {
-	tick := time.NewTicker(reapPeriod)
-	defer tick.Stop()
+	ticker := time.NewTicker(reapInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			p.reap()
 		case <-ctx.Done():
 			p.CloseIdle()
@@ -226,14 +225,14 @@
 		}
 		if len(kept) == 0 {
 			delete(p.idle, address)
-			delete(p.limits, address)
+			delete(p.idleLimits, address)
 			continue
 		}
 		p.idle[address] = kept
 	}
 }
 
-// CloseIdle closes all kept connections and keeps no further ones.
+// CloseIdle closes all idle connections. Connections returned to the pool later are closed too.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/upstream/pool_test.go
+++ b/internal/gateway/upstream/pool_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// listen serves connections with a handler that gets the number of the
-// connection.
+// listen starts a listener that calls handle for each connection, with the connection's
+// number from 1.
 func listen(t *testing.T, handle func(n int, c net.Conn, r *bufio.Reader)) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,6 +46,7 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
+// send posts a request with the given ID and returns the body of the response.
 func send(t *testing.T, p *Pool, to netip.AddrPort, id string) (string, error) {
 	t.Helper()
 	resp, err := p.Send(t.Context(), to, &Request{
@@ -60,6 +61,7 @@
 	return string(body), err
 }
 
+// serveOne answers one request with its target and body.
 func serveOne(c net.Conn, r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -71,9 +73,8 @@
 	return true
 }
 
-// Requests in turn use one connection, and what a caller wrote as the request's
-// target reaches it unchanged.
-func TestConnectionIsKept(t *testing.T) {
+// Consecutive requests use one connection, and the request target arrives unchanged.
+func TestConnectionIsReused(t *testing.T) {
 	var connections atomic.Int32
 	to := listen(t, func(n int, c net.Conn, r *bufio.Reader) {
 		connections.Store(int32(n))
@@ -84,16 +85,16 @@
 	defer p.CloseIdle()
 	for i := range 3 {
 		if got, err := send(t, p, to, fmt.Sprint(i)); err != nil || got != "/a%2Fb?x=1 body" {
-			t.Fatalf("%q, %v", got, err)
+			t.Fatalf("response %q, error %v", got, err)
 		}
 	}
 	if n := connections.Load(); n != 1 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections, want 1", n)
 	}
 }
 
-// A target closes an idle connection. The next request must not be written to
-// it: whether it ran would be unknown.
+// Idle connections that the target has closed are not used: it would be unknown whether the
+// request ran.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	to := listen(t, func(n int, c net.Conn, r *bufio.Reader) {
@@ -117,8 +118,8 @@
 	}
 }
 
-// Nobody listens. That a request was not sent is certain, and said.
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+// A request to a port without a listener fails with ErrNotSent.
+func TestRefusedConnectionIsErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -126,24 +127,23 @@
 	to := netip.MustParseAddrPort(l.Addr().String())
 	l.Close()
 	if _, err := send(t, NewPool(func() {}), to, "1"); !errors.Is(err, ErrNotSent) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrNotSent", err)
 	}
 }
 
-// A target reads the request and resets. It may have run.
-func TestResetAfterTheRequestIsNotCalledUnsent(t *testing.T) {
+// A request whose connection is reset may have run, and must not fail with ErrNotSent.
+func TestResetAfterRequestIsNotErrNotSent(t *testing.T) {
 	to := listen(t, func(n int, c net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
 	if _, err := send(t, NewPool(func() {}), to, "1"); err == nil || errors.Is(err, ErrNotSent) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one other than ErrNotSent", err)
 	}
 }
 
-// The answers on a connection are all to other requests. After a few the
-// connection is given up.
-func TestForeignAnswersAreNotReadForEver(t *testing.T) {
+// A connection that delivers only responses to other requests is abandoned after a few.
+func TestUnmatchedResponsesAreLimited(t *testing.T) {
 	to := listen(t, func(n int, c net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		for range 5 {
@@ -154,19 +154,18 @@
 	p := NewPool(func() {})
 	defer p.CloseIdle()
 	if _, err := send(t, p, to, "1"); !errors.Is(err, ErrUnmatchedResponse) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrUnmatchedResponse", err)
 	}
 }
 
-// A process ends: it closes a connection that it has just taken, and its listener a moment
-// later. It counts as gone. One that closes no more than that connection lives, and so does
-// one that keeps it.
-func TestListenerThatClosesAMomentLaterRefuses(t *testing.T) {
+// A process that exits may accept a connection and close it just before its listener. It
+// counts as refusing connections, unlike one that closes one connection or none and goes on.
+func TestRefusesConnectionsOfExitingProcess(t *testing.T) {
 	for _, c := range []struct {
-		story         string
-		taken, closes int
-		want          bool
-	}{{"ends after one connection", 1, 1, true}, {"closes one connection and keeps the next", 9, 1, false}, {"keeps it", 9, 0, false}} {
+		name             string
+		accepted, closes int
+		want             bool
+	}{{"ends after one connection", 1, 1, true}, {"closes one connection and keeps the next", 9, 1, false}, {"keeps the connection", 9, 0, false}} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -176,7 +175,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			for n := 1; n <= c.taken; n++ {
+			for n := 1; n <= c.accepted; n++ {
 				conn, err := l.Accept()
 				if err != nil {
 					return
@@ -191,7 +190,7 @@
 		}()
 		p := NewPool(func() {})
 		if got := p.RefusesConnections(t.Context(), address); got != c.want {
-			t.Errorf("%s: refuses %v", c.story, got)
+			t.Errorf("%s: RefusesConnections is %v", c.name, got)
 		}
 		l.Close()
 		<-done
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -1,11 +1,10 @@
 // Package upstream sends requests to targets over HTTP/1.1.
 //
-// It exists beside net/http's client for three reasons. That client repeats
-// some requests by itself when a kept connection fails; here every send is
-// counted and decided. It treats whatever comes first on a connection as the
-// answer; targets may send a second answer late, which must not reach the next
-// caller. And it cannot tell a request that certainly never left from one that
-// may have run.
+// It replaces the client of net/http, which retries some requests by itself when an idle
+// connection fails, takes whatever a connection delivers first as the response, and can't
+// tell whether a failed request was sent. Here every send is the caller's decision, late
+// duplicate responses of targets never reach another caller, and requests that certainly
+// were not sent are marked with ErrNotSent.
 package upstream
 
 import (
@@ -23,87 +22,86 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNotSent says that a request certainly did not reach its target.
+// ErrNotSent marks errors of requests that certainly did not reach their target.
 var ErrNotSent = errors.New("request was not sent")
 
-// ErrUnmatchedResponse says that a connection brought something that is no answer to its
-// request.
-var ErrUnmatchedResponse = errors.New("not the answer to this request")
+// ErrUnmatchedResponse is returned when a connection delivers a response that doesn't belong
+// to the request.
+var ErrUnmatchedResponse = errors.New("response does not match the request")
 
 const (
-	// dialTimeout bounds a new connection, which takes a few milliseconds. Hosts
-	// that are dark never answer, and a lost opening packet comes again only after
-	// a second: another target is quicker in both cases.
+	// dialTimeout bounds the time to connect, which normally takes a few milliseconds. An
+	// unreachable host never responds, and a lost SYN is retransmitted only after a second:
+	// another target is faster in both cases.
 	dialTimeout = 250 * time.Millisecond
-	// bufferSize fits the heads of requests and answers.
+	// bufferSize fits the headers of requests and responses.
 	bufferSize = 4 << 10
-	// maxForeign is how many answers to other requests are skipped.
-	maxForeign = 2
-	// maxForeignBody is the largest body that is skipped with one.
-	maxForeignBody = 1 << 20
-	// smallBody is written before the answer is awaited. A longer one is written
-	// beside it: a target that answers early stops reading, and the writer would
-	// wait for it for ever.
-	smallBody = 2 << 10
+	// maxUnmatched is the number of unmatched responses that are skipped.
+	maxUnmatched = 2
+	// maxUnmatchedBody is the largest body of an unmatched response that is skipped.
+	maxUnmatchedBody = 1 << 20
+	// maxInlineBody is the largest body that is written before the response is read. Larger
+	// ones are written concurrently: a target that responds early stops reading, which would
+	// block the writer forever.
+	maxInlineBody = 2 << 10
 )
 
-// Request is one send.
+// Request is a request to a target.
 type Request struct {
 	Method string
-	// RequestURI is the request target as the caller sent it.
+	// RequestURI is the unmodified request target of the request line.
 	RequestURI string
 	Host       string
 	Header     http.Header
 	Body       []byte
-	// FreshConn asks for a connection that has not been idle for long, for requests
-	// that cannot be repeated: a target may have dropped an idle one.
+	// FreshConn excludes connections that have been idle for long, which the target may
+	// have closed. Set it for requests that can't be retried.
 	FreshConn bool
-	// Matches reports whether a response answers this request.
+	// Matches reports whether a response belongs to this request.
 	Matches func(status int, h http.Header) bool
 }
 
-// Response is a target's answer. Close it in any case.
+// Response is a target's response. The caller must close it.
 type Response struct {
 	Status int
 	Header http.Header
-	// ContentLength of the body; -1 when the target does not say.
+	// ContentLength is the length of the body, or -1 if it is unknown.
 	ContentLength int64
-	// CloseDelimited answers end with their connection.
+	// CloseDelimited is set if the body ends when the target closes the connection.
 	CloseDelimited bool
 	conn           *conn
 	raw            *http.Response
-	whole          bool
+	complete       bool
 	written        <-chan error
-	stop           func() bool
+	// stop detaches the connection from the context of the request.
+	stop func() bool
 }
 
-// Read implements io.Reader. It fails when the answer is cut off.
+// Read implements io.Reader. It returns an error if the response is truncated.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.raw.Body.Read(p)
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
 // Complete reports whether the body was read to its end.
-func (r *Response) Complete() bool { return r.whole }
+func (r *Response) Complete() bool { return r.complete }
 
-// Close ends the exchange. The connection is kept when the answer was read to
-// its end and nothing is left on it; otherwise it is closed, which makes the
-// target drop the request.
+// Close ends the exchange. The connection returns to the pool if the exchange is complete and
+// nothing is left to read; otherwise it is closed, which makes the target cancel the request.
 func (r *Response) Close() {
 	stopped := r.stop()
-	if stopped && r.whole && !r.raw.Close && !r.CloseDelimited && r.bodyWritten() && r.conn.reader.Buffered() == 0 {
+	if stopped && r.complete && !r.raw.Close && !r.CloseDelimited && r.bodyWritten() && r.conn.reader.Buffered() == 0 {
 		r.conn.pool.put(r.conn)
 		return
 	}
 	r.conn.close()
 }
 
-// bodyWritten reports whether the request was written whole. The failure
-// guarded against is an early answer to a long body: the next request on the
-// connection would be read as the rest of it.
+// bodyWritten reports whether the request was written completely. After an early response it
+// may not be: the target would then take the next request for the rest of the body.
 func (r *Response) bodyWritten() bool {
 	select {
 	case err := <-r.written:
@@ -113,8 +111,8 @@
 	}
 }
 
-// Send sends a request to an address and returns the answer's head. When the
-// context ends the connection is closed, also while the body is read.
+// Send sends a request to an address and returns when the headers of the response arrive.
+// Cancelling the context closes the connection, even while the body is being read.
 func (p *Pool) Send(ctx context.Context, address netip.AddrPort, req *Request) (*Response, error) {
 	c, err := p.get(ctx, address, req.FreshConn)
 	if err != nil {
@@ -122,12 +120,12 @@
 	}
 	stop := context.AfterFunc(ctx, c.close)
 	written := c.write(req)
-	raw, err := c.readAnswer(req)
+	raw, err := c.readResponse(req)
 	if err != nil {
 		stop()
 		c.close()
 		if ctx.Err() != nil {
-			return nil, errors.Wrap(ctx.Err(), "await answer")
+			return nil, errors.Wrap(ctx.Err(), "await response")
 		}
 		return nil, err
 	}
@@ -138,19 +136,21 @@
 	}, nil
 }
 
+// chunked reports whether the body has the chunked transfer coding.
 func chunked(r *http.Response) bool {
 	return len(r.TransferEncoding) > 0 && r.TransferEncoding[0] == "chunked"
 }
 
+// bodyAllowed reports whether a response may have a body.
 func bodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// write sends the request. The channel gets the result once.
+// write sends the request. The returned channel receives the result.
 func (c *conn) write(req *Request) <-chan error {
 	done := make(chan error, 1)
 	head := encodeHead(req)
-	if len(req.Body) <= smallBody {
+	if len(req.Body) <= maxInlineBody {
 		_, err := c.net.Write(append(head, req.Body...))
 		done <- err
 		return done
@@ -163,6 +163,7 @@
 	return done
 }
 
+// encodeHead returns the request line and the headers.
 func encodeHead(req *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(bufferSize)
@@ -175,30 +176,30 @@
 	return b.Bytes()
 }
 
-// readAnswer reads responses until one answers the request. Others are late
-// answers to requests that this connection carried before.
-func (c *conn) readAnswer(req *Request) (*http.Response, error) {
-	asked := &http.Request{Method: req.Method}
-	for range maxForeign + 1 {
-		raw, err := c.readFinal(asked)
+// readResponse reads responses until one matches the request. Others are late responses to
+// earlier requests on the connection.
+func (c *conn) readResponse(req *Request) (*http.Response, error) {
+	httpReq := &http.Request{Method: req.Method}
+	for range maxUnmatched + 1 {
+		raw, err := c.readFinal(httpReq)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
 		if req.Matches(raw.StatusCode, raw.Header) {
 			return raw, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(raw.Body, maxForeignBody))
-		if err != nil || n == maxForeignBody || raw.Close {
+		n, err := io.Copy(io.Discard, io.LimitReader(raw.Body, maxUnmatchedBody))
+		if err != nil || n == maxUnmatchedBody || raw.Close {
 			return nil, errors.Wrapf(ErrUnmatchedResponse, "status %d", raw.StatusCode)
 		}
 	}
-	return nil, errors.Wrap(ErrUnmatchedResponse, "too many answers to other requests")
+	return nil, errors.Wrap(ErrUnmatchedResponse, "too many responses to other requests")
 }
 
-// readFinal passes over informational responses.
-func (c *conn) readFinal(asked *http.Request) (*http.Response, error) {
+// readFinal reads a response and skips informational ones.
+func (c *conn) readFinal(httpReq *http.Request) (*http.Response, error) {
 	for {
-		raw, err := http.ReadResponse(c.reader, asked)
+		raw, err := http.ReadResponse(c.reader, httpReq)
 		if err != nil {
 			return nil, err
 		}
