--- a/internal/gateway/holdings/follow.go
+++ b/internal/gateway/holdings/follow.go
@@ -12,51 +12,50 @@
 )
 
 const (
-	// waitTime is how long a question waits at the cache for changes. The platform
-	// takes nothing for one that may wait 200 ms or longer.
-	waitTime = 600 * time.Millisecond
-	// callTimeout bounds a question with its wait; a connection that has gone silent
-	// holds up the news for that long.
+	// longPollWait is how long a poll waits for changes. The platform charges nothing for
+	// polls that may wait 200 ms or longer.
+	longPollWait = 600 * time.Millisecond
+	// callTimeout bounds a poll including its wait. A connection that has become unresponsive
+	// delays changes by this time.
 	callTimeout = 1500 * time.Millisecond
-	// BroadcastPollInterval is the least time between two questions where all entries are told of
-	// what changes: what does meanwhile is told together. A cache under load changes some
-	// 150 times a second, mostly the same few parts.
+	// BroadcastPollInterval is the least time between polls when changes are broadcast to all
+	// entries, so that several changes share a broadcast. A cache under load changes about
+	// 150 times per second, mostly the same few parts.
 	BroadcastPollInterval = 40 * time.Millisecond
-	// LocalPollInterval is the same where only the sidecar itself needs to know, which has
-	// heard of each send before the cache can: it halves what following costs.
+	// LocalPollInterval is the least time between polls when only the sidecar itself uses the
+	// changes. It learns of sends before the cache does, and can poll less often.
 	LocalPollInterval = 120 * time.Millisecond
-	// failurePause is the wait after a question that failed. A cache answers so many
-	// at once, and refuses others.
-	failurePause = 500 * time.Millisecond
-	// listPause is the least time between two lists of one cache: each holds up an
-	// engine's work, and words are lost one in a hundred. The first is made at once where
-	// it is needed: caches keep half a minute of changes, and who has just begun to follow
-	// lacks the parts that are used most.
-	listPause = 10 * time.Second
+	// retryDelay is the delay after a failed poll. A cache limits the number of concurrent
+	// polls and refuses others.
+	retryDelay = 500 * time.Millisecond
+	// minListInterval is the least time between lists of one cache, because listing interrupts
+	// the engine. The first list is made at once: caches keep changes for half a minute, so a
+	// new follower lacks the most used parts.
+	minListInterval = 10 * time.Second
 )
 
-// Follower keeps a Cache true to its feed until it is stopped.
+// Follower applies the changes of a feed to Contents until it is stopped.
 type Follower struct {
-	// Name of the cache, for the log.
+	// Name identifies the cache in logs and broadcasts.
 	Name     string
 	Contents *Contents
 	feed     Feed
 	loop     *control.Loop
 	logger   logr.Logger
-	// changed is called on the control thread after changes were taken in.
-	changed func()
-	cancel  context.CancelFunc
-	failing bool
-	// gather returns the least time between two questions.
-	gather func() time.Duration
-	// doubtful is set when what is known of the cache is to be replaced by a list.
-	doubtful atomic.Bool
+	// onChange is called on the control thread after changes were applied.
+	onChange func()
+	cancel   context.CancelFunc
+	failing  bool
+	// pollInterval returns the least time between polls.
+	pollInterval func() time.Duration
+	// needsList is set if the contents must be replaced by a list.
+	needsList atomic.Bool
 }
 
-// Follow begins to follow a feed. gather returns the least time between two questions;
-// changed is called on the control thread.
-func Follow(name string, loop *control.Loop, feed Feed, cache *Contents, gather func() time.Duration, changed func(), logger logr.Logger) *Follower {
-	f := &Follower{Name: name, Contents: cache, feed: feed, loop: loop, logger: logger, changed: changed, gather: gather}
+// Follow starts to follow a feed. pollInterval returns the least time between polls; onChange
+// is called on the control thread after changes were applied.
+func Follow(name string, loop *control.Loop, feed Feed, contents *Contents, pollInterval func() time.Duration, onChange func(), logger logr.Logger) *Follower {
+	f := &Follower{Name: name, Contents: contents, feed: feed, loop: loop, logger: logger, onChange: onChange, pollInterval: pollInterval}
 	loop.Go(func(ctx context.Context) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
@@ -66,47 +65,49 @@
 	return f
 }
 
-// Stop ends following. It runs on the control thread.
+// Stop stops the follower. It must be called on the control thread.
 func (f *Follower) Stop() {
 	if f.cancel != nil {
 		f.cancel()
 	}
 }
 
+// run polls the feed until the context ends.
 func (f *Follower) run(ctx context.Context) {
 	next, epoch := uint64(0), ""
 	var listedAt time.Time
 	for ctx.Err() == nil {
-		list := f.doubtful.Load() && time.Since(listedAt) > listPause
-		page, err := f.ask(ctx, next, list)
-		pause := f.gather()
+		list := f.needsList.Load() && time.Since(listedAt) > minListInterval
+		page, err := f.poll(ctx, next, list)
+		delay := f.pollInterval()
 		switch {
 		case err != nil:
-			pause = failurePause
+			delay = retryDelay
 		case !list && epoch != "" && page.Epoch != epoch:
-			next, epoch = 0, page.Epoch // the new life counts its changes anew
+			next, epoch = 0, page.Epoch // positions start again after a restart
 		default:
 			next, epoch = page.Next, page.Epoch
 		}
 		if list {
 			listedAt = time.Now()
 		}
-		f.loop.Post(func() { f.take(page, list, err) })
-		sleep.For(ctx, pause)
+		f.loop.Post(func() { f.apply(page, list, err) })
+		sleep.For(ctx, delay)
 	}
 }
 
-func (f *Follower) ask(ctx context.Context, next uint64, list bool) (Page, error) {
+// poll fetches the changes since a position, or a list.
+func (f *Follower) poll(ctx context.Context, next uint64, list bool) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if list {
 		return f.feed.List(ctx)
 	}
-	return f.feed.Changes(ctx, next, waitTime)
+	return f.feed.Changes(ctx, next, longPollWait)
 }
 
-// take runs on the control thread.
-func (f *Follower) take(page Page, list bool, err error) {
+// apply applies the result of a poll. It runs on the control thread.
+func (f *Follower) apply(page Page, list bool, err error) {
 	if err != nil {
 		if !f.failing {
 			f.logger.Info("cache_feed_lost", "cache", f.Name, "list", list, "error", err.Error())
@@ -121,20 +122,21 @@
 	if list {
 		before := f.Contents.Len()
 		f.Contents.Replace(page)
-		f.doubtful.Store(false)
+		f.needsList.Store(false)
 		f.logger.Info("cache_listed", "cache", f.Name, "held", f.Contents.Len(), "before", before, "next", page.Next)
 	} else {
-		f.apply(page)
+		f.applyChanges(page)
 	}
-	f.changed()
+	f.onChange()
 }
 
-func (f *Follower) apply(page Page) {
-	anew := f.Contents.Apply(page)
-	if anew || page.Gap {
-		f.logger.Info("cache_feed_broken", "cache", f.Name, "epoch", page.Epoch, "anew", anew, "gap", page.Gap, "next", page.Next, "held", f.Contents.Len())
+// applyChanges applies a page of changes, and requests a list if the contents may be wrong.
+func (f *Follower) applyChanges(page Page) {
+	restarted := f.Contents.Apply(page)
+	if restarted || page.Gap {
+		f.logger.Info("cache_feed_broken", "cache", f.Name, "epoch", page.Epoch, "anew", restarted, "gap", page.Gap, "next", page.Next, "held", f.Contents.Len())
 	}
-	if page.Gap && !anew || f.Contents.OverCapacity() {
-		f.doubtful.Store(true)
+	if page.Gap && !restarted || f.Contents.OverCapacity() {
+		f.needsList.Store(true)
 	}
 }
--- a/internal/gateway/holdings/holdings.go
+++ b/internal/gateway/holdings/holdings.go
@@ -1,9 +1,9 @@
-// Package holdings follows what an engine, or a store of cached parts, says of its
-// cache, and keeps which parts it holds.
+// Package holdings follows the change feeds of engines' caches and of part stores, and mirrors
+// which prompt parts each cache contains.
 //
-// A sidecar follows its own engine, where the question is free, and tells the entries
-// what changed. They then know what is held where although they have just started, and
-// although caches drop parts without a word to anyone else.
+// A sidecar polls its own engine, which costs nothing there, and broadcasts the changes to the
+// entries. Entries thus learn the contents of all caches soon after a start, and learn of
+// evictions, which nothing else reports.
 package holdings
 
 import (
@@ -14,122 +14,122 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/parts"
 )
 
-// Change is that a cache holds so many tokens of a part now.
+// Change reports how many tokens of a part a cache has now.
 type Change struct {
-	// Scope is the part's cache scope, Part its name.
+	// Scope is the cache scope of the part, and Part its name.
 	Scope, Part string
-	// Tokens are zero when the part is not held any more.
+	// Tokens is zero if the part was evicted.
 	Tokens int
 }
 
-// Page is a stretch of a cache's changes.
+// Page is a contiguous range of the changes of a cache.
 type Page struct {
-	// Epoch names the cache's life; a cache that starts again is empty.
+	// Epoch identifies the incarnation of the cache, which is empty after a restart.
 	Epoch string
-	// Next is where the next page begins.
+	// Next is the position of the next page.
 	Next uint64
-	// Gap is set when changes before this page were lost.
+	// Gap is set if changes before this page were lost.
 	Gap     bool
 	Changes []Change
 }
 
-// Feed tells of one cache.
+// Feed is the change feed of one cache.
 type Feed interface {
-	// Changes returns the changes from a position on, and waits for some when there
-	// are none.
+	// Changes returns the changes since a position. If there are none, it waits for some.
 	Changes(ctx context.Context, from uint64, wait time.Duration) (Page, error)
-	// List returns what the cache holds, and the position from which changes follow. The
-	// question holds up the cache's work.
+	// List returns all cached parts, and the position of the changes that follow. Listing
+	// interrupts the engine.
 	List(ctx context.Context) (Page, error)
 }
 
-// CachedPart is one part that a cache holds.
+// CachedPart is a part and the number of its tokens in a cache.
 type CachedPart struct {
 	Part   parts.Key
 	Tokens int
 }
 
-// Contents is what one cache is known to hold. It is used by one thread.
+// Contents is what is known of the contents of one cache. It is not safe for concurrent use.
 type Contents struct {
-	// room is the cache's size in tokens; zero when it is not known.
-	room    int
-	epoch   string
-	sum     int
-	held    map[parts.Key]int
+	// capacity is the size of the cache in tokens, or zero if it is unknown.
+	capacity    int
+	epoch       string
+	totalTokens int
+	// tokens is the number of cached tokens by part.
+	tokens map[parts.Key]int
+	// changed are the parts that TakeUpdates has to return.
 	changed map[parts.Key]struct{}
-	// round are the parts that are still to be said in this round.
-	round []parts.Key
+	// refreshQueue are the parts that the current round of NextRefresh has to return.
+	refreshQueue []parts.Key
 }
 
-// NewContents returns a cache of which nothing is known, with room for so many tokens;
-// zero when that is not known.
-func NewContents(room int) *Contents {
-	return &Contents{room: room, held: map[parts.Key]int{}, changed: map[parts.Key]struct{}{}}
+// NewContents returns empty contents of a cache with the given capacity in tokens, or zero if
+// that is unknown.
+func NewContents(capacity int) *Contents {
+	return &Contents{capacity: capacity, tokens: map[parts.Key]int{}, changed: map[parts.Key]struct{}{}}
 }
 
-// Len is the number of parts that are held.
-func (c *Contents) Len() int { return len(c.held) }
+// Len returns the number of cached parts.
+func (c *Contents) Len() int { return len(c.tokens) }
 
-// Apply takes in a page. It reports whether the cache has begun a new life.
+// Apply applies a page of changes. It reports whether the cache has restarted.
 func (c *Contents) Apply(p Page) bool {
-	anew := c.epoch != "" && p.Epoch != c.epoch
-	if anew {
+	restarted := c.epoch != "" && p.Epoch != c.epoch
+	if restarted {
 		c.clear()
 	}
 	c.epoch = p.Epoch
 	for _, change := range p.Changes {
 		c.set(parts.KeyOf(change.Scope, change.Part), change.Tokens)
 	}
-	return anew
+	return restarted
 }
 
 func (c *Contents) clear() {
-	for k := range c.held {
+	for k := range c.tokens {
 		c.set(k, 0)
 	}
 }
 
 func (c *Contents) set(k parts.Key, tokens int) {
-	c.sum += tokens - c.held[k]
+	c.totalTokens += tokens - c.tokens[k]
 	c.changed[k] = struct{}{}
 	if tokens > 0 {
-		c.held[k] = tokens
+		c.tokens[k] = tokens
 	} else {
-		delete(c.held, k)
+		delete(c.tokens, k)
 	}
 }
 
-// overfull is by how much more than its room a cache may seem to hold before what is
-// known of it counts as wrong.
-const overfull = 1.25
+// overCapacityFactor is the ratio of known tokens to capacity above which the known contents
+// count as wrong.
+const overCapacityFactor = 1.25
 
-// OverCapacity reports whether the cache seems to hold more than it has room for.
+// OverCapacity reports whether the known contents exceed the capacity of the cache.
 //
-// The failure guarded against: the word that a part was dropped is lost on its way, and
-// the part counts as held for as long as the cache lives. Prompts are sent there for
-// it, and fetched from there in vain. To drop what was said longest ago instead takes
-// the parts that are used most, which are never said again.
+// This happens when reports of evictions are lost: the parts would count as cached until the
+// cache restarts, and attract prompts and fetches. Deleting the least recently reported parts
+// instead would delete the most used ones, whose reports are never repeated.
 func (c *Contents) OverCapacity() bool {
-	return c.room > 0 && float64(c.sum) > overfull*float64(c.room)
+	return c.capacity > 0 && float64(c.totalTokens) > overCapacityFactor*float64(c.capacity)
 }
 
-// Replace takes in all that the cache holds.
+// Replace replaces the contents with a list of all cached parts.
 func (c *Contents) Replace(p Page) {
-	left := maps.Clone(c.held)
+	unlisted := maps.Clone(c.tokens)
 	for _, change := range p.Changes {
 		k := parts.KeyOf(change.Scope, change.Part)
-		if c.held[k] != change.Tokens {
+		if c.tokens[k] != change.Tokens {
 			c.set(k, change.Tokens)
 		}
-		delete(left, k)
+		delete(unlisted, k)
 	}
-	for k := range left {
+	for k := range unlisted {
 		c.set(k, 0)
 	}
 	c.epoch = p.Epoch
 }
 
-// TakeUpdates returns up to n parts that have changed since they were returned last.
+// TakeUpdates removes and returns up to n pending updates.
 func (c *Contents) TakeUpdates(n int) []CachedPart {
 	n = min(n, len(c.changed))
 	all := make([]CachedPart, 0, n)
@@ -137,35 +137,35 @@
 		if len(all) == n {
 			break
 		}
-		all = append(all, CachedPart{Part: k, Tokens: c.held[k]})
+		all = append(all, CachedPart{Part: k, Tokens: c.tokens[k]})
 		delete(c.changed, k)
 	}
 	return all
 }
 
-// NextRefresh returns up to n of the parts that are held. Calls return one part after the
-// other, and begin again when all were returned.
+// NextRefresh returns up to n of the cached parts. Consecutive calls iterate over all parts
+// and then start again.
 func (c *Contents) NextRefresh(n int) []CachedPart {
-	if len(c.round) == 0 {
-		for k := range c.held {
-			c.round = append(c.round, k)
+	if len(c.refreshQueue) == 0 {
+		for k := range c.tokens {
+			c.refreshQueue = append(c.refreshQueue, k)
 		}
 	}
 	var all []CachedPart
-	for len(all) < n && len(c.round) > 0 {
-		k := c.round[len(c.round)-1]
-		c.round = c.round[:len(c.round)-1]
-		if tokens, ok := c.held[k]; ok {
+	for len(all) < n && len(c.refreshQueue) > 0 {
+		k := c.refreshQueue[len(c.refreshQueue)-1]
+		c.refreshQueue = c.refreshQueue[:len(c.refreshQueue)-1]
+		if tokens, ok := c.tokens[k]; ok {
 			all = append(all, CachedPart{Part: k, Tokens: tokens})
 		}
 	}
 	return all
 }
 
-// List returns the parts that are held, up to n.
+// List returns up to n of the cached parts.
 func (c *Contents) List(n int) []CachedPart {
-	all := make([]CachedPart, 0, min(n, len(c.held)))
-	for k, tokens := range c.held {
+	all := make([]CachedPart, 0, min(n, len(c.tokens)))
+	for k, tokens := range c.tokens {
 		if len(all) == n {
 			break
 		}
--- a/internal/gateway/holdings/holdings_test.go
+++ b/internal/gateway/holdings/holdings_test.go
@@ -18,90 +18,91 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
+// change returns a change of a part in scope "s".
 func change(part string, tokens int) Change { return Change{Scope: "s", Part: part, Tokens: tokens} }
 
-func tokensOf(c *Contents, part string) int { return c.held[parts.KeyOf("s", part)] }
+func tokensOf(c *Contents, part string) int { return c.tokens[parts.KeyOf("s", part)] }
 
-// A part that is dropped block by block changes many times, and is told once.
-func TestChangesOfOnePartAreToldOnce(t *testing.T) {
+// Several changes of one part yield a single update with the latest number of tokens.
+func TestChangesOfOnePartAreMerged(t *testing.T) {
 	c := NewContents(0)
 	c.Apply(Page{Epoch: "1", Next: 4, Changes: []Change{change("x", 900), change("x", 500), change("x", 100), change("y", 50)}})
-	told := map[parts.Key]int{}
+	updates := map[parts.Key]int{}
 	for _, h := range c.TakeUpdates(10) {
-		told[h.Part] = h.Tokens
+		updates[h.Part] = h.Tokens
 	}
-	if len(told) != 2 || told[parts.KeyOf("s", "x")] != 100 || told[parts.KeyOf("s", "y")] != 50 {
-		t.Errorf("told %v", told)
+	if len(updates) != 2 || updates[parts.KeyOf("s", "x")] != 100 || updates[parts.KeyOf("s", "y")] != 50 {
+		t.Errorf("updates %v, want the last change of x and y", updates)
 	}
 	if again := c.TakeUpdates(10); len(again) != 0 {
-		t.Errorf("again %v", again)
+		t.Errorf("updates %v returned again", again)
 	}
 	c.Apply(Page{Epoch: "1", Next: 5, Changes: []Change{change("x", 0)}})
-	if gone := c.TakeUpdates(10); len(gone) != 1 || gone[0].Tokens != 0 {
-		t.Errorf("a dropped part is told as %v", gone)
+	if evicted := c.TakeUpdates(10); len(evicted) != 1 || evicted[0].Tokens != 0 {
+		t.Errorf("updates after the eviction: %v, want one with 0 tokens", evicted)
 	}
 }
 
-// An engine starts again under its name. The parts of its earlier life must be taken
-// back, or prompts are sent there for them.
-func TestNewLifeHoldsNothing(t *testing.T) {
+// A restart of the cache yields updates for the parts it has lost. Otherwise prompts would be
+// sent there for them.
+func TestRestartClearsContents(t *testing.T) {
 	c := NewContents(0)
 	c.Apply(Page{Epoch: "1", Next: 2, Changes: []Change{change("x", 900), change("y", 500)}})
 	c.TakeUpdates(10)
 	if !c.Apply(Page{Epoch: "2", Next: 1, Changes: []Change{change("y", 10)}}) {
-		t.Error("the new life is not noticed")
+		t.Error("Apply does not report the restart")
 	}
-	told := c.TakeUpdates(10)
-	if len(told) != 2 || c.Len() != 1 || tokensOf(c, "x") != 0 || tokensOf(c, "y") != 10 {
-		t.Errorf("held %v, told %v", c.held, told)
+	updates := c.TakeUpdates(10)
+	if len(updates) != 2 || c.Len() != 1 || tokensOf(c, "x") != 0 || tokensOf(c, "y") != 10 {
+		t.Errorf("contents %v, updates %v", c.tokens, updates)
 	}
 }
 
-// Words of dropped parts are lost on their way, until more seems to be held than there
-// is room for. A list sets it right: what it lacks is taken back, what it adds is told.
-func TestListReplacesWhatIsDoubtful(t *testing.T) {
+// A list corrects contents that are wrong because reports of evictions were lost: updates
+// cover the parts it lacks and those it adds.
+func TestListCorrectsContents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := NewContents(1000)
 		list := Page{Epoch: "1", Next: 7}
-		for _, name := range rapid.SliceOfDistinct(rapid.StringMatching("[a-h]"), rapid.ID[string]).Draw(rt, "held") {
+		for _, name := range rapid.SliceOfDistinct(rapid.StringMatching("[a-h]"), rapid.ID[string]).Draw(rt, "cached") {
 			list.Changes = append(list.Changes, change(name, rapid.IntRange(1, 100).Draw(rt, "tokens")))
 		}
 		for range rapid.IntRange(0, 50).Draw(rt, "changes") {
 			c.Apply(Page{Epoch: "1", Changes: []Change{change(rapid.StringMatching("[a-p]").Draw(rt, "part"), rapid.IntRange(0, 600).Draw(rt, "tokens"))}})
 		}
-		told := map[parts.Key]int{}
-		tell := func() {
+		updates := map[parts.Key]int{}
+		takeUpdates := func() {
 			for _, h := range c.TakeUpdates(100) {
-				told[h.Part] = h.Tokens
+				updates[h.Part] = h.Tokens
 			}
 		}
-		tell()
+		takeUpdates()
 		c.Replace(list)
-		tell()
+		takeUpdates()
 		sum := 0
 		for _, want := range list.Changes {
 			sum += want.Tokens
-			if got := tokensOf(c, want.Part); got != want.Tokens || told[parts.KeyOf("s", want.Part)] != want.Tokens {
-				rt.Fatalf("%s: %d tokens, told %d, want %d", want.Part, got, told[parts.KeyOf("s", want.Part)], want.Tokens)
+			if got := tokensOf(c, want.Part); got != want.Tokens || updates[parts.KeyOf("s", want.Part)] != want.Tokens {
+				rt.Fatalf("%s: %d tokens, update of %d, want %d", want.Part, got, updates[parts.KeyOf("s", want.Part)], want.Tokens)
 			}
 		}
-		if c.Len() != len(list.Changes) || c.sum != sum || c.OverCapacity() {
-			rt.Fatalf("held %v of %d tokens, want %v", c.held, c.sum, list.Changes)
+		if c.Len() != len(list.Changes) || c.totalTokens != sum || c.OverCapacity() {
+			rt.Fatalf("contents %v of %d tokens, want %v", c.tokens, c.totalTokens, list.Changes)
 		}
-		for k, tokens := range told {
-			if c.held[k] != tokens {
-				rt.Fatalf("told %d tokens of a part, held are %d", tokens, c.held[k])
+		for k, tokens := range updates {
+			if c.tokens[k] != tokens {
+				rt.Fatalf("last update has %d tokens of a part, the contents %d", tokens, c.tokens[k])
 			}
 		}
 	})
 }
 
-// A cache that seems to hold more than it has room for is listed, at once and then not
-// more often than every ten seconds. So is one that lost changes.
-func TestDoubtfulCacheIsListed(t *testing.T) {
+// A cache that exceeds its capacity or lost changes is listed at once, and then at most every
+// ten seconds.
+func TestCacheIsListedAfterInconsistency(t *testing.T) {
 	for name, page := range map[string]Page{
-		"overfull": {Epoch: "1", Next: 2, Changes: []Change{change("x", 900), change("y", 900)}},
-		"gap":      {Epoch: "1", Next: 2, Gap: true},
+		"over capacity": {Epoch: "1", Next: 2, Changes: []Change{change("x", 900), change("y", 900)}},
+		"gap":           {Epoch: "1", Next: 2, Gap: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -109,7 +110,7 @@
 				for range 3000 {
 					pages = append(pages, page)
 				}
-				feed := &scriptedFeed{pages: pages, all: Page{Epoch: "1", Next: 9, Changes: []Change{change("x", 900)}}}
+				feed := &scriptedFeed{pages: pages, listPage: Page{Epoch: "1", Next: 9, Changes: []Change{change("x", 900)}}}
 				loop := control.NewLoop(1, func(time.Duration) {})
 				go loop.Run()
 				Follow("c", loop, feed, NewContents(1000), func() time.Duration { return BroadcastPollInterval }, func() {}, logr.Discard())
@@ -117,16 +118,15 @@
 				loop.Stop()
 				synctest.Wait()
 				if feed.lists != 3 {
-					t.Errorf("%d lists in 25 s", feed.lists)
+					t.Errorf("%d lists in 25 s, want 3", feed.lists)
 				}
 			})
 		})
 	}
 }
 
-// What is held is said again in slices, each part once a round, so that an entry that
-// missed a word hears it.
-func TestRepeatSaysAllInRounds(t *testing.T) {
+// NextRefresh returns every part once per round, so that entries recover from lost messages.
+func TestNextRefreshReturnsAllInRounds(t *testing.T) {
 	c := NewContents(0)
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		c.Apply(Page{Epoch: "1", Changes: []Change{change(name, 10)}})
@@ -138,35 +138,35 @@
 		}
 	}
 	if len(seen) != 5 {
-		t.Errorf("said %v", seen)
+		t.Errorf("NextRefresh returned %v, want all five parts", seen)
 	}
 	for k, n := range seen {
 		if n > 2 {
-			t.Errorf("part %d was said %d times in two rounds", k, n)
+			t.Errorf("part %d was returned %d times in two rounds", k, n)
 		}
 	}
 }
 
-// scriptedFeed answers with pages in turn, then waits.
+// scriptedFeed returns the given pages one after the other, then errors.
 type scriptedFeed struct {
-	mu    sync.Mutex
-	pages []Page
-	asked []uint64
-	all   Page
-	lists int
+	mu        sync.Mutex
+	pages     []Page
+	positions []uint64
+	listPage  Page
+	lists     int
 }
 
 func (f *scriptedFeed) List(context.Context) (Page, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lists++
-	return f.all, nil
+	return f.listPage, nil
 }
 
 func (f *scriptedFeed) Changes(ctx context.Context, from uint64, _ time.Duration) (Page, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = append(f.asked, from)
+	f.positions = append(f.positions, from)
 	if len(f.pages) == 0 {
 		return Page{}, errors.New("connection refused")
 	}
@@ -175,9 +175,9 @@
 	return page, nil
 }
 
-// The cache's next life counts its changes anew. Asked from where the earlier one
-// ended, it would leave out all that it holds by now.
-func TestNewLifeIsReadFromItsStart(t *testing.T) {
+// The positions of changes start again after a restart of the cache. Polling from the old
+// position would miss everything cached since.
+func TestChangesAreReadFromStartAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{pages: []Page{
 			{Epoch: "1", Next: 500, Changes: []Change{change("x", 10)}},
@@ -186,16 +186,16 @@
 		}}
 		loop := control.NewLoop(1, func(time.Duration) {})
 		go loop.Run()
-		cache := NewContents(0)
-		Follow("c", loop, feed, cache, func() time.Duration { return BroadcastPollInterval }, func() {}, logr.Discard())
+		contents := NewContents(0)
+		Follow("c", loop, feed, contents, func() time.Duration { return BroadcastPollInterval }, func() {}, logr.Discard())
 		time.Sleep(time.Second)
 		loop.Stop()
 		synctest.Wait()
-		if len(feed.asked) < 4 || feed.asked[1] != 500 || feed.asked[2] != 0 || feed.asked[3] != 3 {
-			t.Errorf("asked from %v", feed.asked)
+		if len(feed.positions) < 4 || feed.positions[1] != 500 || feed.positions[2] != 0 || feed.positions[3] != 3 {
+			t.Errorf("polled from positions %v", feed.positions)
 		}
-		if tokensOf(cache, "x") != 0 || tokensOf(cache, "y") != 10 {
-			t.Errorf("held %v", cache.held)
+		if tokensOf(contents, "x") != 0 || tokensOf(contents, "y") != 10 {
+			t.Errorf("contents %v, want y only", contents.tokens)
 		}
 	})
 }
