--- a/internal/gateway/holdings/holdings.go
+++ b/internal/gateway/holdings/holdings.go
@@ -54,8 +54,8 @@
 	capacity    int
 	epoch       string
 	totalTokens int
-	// tokens is the number of cached tokens by part.
-	tokens map[parts.Key]int
+	// cachedTokens is the number of cached cachedTokens by part.
+	cachedTokens map[parts.Key]int
 	// changed are the parts that TakeUpdates has to return.
 	changed map[parts.Key]struct{}
 	// refreshQueue are the parts that the current round of NextRefresh has to return.
@@ -65,11 +65,11 @@
 // NewContents returns empty contents of a cache with the given capacity in tokens, or zero if
 // that is unknown.
 func NewContents(capacity int) *Contents {
-	return &Contents{capacity: capacity, tokens: map[parts.Key]int{}, changed: map[parts.Key]struct{}{}}
+	return &Contents{capacity: capacity, cachedTokens: map[parts.Key]int{}, changed: map[parts.Key]struct{}{}}
 }
 
 // Len returns the number of cached parts.
-func (c *Contents) Len() int { return len(c.tokens) }
+func (c *Contents) Len() int { return len(c.cachedTokens) }
 
 // Apply applies a page of changes. It reports whether the cache has restarted.
 func (c *Contents) Apply(p Page) bool {
@@ -85,18 +85,18 @@
 }
 
 func (c *Contents) clear() {
-	for k := range c.tokens {
+	for k := range c.cachedTokens {
 		c.set(k, 0)
 	}
 }
 
 func (c *Contents) set(k parts.Key, tokens int) {
-	c.totalTokens += tokens - c.tokens[k]
+	c.totalTokens += tokens - c.cachedTokens[k]
 	c.changed[k] = struct{}{}
 	if tokens > 0 {
-		c.tokens[k] = tokens
+		c.cachedTokens[k] = tokens
 	} else {
-		delete(c.tokens, k)
+		delete(c.cachedTokens, k)
 	}
 }
 
@@ -115,10 +115,10 @@
 
 // Replace replaces the contents with a list of all cached parts.
 func (c *Contents) Replace(p Page) {
-	unlisted := maps.Clone(c.tokens)
+	unlisted := maps.Clone(c.cachedTokens)
 	for _, change := range p.Changes {
 		k := parts.KeyOf(change.Scope, change.Part)
-		if c.tokens[k] != change.Tokens {
+		if c.cachedTokens[k] != change.Tokens {
 			c.set(k, change.Tokens)
 		}
 		delete(unlisted, k)
@@ -137,7 +137,7 @@
 		if len(all) == n {
 			break
 		}
-		all = append(all, CachedPart{Part: k, Tokens: c.tokens[k]})
+		all = append(all, CachedPart{Part: k, Tokens: c.cachedTokens[k]})
 		delete(c.changed, k)
 	}
 	return all
@@ -147,7 +147,7 @@
 // and then start again.
 func (c *Contents) NextRefresh(n int) []CachedPart {
 	if len(c.refreshQueue) == 0 {
-		for k := range c.tokens {
+		for k := range c.cachedTokens {
 			c.refreshQueue = append(c.refreshQueue, k)
 		}
 	}
@@ -155,7 +155,7 @@
 	for len(all) < n && len(c.refreshQueue) > 0 {
 		k := c.refreshQueue[len(c.refreshQueue)-1]
 		c.refreshQueue = c.refreshQueue[:len(c.refreshQueue)-1]
-		if tokens, ok := c.tokens[k]; ok {
+		if tokens, ok := c.cachedTokens[k]; ok {
 			all = append(all, CachedPart{Part: k, Tokens: tokens})
 		}
 	}
@@ -164,8 +164,8 @@
 
 // List returns up to n of the cached parts.
 func (c *Contents) List(n int) []CachedPart {
-	all := make([]CachedPart, 0, min(n, len(c.tokens)))
-	for k, tokens := range c.tokens {
+	all := make([]CachedPart, 0, min(n, len(c.cachedTokens)))
+	for k, tokens := range c.cachedTokens {
 		if len(all) == n {
 			break
 		}
--- a/internal/gateway/holdings/holdings_test.go
+++ b/internal/gateway/holdings/holdings_test.go
@@ -21,7 +21,7 @@
 // change returns a change of a part in scope "s".
 func change(part string, tokens int) Change { return Change{Scope: "s", Part: part, Tokens: tokens} }
 
-func tokensOf(c *Contents, part string) int { return c.tokens[parts.KeyOf("s", part)] }
+func tokensOf(c *Contents, part string) int { return c.cachedTokens[parts.KeyOf("s", part)] }
 
 // Several changes of one part yield a single update with the latest number of tokens.
 func TestChangesOfOnePartAreMerged(t *testing.T) {
@@ -54,7 +54,7 @@
 	}
 	updates := c.TakeUpdates(10)
 	if len(updates) != 2 || c.Len() != 1 || tokensOf(c, "x") != 0 || tokensOf(c, "y") != 10 {
-		t.Errorf("contents %v, updates %v", c.tokens, updates)
+		t.Errorf("contents %v, updates %v", c.cachedTokens, updates)
 	}
 }
 
@@ -87,11 +87,11 @@
 			}
 		}
 		if c.Len() != len(list.Changes) || c.totalTokens != sum || c.OverCapacity() {
-			rt.Fatalf("contents %v of %d tokens, want %v", c.tokens, c.totalTokens, list.Changes)
+			rt.Fatalf("contents %v of %d tokens, want %v", c.cachedTokens, c.totalTokens, list.Changes)
 		}
 		for k, tokens := range updates {
-			if c.tokens[k] != tokens {
-				rt.Fatalf("last update has %d tokens of a part, the contents %d", tokens, c.tokens[k])
+			if c.cachedTokens[k] != tokens {
+				rt.Fatalf("last update has %d tokens of a part, the contents %d", tokens, c.cachedTokens[k])
 			}
 		}
 	})
@@ -195,7 +195,7 @@
 			t.Errorf("polled from positions %v", feed.positions)
 		}
 		if tokensOf(contents, "x") != 0 || tokensOf(contents, "y") != 10 {
-			t.Errorf("contents %v, want y only", contents.tokens)
+			t.Errorf("contents %v, want y only", contents.cachedTokens)
 		}
 	})
 }
--- a/internal/gateway/parts/parts.go
+++ b/internal/gateway/parts/parts.go
@@ -2,7 +2,7 @@
 //
 // The index combines two sources. Sends observed by this process, or announced by others,
 // are known at once, but evictions are not. Caches report their contents through sidecars:
-// that takes about 100 ms, and includes evictions. A wrong entry costs a repeated prefill
+// that takes about 100 ms, and includes evictions. A wrong location costs a repeated prefill
 // but never yields a wrong answer, because a part's key covers everything that decides
 // whether its cached state is valid.
 package parts
@@ -99,8 +99,8 @@
 // length is not known.
 const AllTokens = math.MaxInt32
 
-// entry is what the index knows about one part at one target.
-type entry struct {
+// location is what the index knows about one part at one target.
+type location struct {
 	target fleet.ID
 	// state is the last state recorded from sends, and recordedAt when it was recorded.
 	state      State
@@ -118,7 +118,7 @@
 // iterating over them.
 type Index struct {
 	mu            sync.Mutex
-	recent, older map[Key][]entry
+	recent, older map[Key][]location
 	// pending are the updates that were not announced yet.
 	pending []Update
 	// lastReport is when each target last reported its cache.
@@ -127,21 +127,21 @@
 
 // NewIndex returns an empty index.
 func NewIndex() *Index {
-	return &Index{recent: map[Key][]entry{}, older: map[Key][]entry{}, lastReport: map[fleet.ID]time.Time{}}
+	return &Index{recent: map[Key][]location{}, older: map[Key][]location{}, lastReport: map[fleet.ID]time.Time{}}
 }
 
-// get returns the entries of a key. The caller holds mu.
-func (x *Index) get(k Key) []entry {
+// get returns the locations of a key. The caller holds mu.
+func (x *Index) get(k Key) []location {
 	if list, ok := x.recent[k]; ok {
 		return list
 	}
 	return x.older[k]
 }
 
-// put stores the entries of a key in the recent generation. The caller holds mu.
-func (x *Index) put(k Key, list []entry) {
+// put stores the locations of a key in the recent generation. The caller holds mu.
+func (x *Index) put(k Key, list []location) {
 	if len(x.recent) >= maxKeys/2 {
-		x.older, x.recent = x.recent, map[Key][]entry{}
+		x.older, x.recent = x.recent, map[Key][]location{}
 	}
 	x.recent[k] = list
 }
@@ -168,7 +168,7 @@
 }
 
 // record reports whether the update is worth announcing: it changes the state, or renews an
-// entry that is not recent. The caller holds mu.
+// location that is not recent. The caller holds mu.
 func (x *Index) record(u Update, now time.Time) bool {
 	state := InProgress
 	if u.Done {
@@ -187,7 +187,7 @@
 		x.put(u.Part, list)
 		return previous.current(now) != state || now.Sub(previous.recordedAt) > cachedTTL/4
 	}
-	x.put(u.Part, append(dropExpired(list, now), entry{target: u.Target, state: state, recordedAt: now}))
+	x.put(u.Part, append(dropExpired(list, now), location{target: u.Target, state: state, recordedAt: now}))
 	return true
 }
 
@@ -199,10 +199,10 @@
 	defer x.mu.Unlock()
 	x.recordReportTime(target, now)
 	list := x.get(k)
-	i := slices.IndexFunc(list, func(e entry) bool { return e.target == target })
+	i := slices.IndexFunc(list, func(l location) bool { return l.target == target })
 	switch {
 	case i < 0 && tokens > 0:
-		x.put(k, append(dropExpired(list, now), entry{target: target, tokens: tokens, reportedAt: now}))
+		x.put(k, append(dropExpired(list, now), location{target: target, tokens: tokens, reportedAt: now}))
 	case i >= 0:
 		list[i].applyReport(tokens, now)
 		x.put(k, dropExpired(list, now))
@@ -232,34 +232,34 @@
 // Engines report the prefill of a part block by block and with a delay. Such a report may
 // arrive after the first response for the part; if it were applied, the part would count as
 // partly cached and its rest would be computed again elsewhere.
-func (e *entry) applyReport(tokens int, now time.Time) {
-	predatesReport := e.state == Cached && now.Sub(e.recordedAt) > maxReportDelay
+func (l *location) applyReport(tokens int, now time.Time) {
+	predatesReport := l.state == Cached && now.Sub(l.recordedAt) > maxReportDelay
 	if predatesReport {
-		e.state = Absent
+		l.state = Absent
 	}
-	e.tokens, e.reportedAt = tokens, now
+	l.tokens, l.reportedAt = tokens, now
 }
 
-// dropExpired removes expired entries.
-func dropExpired(list []entry, now time.Time) []entry {
-	return slices.DeleteFunc(list, func(e entry) bool { return e.current(now) == Absent })
+// dropExpired removes expired locations.
+func dropExpired(list []location, now time.Time) []location {
+	return slices.DeleteFunc(list, func(l location) bool { return l.current(now) == Absent })
 }
 
 // reportValid reports whether the target has reported cached tokens recently enough.
-func (e *entry) reportValid(now time.Time) bool {
-	return e.tokens > 0 && now.Sub(e.reportedAt) <= reportTTL
+func (l *location) reportValid(now time.Time) bool {
+	return l.tokens > 0 && now.Sub(l.reportedAt) <= reportTTL
 }
 
-func (e *entry) inProgress(now time.Time) bool {
-	return e.state == InProgress && now.Sub(e.recordedAt) <= inProgressTTL
+func (l *location) inProgress(now time.Time) bool {
+	return l.state == InProgress && now.Sub(l.recordedAt) <= inProgressTTL
 }
 
 // current returns the state of the part, which may be cached only partly.
-func (e *entry) current(now time.Time) State {
+func (l *location) current(now time.Time) State {
 	switch {
-	case e.inProgress(now):
+	case l.inProgress(now):
 		return InProgress
-	case e.reportValid(now), e.state == Cached && now.Sub(e.recordedAt) <= cachedTTL:
+	case l.reportValid(now), l.state == Cached && now.Sub(l.recordedAt) <= cachedTTL:
 		return Cached
 	default:
 		return Absent
@@ -268,11 +268,11 @@
 
 // stateOf returns the state of a part with the given number of tokens. A partly evicted part
 // counts as absent: prompts must wait for its new prefill, and offload it again.
-func (e *entry) stateOf(tokens int, now time.Time) State {
+func (l *location) stateOf(tokens int, now time.Time) State {
 	switch {
-	case e.cachedTokens(cachedTTL, now) > max(tokens-blockTokens, 0):
+	case l.cachedTokens(cachedTTL, now) > max(tokens-blockTokens, 0):
 		return Cached
-	case e.inProgress(now):
+	case l.inProgress(now):
 		return InProgress
 	default:
 		return Absent
@@ -281,12 +281,12 @@
 
 // cachedTokens returns how many tokens of the part are cached. What was recorded from sends
 // is valid for the given retention, after which caches evict unused parts.
-func (e *entry) cachedTokens(retention time.Duration, now time.Time) int {
+func (l *location) cachedTokens(retention time.Duration, now time.Time) int {
 	switch {
-	case e.state == Cached && now.Sub(e.recordedAt) <= min(retention, cachedTTL):
+	case l.state == Cached && now.Sub(l.recordedAt) <= min(retention, cachedTTL):
 		return AllTokens
-	case e.reportValid(now):
-		return e.tokens
+	case l.reportValid(now):
+		return l.tokens
 	default:
 		return 0
 	}
@@ -312,13 +312,13 @@
 	x.pending = nil
 }
 
-// Forget deletes the entries of a target whose cache was cleared.
+// Forget deletes the locations at a target whose cache was cleared.
 func (x *Index) Forget(target fleet.ID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, generation := range []map[Key][]entry{x.recent, x.older} {
+	for _, generation := range []map[Key][]location{x.recent, x.older} {
 		for k, list := range generation {
-			generation[k] = slices.DeleteFunc(list, func(e entry) bool { return e.target == target })
+			generation[k] = slices.DeleteFunc(list, func(l location) bool { return l.target == target })
 		}
 	}
 }
--- a/internal/gateway/parts/parts_test.go
+++ b/internal/gateway/parts/parts_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Entries expire: engines evict unused parts, and a prefill that takes too long has failed.
-func TestEntriesExpire(t *testing.T) {
+// Locations expire: engines evict unused parts, and a prefill that takes too long has failed.
+func TestLocationsExpire(t *testing.T) {
 	x := NewIndex()
 	keys := Keys("s", prompt("x", "own"))
 	x.Record(1, keys, false, now)
@@ -117,7 +117,7 @@
 		t.Errorf("%d keys, more than maxKeys", n)
 	}
 	if stateAt(x, Key(3*maxKeys-1), 1, now) != Cached {
-		t.Error("the newest entry was dropped")
+		t.Error("the newest location was dropped")
 	}
 	x = NewIndex()
 	x.Apply(Update{Part: 7, Target: 1, Done: true}, now)
--- a/internal/gateway/parts/retention.go
+++ b/internal/gateway/parts/retention.go
@@ -11,7 +11,7 @@
 	rateWindow = 3 * time.Second
 	// retentionFactor scales the time in which new tokens replace the content of a cache.
 	// It is greater than one because some of the counted tokens are already cached, and
-	// because a missing entry is more expensive than a wrong one: it repeats a prefill,
+	// because a missing location is more expensive than a wrong one: it repeats a prefill,
 	// where a wrong one costs a fetch that returns nothing.
 	retentionFactor = 1.5
 	// minRetention and maxRetention bound the estimate.
