--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -33,8 +33,8 @@
 	maxParts = 16
 )
 
-// anyStore stands for the store of a prompt's parts, whichever that is: only what this engine
-// offloads is known of stores.
+// anyStore stands for the store of a prompt's parts, whichever that is. The tracker knows
+// only what this engine has offloaded.
 const anyStore = fleet.ID(0)
 
 // State is what the engine's controller knows of the engine.
