--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -44,7 +44,7 @@
 type caches struct {
 	process  *process
 	engine   *holdings.Follower
-	life     fleet.Life
+	life     fleet.Incarnation
 	stores   map[netip.AddrPort]*holdings.Follower
 	telling  map[*holdings.Follower]bool
 	newcomer map[netip.AddrPort]uint64
@@ -68,7 +68,7 @@
 }
 
 // followEngine follows the cache of the engine's present life.
-func (c *caches) followEngine(address netip.AddrPort, life fleet.Life) {
+func (c *caches) followEngine(address netip.AddrPort, life fleet.Incarnation) {
 	if life.Instance == "" || life == c.life {
 		return
 	}
@@ -199,7 +199,7 @@
 	if c.process.beliefs.large.Load() {
 		return
 	}
-	c.process.beliefs.mesh.TellEntries(func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
+	c.process.beliefs.mesh.BroadcastToEntries(func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
 }
 
 // repeat says a slice of each cache again.
@@ -217,7 +217,7 @@
 	c.newcomer[m.Address] = m.Incarnation
 	for _, f := range c.all() {
 		for held := range slices.Chunk(f.Contents.List(newcomerParts), toldParts) {
-			c.process.beliefs.mesh.TellMember(m.Address, func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
+			c.process.beliefs.mesh.SendTo(m.Address, func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
 		}
 	}
 }
--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/caches_test.go
@@ -44,15 +44,15 @@
 	e := &entry{parts: parts.NewIndex(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
 	held := heldParts(3)
 	now := time.Unix(1000, 0)
-	e.learnCache(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
+	e.learnCache(&mesh.Member{Heartbeat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
 	for _, h := range held {
 		if got := e.parts.StateAt(h.Part, h.Tokens, fleet.IDOf("c"), now); got != parts.Cached {
 			t.Errorf("part %d: state %v", h.Part, got)
 		}
 	}
-	work := ledger.Work{Running: 3, Reading: ledger.Lane(7, 250*time.Millisecond), Memory: ledger.Lane(2, 90_000)}
-	work.Reading[0] = time.Second
-	if got := probe.WorkIn(probe.LoadOut(1, work)); got != work {
+	work := ledger.Work{Running: 3, Prefill: ledger.AtPriority(7, 250*time.Millisecond), Memory: ledger.AtPriority(2, 90_000)}
+	work.Prefill[0] = time.Second
+	if got := probe.DecodeLoad(probe.EncodeLoad(1, work)); got != work {
 		t.Errorf("%+v, want %+v", got, work)
 	}
 }
@@ -60,8 +60,8 @@
 // BenchmarkLearnCache is what it costs an entry to take in one part of a cache's word.
 func BenchmarkLearnCache(b *testing.B) {
 	e := &entry{parts: parts.NewIndex(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
-	member := &mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, heldParts(toldParts))}}
-	b.ReportMetric(float64(proto.Size(member.Beat))/toldParts, "bytes/part")
+	member := &mesh.Member{Heartbeat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, heldParts(toldParts))}}
+	b.ReportMetric(float64(proto.Size(member.Heartbeat))/toldParts, "bytes/part")
 	for b.Loop() {
 		e.learnCache(member, time.Unix(1000, 0))
 	}
--- a/internal/gateway/tracker/queue.go
+++ b/internal/gateway/tracker/queue.go
@@ -62,14 +62,14 @@
 		if s.prefilled {
 			continue
 		}
-		w.Reading[s.priority] += s.prefill
+		w.Prefill[s.priority] += s.prefill
 		if current == nil || s.precedes(current) {
 			current = s
 		}
 	}
 	if current != nil {
-		w.Reading[current.priority] -= current.prefill
-		w.Reading[0] += current.remaining(lastPrefillEnd, now)
+		w.Prefill[current.priority] -= current.prefill
+		w.Prefill[0] += current.remaining(lastPrefillEnd, now)
 	}
 	return w
 }
@@ -80,7 +80,7 @@
 // offeredLoad averages the prefill time that an engine is sent per unit of time, by
 // priority.
 type offeredLoad struct {
-	share     [ledger.Urgencies]float64
+	share     [ledger.Priorities]float64
 	updatedAt time.Time
 }
 
@@ -98,9 +98,9 @@
 }
 
 // permille returns the load by priority, in thousandths of the engine's time.
-func (l *offeredLoad) permille(now time.Time) ledger.Lanes[int] {
+func (l *offeredLoad) permille(now time.Time) ledger.PerPriority[int] {
 	l.decay(now)
-	var all ledger.Lanes[int]
+	var all ledger.PerPriority[int]
 	for priority, share := range l.share {
 		all[priority] = int(1000 * share)
 	}
--- a/internal/gateway/tracker/remote.go
+++ b/internal/gateway/tracker/remote.go
@@ -60,7 +60,7 @@
 	if previous != nil {
 		delete(r.byID, previous.id)
 	}
-	offloaded := s.Saved || previous != nil && previous.offloaded && previous.done && now.Sub(previous.updatedAt) < offloadedTTL
+	offloaded := s.Offloaded || previous != nil && previous.offloaded && previous.done && now.Sub(previous.updatedAt) < offloadedTTL
 	r.byFamily[family] = &remotePrefill{id: id, engine: s.Holder, offloaded: offloaded, updatedAt: now}
 	r.byID[id] = family
 }
@@ -74,7 +74,7 @@
 	}
 	prefill := r.byFamily[family]
 	switch {
-	case p.Read:
+	case p.PrefillDone:
 		prefill.done, prefill.updatedAt = true, now
 	case p.Ended && !prefill.done:
 		r.remove(family)
@@ -82,20 +82,20 @@
 }
 
 // fillAnswer sets the fields of a probe answer that concern other engines and the store.
-func (r *remotePrefills) fillAnswer(family parts.Key, a *probe.Answer, now time.Time) {
+func (r *remotePrefills) fillAnswer(family parts.Key, a *probe.Response, now time.Time) {
 	prefill := r.byFamily[family]
 	if prefill == nil {
 		return
 	}
 	age := now.Sub(prefill.updatedAt)
 	if !prefill.done {
-		a.Coming = a.Coming || age < remotePrefillTTL
+		a.PrefillInProgress = a.PrefillInProgress || age < remotePrefillTTL
 		return
 	}
 	if age < remoteCachedTTL {
 		a.Holder = prefill.engine
 	}
-	a.Saved = a.Saved || prefill.offloaded && age < offloadedTTL
+	a.Offloaded = a.Offloaded || prefill.offloaded && age < offloadedTTL
 }
 
 func (r *remotePrefills) remove(family parts.Key) {
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -39,7 +39,7 @@
 
 // State is what the engine's controller knows of the engine.
 type State struct {
-	Incarnation fleet.Life
+	Incarnation fleet.Incarnation
 	Weights     map[string]int64
 	Phase       weights.Phase
 	// ReportedAt is when the engine last reported.
@@ -54,8 +54,8 @@
 	known  bool
 	state  State
 	index  *parts.Index
-	paces  *readtime.Paces
-	health *health.Book
+	paces  *readtime.Slowdowns
+	health *health.Monitor
 	sends  map[probe.SendID]*send
 	// remote tracks families that have this engine as their first choice.
 	remote *remotePrefills
@@ -68,8 +68,8 @@
 // New returns a tracker with no knowledge of its engine.
 func New(now func() time.Time) *Tracker {
 	return &Tracker{
-		now: now, index: parts.NewIndex(), paces: readtime.NewPaces(),
-		health: health.NewBook(nil), sends: map[probe.SendID]*send{}, remote: newRemotePrefills(),
+		now: now, index: parts.NewIndex(), paces: readtime.NewSlowdowns(),
+		health: health.NewMonitor(nil), sends: map[probe.SendID]*send{}, remote: newRemotePrefills(),
 	}
 }
 
@@ -90,7 +90,7 @@
 
 // reset deletes what is known of an earlier incarnation. The caller holds mu.
 func (t *Tracker) reset() {
-	t.index, t.paces = parts.NewIndex(), readtime.NewPaces()
+	t.index, t.paces = parts.NewIndex(), readtime.NewSlowdowns()
 	clear(t.sends)
 }
 
@@ -105,26 +105,26 @@
 func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Incarnation.String()) }
 
 // Probe implements probe.Engine.
-func (t *Tracker) Probe(p probe.Prompt) (probe.Answer, bool) {
+func (t *Tracker) Probe(p probe.Prompt) (probe.Response, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	if !t.known {
-		return probe.Answer{}, false
+		return probe.Response{}, false
 	}
 	t.sweep(now)
-	a := probe.Answer{
-		Life: t.state.Incarnation, Weights: t.state.Weights, Phase: t.state.Phase,
-		Work: workOf(slices.Collect(maps.Values(t.sends)), t.lastPrefillEnd, now), Arriving: t.offered.permille(now), Pace: t.paces.Of(t.state.Incarnation, now), ReportAge: now.Sub(t.state.ReportedAt),
+	a := probe.Response{
+		Incarnation: t.state.Incarnation, WeightVersions: t.state.Weights, Phase: t.state.Phase,
+		Work: workOf(slices.Collect(maps.Values(t.sends)), t.lastPrefillEnd, now), OfferedLoad: t.offered.permille(now), Slowdown: t.paces.Factor(t.state.Incarnation, now), ReportAge: now.Sub(t.state.ReportedAt),
 	}
-	_, a.Ill = t.health.Rested(now)[t.state.Incarnation]
+	_, a.Unhealthy = t.health.Ejected(now)[t.state.Incarnation]
 	t.fillCacheState(p, &a, now)
 	return a, true
 }
 
 // fillCacheState sets which of a prompt's shared parts are cached or in progress, for the
 // weights that the engine has loaded. The caller holds mu.
-func (t *Tracker) fillCacheState(p probe.Prompt, a *probe.Answer, now time.Time) {
+func (t *Tracker) fillCacheState(p probe.Prompt, a *probe.Response, now time.Time) {
 	keys := partKeys(p, t.state.Weights[p.Model])
 	if len(keys) == 0 {
 		return
@@ -132,22 +132,22 @@
 	id := t.id()
 	for _, prefix := range t.index.Prefixes(keys, p.Parts[:len(keys)], unreportedTTL, now) {
 		if prefix.Target == id {
-			a.Held = prefix.Tokens
+			a.CachedTokens = prefix.Tokens
 		}
 	}
 	for i, k := range keys {
 		if t.index.StateAt(k, p.Parts[i].Tokens, id, now) == parts.InProgress {
-			a.Coming = true
+			a.PrefillInProgress = true
 		}
 	}
 	last := len(keys) - 1
-	a.Saved = t.index.StateAt(keys[last], p.Parts[last].Tokens, anyStore, now) == parts.Cached
+	a.Offloaded = t.index.StateAt(keys[last], p.Parts[last].Tokens, anyStore, now) == parts.Cached
 	t.remote.fillAnswer(keys[last], a, now)
 }
 
 // partKeys returns the keys of a prompt's parts for a version of the weights.
 func partKeys(p probe.Prompt, version int64) []parts.Key {
-	scope := parts.Scope(p.Model, version, p.Isolated)
+	scope := parts.Scope(p.Model, version, p.IsolatedWorkspace)
 	n := min(len(p.Parts), maxParts)
 	keys := make([]parts.Key, 0, n)
 	for _, part := range p.Parts[:n] {
@@ -157,7 +157,7 @@
 }
 
 // Sent implements probe.Engine.
-func (t *Tracker) Sent(id probe.SendID, s probe.Send) {
+func (t *Tracker) OnSend(id probe.SendID, s probe.Send) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -166,11 +166,11 @@
 		return
 	}
 	if s.Holder.IsValid() {
-		t.remote.record(id, partKeys(s.Prompt, s.Weights), s, now)
+		t.remote.record(id, partKeys(s.Prompt, s.WeightVersion), s, now)
 		return
 	}
 	tracked := &send{
-		priority: s.Urgency, prefill: s.Read, memoryTokens: s.Memory, keys: partKeys(s.Prompt, s.Weights), offloaded: s.Saved,
+		priority: s.Priority, prefill: s.PrefillTime, memoryTokens: s.Memory, keys: partKeys(s.Prompt, s.WeightVersion), offloaded: s.Offloaded,
 		sentAt: now, expiresAt: now.Add(s.Lifetime),
 	}
 	t.sends[id] = tracked
@@ -181,7 +181,7 @@
 
 // Progressed implements probe.Engine. It ignores late or repeated messages, which refer to no
 // known send.
-func (t *Tracker) Progressed(id probe.SendID, p probe.Progress) {
+func (t *Tracker) OnProgress(id probe.SendID, p probe.Progress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -190,18 +190,18 @@
 		t.remote.update(id, p, now)
 		return
 	}
-	if p.Read {
+	if p.PrefillDone {
 		tracked.prefilled, t.lastPrefillEnd = true, now
 		t.index.Record(t.id(), tracked.keys, true, now)
 		if tracked.offloaded {
 			t.index.Record(anyStore, tracked.keys, true, now)
 		}
 		t.index.DropUpdates()
-		t.paces.Note(t.state.Incarnation, p.Took, p.Expected, now)
+		t.paces.Record(t.state.Incarnation, p.Latency, p.ExpectedLatency, now)
 	}
 	if p.Ended {
 		delete(t.sends, id)
-		t.health.Note("", t.state.Incarnation, p.Outcome, now)
+		t.health.Record("", t.state.Incarnation, p.Outcome, now)
 	}
 }
 
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -25,7 +25,7 @@
 func newTestTracker() *testTracker {
 	tr := &testTracker{clock: start}
 	tr.Tracker = New(func() time.Time { return tr.clock })
-	tr.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
+	tr.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
 	return tr
 }
 
@@ -33,18 +33,18 @@
 
 func (tr *testTracker) send(s probe.Send) probe.SendID {
 	tr.lastNumber++
-	id := probe.SendID{Entry: netip.MustParseAddrPort("10.0.0.1:5000"), Number: tr.lastNumber}
+	id := probe.SendID{Entry: netip.MustParseAddrPort("10.0.0.1:5000"), Sequence: tr.lastNumber}
 	if s.Lifetime == 0 {
 		s.Lifetime = 10 * time.Second
 	}
-	if s.Weights == 0 {
-		s.Weights = 1
+	if s.WeightVersion == 0 {
+		s.WeightVersion = 1
 	}
-	tr.Sent(id, s)
+	tr.OnSend(id, s)
 	return id
 }
 
-func (tr *testTracker) mustProbe(t *testing.T, p probe.Prompt) probe.Answer {
+func (tr *testTracker) mustProbe(t *testing.T, p probe.Prompt) probe.Response {
 	t.Helper()
 	a, ok := tr.Probe(p)
 	if !ok {
@@ -67,17 +67,17 @@
 func TestHighPriorityDoesNotWaitForLowPriority(t *testing.T) {
 	tr := newTestTracker()
 	for range 6 {
-		tr.send(probe.Send{Urgency: 1, Read: 180 * time.Millisecond})
+		tr.send(probe.Send{Priority: 1, PrefillTime: 180 * time.Millisecond})
 	}
 	for range 4 {
-		tr.send(probe.Send{Urgency: 0, Read: 36 * time.Millisecond})
+		tr.send(probe.Send{Priority: 0, PrefillTime: 36 * time.Millisecond})
 	}
 	tr.advance(200 * time.Millisecond)
 	work := tr.mustProbe(t, promptOf()).Work
-	if high := work.Reading.UpTo(0); high > 150*time.Millisecond {
+	if high := work.Prefill.UpTo(0); high > 150*time.Millisecond {
 		t.Errorf("a prompt of high priority would wait for %v, want at most 150ms", high)
 	}
-	if all := work.Reading.UpTo(1); all < 6*180*time.Millisecond {
+	if all := work.Prefill.UpTo(1); all < 6*180*time.Millisecond {
 		t.Errorf("a prompt of low priority would wait for %v, want at least the prefill of all six", all)
 	}
 }
@@ -86,19 +86,19 @@
 // starts at the first event, not at its estimated time.
 func TestOnlyCurrentPrefillDecreases(t *testing.T) {
 	tr := newTestTracker()
-	first := tr.send(probe.Send{Urgency: 1, Read: 100 * time.Millisecond})
-	tr.send(probe.Send{Urgency: 1, Read: 100 * time.Millisecond})
+	first := tr.send(probe.Send{Priority: 1, PrefillTime: 100 * time.Millisecond})
+	tr.send(probe.Send{Priority: 1, PrefillTime: 100 * time.Millisecond})
 	tr.advance(60 * time.Millisecond)
-	if got := tr.mustProbe(t, promptOf()).Work.Reading.All(); got != 140*time.Millisecond {
+	if got := tr.mustProbe(t, promptOf()).Work.Prefill.Total(); got != 140*time.Millisecond {
 		t.Errorf("remaining prefill time is %v, want 140ms", got)
 	}
 	tr.advance(400 * time.Millisecond)
-	if got := tr.mustProbe(t, promptOf()).Work.Reading.All(); got != 115*time.Millisecond {
+	if got := tr.mustProbe(t, promptOf()).Work.Prefill.Total(); got != 115*time.Millisecond {
 		t.Errorf("remaining prefill time behind an overdue prompt is %v, want 115ms", got)
 	}
-	tr.Progressed(first, probe.Progress{Read: true})
+	tr.OnProgress(first, probe.Progress{PrefillDone: true})
 	tr.advance(30 * time.Millisecond)
-	if got := tr.mustProbe(t, promptOf()).Work.Reading.All(); got != 70*time.Millisecond {
+	if got := tr.mustProbe(t, promptOf()).Work.Prefill.Total(); got != 70*time.Millisecond {
 		t.Errorf("remaining prefill time of the second prompt is %v, want 70ms", got)
 	}
 }
@@ -108,17 +108,17 @@
 func TestOfferedLoadByPriority(t *testing.T) {
 	tr := newTestTracker()
 	for range 100 {
-		id := tr.send(probe.Send{Urgency: 0, Read: 40 * time.Millisecond})
+		id := tr.send(probe.Send{Priority: 0, PrefillTime: 40 * time.Millisecond})
 		tr.advance(100 * time.Millisecond)
-		tr.Progressed(id, probe.Progress{Read: true})
-		tr.Progressed(id, probe.Progress{Ended: true})
+		tr.OnProgress(id, probe.Progress{PrefillDone: true})
+		tr.OnProgress(id, probe.Progress{Ended: true})
 	}
-	offered := tr.mustProbe(t, promptOf()).Arriving
+	offered := tr.mustProbe(t, promptOf()).OfferedLoad
 	if got := offered.UpTo(0); got < 350 || got > 450 {
 		t.Errorf("offered load of high priority is %d permille, want about 400", got)
 	}
 	tr.advance(5 * offeredLoadWindow)
-	if got := tr.mustProbe(t, promptOf()).Arriving.All(); got > 10 {
+	if got := tr.mustProbe(t, promptOf()).OfferedLoad.Total(); got > 10 {
 		t.Errorf("offered load is %d permille long after the last prompt", got)
 	}
 }
@@ -127,12 +127,12 @@
 // would seem fully loaded forever.
 func TestSendsExpire(t *testing.T) {
 	tr := newTestTracker()
-	tr.send(probe.Send{Read: time.Second, Memory: 5000, Lifetime: 3 * time.Second})
-	if got := tr.mustProbe(t, promptOf()).Work; got.Running != 1 || got.Memory.All() != 5000 {
+	tr.send(probe.Send{PrefillTime: time.Second, Memory: 5000, Lifetime: 3 * time.Second})
+	if got := tr.mustProbe(t, promptOf()).Work; got.Running != 1 || got.Memory.Total() != 5000 {
 		t.Fatalf("work %+v, want one send with 5000 tokens", got)
 	}
 	tr.advance(4 * time.Second)
-	if got := tr.mustProbe(t, promptOf()).Work; got.Running != 0 || got.Memory.All() != 0 {
+	if got := tr.mustProbe(t, promptOf()).Work; got.Running != 0 || got.Memory.Total() != 0 {
 		t.Errorf("work %+v after the lifetime of the send, want none", got)
 	}
 }
@@ -141,15 +141,15 @@
 // engine.
 func TestNewIncarnationStartsEmpty(t *testing.T) {
 	tr := newTestTracker()
-	id := tr.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
-	tr.Progressed(id, probe.Progress{Read: true})
+	id := tr.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
+	tr.OnProgress(id, probe.Progress{PrefillDone: true})
 	tr.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
-	tr.SetState(State{Incarnation: fleet.Life{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
-	if a := tr.mustProbe(t, promptOf("a")); a.Work.Running != 0 || a.Held != 0 || a.Life.Instance != "i-2" {
+	tr.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
+	if a := tr.mustProbe(t, promptOf("a")); a.Work.Running != 0 || a.CachedTokens != 0 || a.Incarnation.Instance != "i-2" {
 		t.Errorf("answer %+v after the restart", a)
 	}
-	tr.Progressed(id, probe.Progress{Ended: true, Outcome: health.Failed})
-	if a := tr.mustProbe(t, promptOf("b")); a.Held != 0 || a.Ill {
+	tr.OnProgress(id, probe.Progress{Ended: true, Outcome: health.Failed})
+	if a := tr.mustProbe(t, promptOf("b")); a.CachedTokens != 0 || a.Unhealthy {
 		t.Errorf("answer %+v after a late message", a)
 	}
 }
@@ -158,22 +158,22 @@
 // reports otherwise or the engine loads other weights.
 func TestPartsAreInProgressThenCachedThenAsReported(t *testing.T) {
 	tr := newTestTracker()
-	id := tr.send(probe.Send{Prompt: promptOf("a", "b"), Read: 100 * time.Millisecond})
-	if a := tr.mustProbe(t, promptOf("a", "b")); !a.Coming || a.Held != 0 {
-		t.Errorf("during the prefill: in progress %v, %d tokens cached", a.Coming, a.Held)
+	id := tr.send(probe.Send{Prompt: promptOf("a", "b"), PrefillTime: 100 * time.Millisecond})
+	if a := tr.mustProbe(t, promptOf("a", "b")); !a.PrefillInProgress || a.CachedTokens != 0 {
+		t.Errorf("during the prefill: in progress %v, %d tokens cached", a.PrefillInProgress, a.CachedTokens)
 	}
-	tr.Progressed(id, probe.Progress{Read: true})
-	if a := tr.mustProbe(t, promptOf("a", "c")); a.Coming || a.Held != 1000 {
-		t.Errorf("after the prefill: in progress %v, %d tokens cached", a.Coming, a.Held)
+	tr.OnProgress(id, probe.Progress{PrefillDone: true})
+	if a := tr.mustProbe(t, promptOf("a", "c")); a.PrefillInProgress || a.CachedTokens != 1000 {
+		t.Errorf("after the prefill: in progress %v, %d tokens cached", a.PrefillInProgress, a.CachedTokens)
 	}
 	tr.advance(time.Second)
 	tr.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "a"), 0)
-	if a := tr.mustProbe(t, promptOf("a", "b")); a.Held != 0 {
-		t.Errorf("%d tokens cached of a prompt whose first part was evicted, want 0", a.Held)
+	if a := tr.mustProbe(t, promptOf("a", "b")); a.CachedTokens != 0 {
+		t.Errorf("%d tokens cached of a prompt whose first part was evicted, want 0", a.CachedTokens)
 	}
-	tr.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: tr.clock})
-	if a := tr.mustProbe(t, promptOf("b")); a.Held != 0 {
-		t.Errorf("%d tokens cached that were computed with other weights, want 0", a.Held)
+	tr.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: tr.clock})
+	if a := tr.mustProbe(t, promptOf("b")); a.CachedTokens != 0 {
+		t.Errorf("%d tokens cached that were computed with other weights, want 0", a.CachedTokens)
 	}
 }
 
@@ -182,20 +182,20 @@
 func TestFirstEngineKnowsRemotePrefill(t *testing.T) {
 	tr := newTestTracker()
 	other := netip.MustParseAddrPort("10.0.0.9:8000")
-	id := tr.send(probe.Send{Prompt: promptOf("a", "b"), Holder: other, Saved: true})
-	if a := tr.mustProbe(t, promptOf("a", "b")); !a.Coming || a.Holder.IsValid() || a.Work.Running != 0 {
+	id := tr.send(probe.Send{Prompt: promptOf("a", "b"), Holder: other, Offloaded: true})
+	if a := tr.mustProbe(t, promptOf("a", "b")); !a.PrefillInProgress || a.Holder.IsValid() || a.Work.Running != 0 {
 		t.Errorf("answer during the prefill elsewhere: %+v", a)
 	}
-	tr.Progressed(id, probe.Progress{Read: true})
-	if a := tr.mustProbe(t, promptOf("a", "b")); a.Holder != other || !a.Saved || a.Coming {
+	tr.OnProgress(id, probe.Progress{PrefillDone: true})
+	if a := tr.mustProbe(t, promptOf("a", "b")); a.Holder != other || !a.Offloaded || a.PrefillInProgress {
 		t.Errorf("answer after the prefill elsewhere: %+v", a)
 	}
 	tr.advance(remoteCachedTTL)
-	if a := tr.mustProbe(t, promptOf("a", "b")); a.Holder.IsValid() || !a.Saved {
+	if a := tr.mustProbe(t, promptOf("a", "b")); a.Holder.IsValid() || !a.Offloaded {
 		t.Errorf("answer after the other engine may have evicted the parts: %+v", a)
 	}
 	tr.advance(offloadedTTL)
-	if a := tr.mustProbe(t, promptOf("a", "b")); a.Saved {
+	if a := tr.mustProbe(t, promptOf("a", "b")); a.Offloaded {
 		t.Error("the parts still count as offloaded after offloadedTTL")
 	}
 }
@@ -204,8 +204,8 @@
 func TestFailedRemotePrefillIsNotAwaited(t *testing.T) {
 	tr := newTestTracker()
 	id := tr.send(probe.Send{Prompt: promptOf("a"), Holder: netip.MustParseAddrPort("10.0.0.9:8000")})
-	tr.Progressed(id, probe.Progress{Ended: true, Outcome: health.Broken})
-	if a := tr.mustProbe(t, promptOf("a")); a.Coming || a.Holder.IsValid() {
+	tr.OnProgress(id, probe.Progress{Ended: true, Outcome: health.Broken})
+	if a := tr.mustProbe(t, promptOf("a")); a.PrefillInProgress || a.Holder.IsValid() {
 		t.Errorf("answer %+v, want neither in progress nor a location", a)
 	}
 }
@@ -214,7 +214,7 @@
 func TestRemotePrefillsAreBounded(t *testing.T) {
 	r := newRemotePrefills()
 	for i := range 3 * maxRemotePrefills {
-		r.record(probe.SendID{Number: uint32(i)}, []parts.Key{parts.Key(i)}, probe.Send{}, start)
+		r.record(probe.SendID{Sequence: uint32(i)}, []parts.Key{parts.Key(i)}, probe.Send{}, start)
 	}
 	if len(r.byFamily) > maxRemotePrefills || len(r.byID) > maxRemotePrefills {
 		t.Errorf("%d families and %d sends, want at most maxRemotePrefills", len(r.byFamily), len(r.byID))
@@ -226,17 +226,17 @@
 func TestAnswerContainsPaceAndHealth(t *testing.T) {
 	tr := newTestTracker()
 	for range 20 {
-		id := tr.send(probe.Send{Read: 50 * time.Millisecond})
-		tr.Progressed(id, probe.Progress{Read: true, Took: 400 * time.Millisecond, Expected: 100 * time.Millisecond})
-		tr.Progressed(id, probe.Progress{Ended: true})
+		id := tr.send(probe.Send{PrefillTime: 50 * time.Millisecond})
+		tr.OnProgress(id, probe.Progress{PrefillDone: true, Latency: 400 * time.Millisecond, ExpectedLatency: 100 * time.Millisecond})
+		tr.OnProgress(id, probe.Progress{Ended: true})
 	}
-	if a := tr.mustProbe(t, promptOf()); a.Pace < 2 || a.Ill {
-		t.Errorf("pace %.1f, unhealthy %v, want a slow healthy engine", a.Pace, a.Ill)
+	if a := tr.mustProbe(t, promptOf()); a.Slowdown < 2 || a.Unhealthy {
+		t.Errorf("pace %.1f, unhealthy %v, want a slow healthy engine", a.Slowdown, a.Unhealthy)
 	}
 	for range 10 {
-		tr.Progressed(tr.send(probe.Send{}), probe.Progress{Ended: true, Outcome: health.Failed})
+		tr.OnProgress(tr.send(probe.Send{}), probe.Progress{Ended: true, Outcome: health.Failed})
 	}
-	if a := tr.mustProbe(t, promptOf()); !a.Ill {
+	if a := tr.mustProbe(t, promptOf()); !a.Unhealthy {
 		t.Error("an engine that fails all requests is not unhealthy")
 	}
 }
@@ -245,13 +245,13 @@
 // its sends and cached parts.
 func TestUnresponsiveEngineKeepsState(t *testing.T) {
 	tr := newTestTracker()
-	tr.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
+	tr.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
 	tr.SetState(State{Phase: weights.Silent, Weights: map[string]int64{"m": 1}})
 	if a := tr.mustProbe(t, promptOf()); a.Phase != weights.Silent || a.Work.Running != 1 {
 		t.Errorf("answer while unresponsive: %+v", a)
 	}
-	tr.SetState(State{Incarnation: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
-	if a := tr.mustProbe(t, promptOf("a")); a.Work.Running != 1 || !a.Coming {
+	tr.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
+	if a := tr.mustProbe(t, promptOf("a")); a.Work.Running != 1 || !a.PrefillInProgress {
 		t.Errorf("answer afterwards: %+v", a)
 	}
 }
@@ -260,7 +260,7 @@
 func BenchmarkProbe(b *testing.B) {
 	tr := newTestTracker()
 	for i := range 60 {
-		tr.send(probe.Send{Prompt: promptOf("a", string(rune('b'+i%20))), Urgency: i % 4, Read: 50 * time.Millisecond, Memory: 3000})
+		tr.send(probe.Send{Prompt: promptOf("a", string(rune('b'+i%20))), Priority: i % 4, PrefillTime: 50 * time.Millisecond, Memory: 3000})
 	}
 	p := promptOf("a", "c")
 	b.ReportAllocs()
@@ -275,8 +275,8 @@
 	p := promptOf("a", "c")
 	b.ReportAllocs()
 	for b.Loop() {
-		id := tr.send(probe.Send{Prompt: p, Urgency: 1, Read: 50 * time.Millisecond, Memory: 3000})
-		tr.Progressed(id, probe.Progress{Read: true})
-		tr.Progressed(id, probe.Progress{Ended: true})
+		id := tr.send(probe.Send{Prompt: p, Priority: 1, PrefillTime: 50 * time.Millisecond, Memory: 3000})
+		tr.OnProgress(id, probe.Progress{PrefillDone: true})
+		tr.OnProgress(id, probe.Progress{Ended: true})
 	}
 }
--- a/internal/gateway/weights/bytime_test.go
+++ b/internal/gateway/weights/bytime_test.go
@@ -11,7 +11,7 @@
 func manyEngines(n int) []EngineView {
 	engines := make([]EngineView, n)
 	for i := range engines {
-		engines[i] = EngineView{Life: fleet.Life{Instance: fmt.Sprintf("e%d", i)}, Version: 1, Age: time.Hour}
+		engines[i] = EngineView{Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: 1, Age: time.Hour}
 	}
 	return engines
 }
@@ -25,7 +25,7 @@
 	began := map[string]time.Duration{}
 	for at := time.Duration(0); at < bound; at += 50 * time.Millisecond {
 		for _, e := range engines {
-			q := Question{Self: e.Life, Engines: engines, Wanted: 2, Behind: at, Named: at, Bound: bound, Unheard: true}
+			q := Question{Self: e.Incarnation, Engines: engines, Wanted: 2, Behind: at, Named: at, Bound: bound, Unheard: true}
 			if _, done := began[e.Instance]; !done && Decide(q) == Now {
 				began[e.Instance] = at
 			}
@@ -53,7 +53,7 @@
 // at once only because it has been behind for long, unless it would be late.
 func TestTurnsFollowTheNewestWeights(t *testing.T) {
 	engines := manyEngines(180)
-	last := Turns(engines, 3)[179].Life
+	last := Turns(engines, 3)[179].Incarnation
 	q := Question{Self: last, Engines: engines, Wanted: 3, Behind: 4 * time.Second, Named: 100 * time.Millisecond, Bound: 10 * time.Second, Unheard: true}
 	if got := Decide(q); got != Later {
 		t.Errorf("turn %d, want later", got)
--- a/internal/gateway/weights/controller.go
+++ b/internal/gateway/weights/controller.go
@@ -55,7 +55,7 @@
 	Holder string
 	Token  uint64
 	// Life of the engine that is meant.
-	Life fleet.Life
+	Life fleet.Incarnation
 	// Orders is how many orders the engine must have accepted before. An order
 	// that is carried out late, after a newer one, is refused by it.
 	Orders int64
@@ -116,7 +116,7 @@
 	// engines.
 	Unheard func() bool
 	// Changed is told of the engine's life, its newest report and its phase.
-	Changed func(life fleet.Life, report Report, phase Phase)
+	Changed func(life fleet.Incarnation, report Report, phase Phase)
 	// Token returns the fencing token, once there is one.
 	Token func() (uint64, bool)
 	// Fresh reports whether this process has run without a break lately: one
@@ -171,7 +171,7 @@
 	instance    string
 	identifying bool
 	// seen is the life that was reported last under its name, and seenAt when.
-	seen   fleet.Life
+	seen   fleet.Incarnation
 	seenAt time.Time
 	// refusedSince and refusedAt are the first and the last of the reports in a row for which
 	// nothing listened.
@@ -220,7 +220,7 @@
 			c.options.Logger.Info("engine_silent", "instance", c.instance, "error", err.Error())
 		}
 		c.known, c.instance = false, ""
-		c.around.Changed(fleet.Life{}, c.report, Silent)
+		c.around.Changed(fleet.Incarnation{}, c.report, Silent)
 		return reportPeriod
 	}
 	if !c.known {
@@ -250,7 +250,9 @@
 }
 
 // life is the engine's present one; its instance is empty until it is identified.
-func (c *Controller) life() fleet.Life { return fleet.Life{Instance: c.instance, Born: c.report.Born} }
+func (c *Controller) life() fleet.Incarnation {
+	return fleet.Incarnation{Instance: c.instance, StartedMs: c.report.Born}
+}
 
 // identifyPause is the least time between two questions for the engine's life;
 // they have a price.
--- a/internal/gateway/weights/controller_test.go
+++ b/internal/gateway/weights/controller_test.go
@@ -110,9 +110,9 @@
 		Wanted:     func() map[string]History { return map[string]History{"m": b.history} },
 		HealthPath: func() string { return "/health" },
 		Engines: func(string) []EngineView {
-			return []EngineView{{Life: fleet.Life{Instance: b.engine.life, Born: b.engine.born}, Version: b.engine.version}}
+			return []EngineView{{Incarnation: fleet.Incarnation{Instance: b.engine.life, StartedMs: b.engine.born}, Version: b.engine.version}}
 		},
-		Changed: func(_ fleet.Life, _ Report, p Phase) {
+		Changed: func(_ fleet.Incarnation, _ Report, p Phase) {
 			if len(b.phases) == 0 || b.phases[len(b.phases)-1] != p {
 				b.phases = append(b.phases, p)
 			}
@@ -267,7 +267,7 @@
 		time.Sleep(2 * time.Second)
 		b.stop()
 		last := b.engine.given[len(b.engine.given)-1]
-		if len(b.engine.given) != 2 || last.Life != (fleet.Life{Instance: "i1", Born: 200}) || last.Orders != 0 {
+		if len(b.engine.given) != 2 || last.Life != (fleet.Incarnation{Instance: "i1", StartedMs: 200}) || last.Orders != 0 {
 			t.Errorf("orders %+v", b.engine.given)
 		}
 		if b.engine.version != 2 {
--- a/internal/gateway/weights/plan.go
+++ b/internal/gateway/weights/plan.go
@@ -38,7 +38,7 @@
 
 // EngineView is what one sidecar knows of an engine of its service.
 type EngineView struct {
-	fleet.Life
+	fleet.Incarnation
 	// Version of the model that the engine has.
 	Version int64
 	Phase   Phase
@@ -133,7 +133,7 @@
 // Question is what Decide goes by.
 type Question struct {
 	// Self is the life of the deciding sidecar's engine.
-	Self fleet.Life
+	Self fleet.Incarnation
 	// Engines of the service, the own one included.
 	Engines []EngineView
 	// Wanted version, and for how long the own engine has been behind.
@@ -180,7 +180,7 @@
 		if e.Version >= q.Wanted && e.Phase == Serving || e.Age > silentAfter {
 			continue
 		}
-		if e.Life == q.Self {
+		if e.Incarnation == q.Self {
 			return turnAfter(before, places, soon)
 		}
 		soon = soon || e.Phase == Loading && q.LoadTime-e.PhaseAge < emptyLead
@@ -238,8 +238,8 @@
 
 // Schedule returns in how long each engine that lacks the wanted version loads
 // it, by the order of turns. Engines that have it are left out.
-func Schedule(engines []EngineView, wanted int64) map[fleet.Life]time.Duration {
-	var schedule map[fleet.Life]time.Duration
+func Schedule(engines []EngineView, wanted int64) map[fleet.Incarnation]time.Duration {
+	var schedule map[fleet.Incarnation]time.Duration
 	places := Parallel(len(engines))
 	before := 0
 	for _, e := range Turns(engines, wanted) {
@@ -247,9 +247,9 @@
 			continue
 		}
 		if schedule == nil {
-			schedule = map[fleet.Life]time.Duration{}
+			schedule = map[fleet.Incarnation]time.Duration{}
 		}
-		schedule[e.Life] = time.Duration(before/places) * usualLoadTime
+		schedule[e.Incarnation] = time.Duration(before/places) * usualLoadTime
 		before++
 	}
 	return schedule
--- a/internal/gateway/weights/plan_test.go
+++ b/internal/gateway/weights/plan_test.go
@@ -22,7 +22,7 @@
 		lacking := 0
 		for i := range engines {
 			engines[i] = EngineView{
-				Life: fleet.Life{Instance: fmt.Sprintf("e%d", i)}, Version: rapid.Int64Range(1, 3).Draw(rt, "version"),
+				Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: rapid.Int64Range(1, 3).Draw(rt, "version"),
 				Phase: rapid.SampledFrom([]Phase{Serving, Loading}).Draw(rt, "phase"),
 			}
 			if engines[i].Version < 3 || engines[i].Phase == Loading {
@@ -34,7 +34,7 @@
 			if e.Version >= 3 && e.Phase == Serving {
 				continue
 			}
-			if Decide(Question{Self: e.Life, Engines: engines, Wanted: 3, Bound: 8 * time.Second}) == Now {
+			if Decide(Question{Self: e.Incarnation, Engines: engines, Wanted: 3, Bound: 8 * time.Second}) == Now {
 				told++
 			}
 		}
@@ -52,10 +52,10 @@
 func TestSilentSidecarsAreNotWaitedFor(t *testing.T) {
 	var engines []EngineView
 	for i := range 9 {
-		engines = append(engines, EngineView{Life: fleet.Life{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
+		engines = append(engines, EngineView{Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
 	}
 	turns := Turns(engines, 2)
-	q := Question{Self: turns[2].Life, Engines: engines, Wanted: 2, Bound: 8 * time.Second}
+	q := Question{Self: turns[2].Incarnation, Engines: engines, Wanted: 2, Bound: 8 * time.Second}
 	if Decide(q) != Later {
 		t.Fatal("the third engine does not wait, although two go first")
 	}
@@ -83,9 +83,9 @@
 func TestLateEngineLoadsWhateverTheOthersDo(t *testing.T) {
 	var engines []EngineView
 	for i := range 9 {
-		engines = append(engines, EngineView{Life: fleet.Life{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
+		engines = append(engines, EngineView{Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
 	}
-	last := Turns(engines, 2)[8].Life
+	last := Turns(engines, 2)[8].Incarnation
 	q := Question{Self: last, Engines: engines, Wanted: 2, Bound: 8 * time.Second, Behind: 5 * time.Second}
 	if Decide(q) != Now {
 		t.Error("the last engine still waits")
--- a/internal/gateway/weights/remote_test.go
+++ b/internal/gateway/weights/remote_test.go
@@ -27,7 +27,7 @@
 	for i := range n {
 		e := &fakeEngine{life: fmt.Sprintf("e%d", i), version: 1}
 		b.engines = append(b.engines, e)
-		b.list = append(b.list, Remote{Life: fleet.Life{Instance: e.life}, Engine: e, Versions: map[string]int64{"m": 1}})
+		b.list = append(b.list, Remote{Incarnation: fleet.Incarnation{Instance: e.life}, Engine: e, Versions: map[string]int64{"m": 1}})
 	}
 	go b.loop.Run()
 	return b
@@ -76,7 +76,7 @@
 		b := startRemoteBench(10)
 		views := make([]EngineView, len(b.list))
 		for i := range b.list {
-			views[i] = EngineView{Life: b.list[i].Life}
+			views[i] = EngineView{Incarnation: b.list[i].Incarnation}
 		}
 		silent := Turns(views, 2)[:2]
 		for _, e := range b.engines {
