--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -35,11 +35,11 @@
 	// waiting lower class is credited.
 	lowerClassShare = 0.1
 	// holdSmoothing is the weight of the newest hold time in the average.
-	holdSmoothing = 0.1
+	serviceTimeSmoothing = 0.1
 	// retrySpread is how far the times to come back are spread, as a part of
 	// the time itself, so that refused callers do not return together.
-	retrySpread = 0.5
-	minRetry    = 50 * time.Millisecond
+	retryJitter   = 0.5
+	minRetryAfter = 50 * time.Millisecond
 )
 
 // Request asks for admission. Times are since a start that the caller chose.
@@ -77,37 +77,37 @@
 	Refusal *errkind.Error
 }
 
-type item struct {
+type queuedRequest struct {
 	Request
-	start float64
-	order uint64
+	startTag float64
+	arrival  uint64
 }
 
-type active struct {
+type runningRequest struct {
 	Request
-	since      time.Duration
+	startedAt  time.Duration
 	prefilling bool
 }
 
 // Queue is the admission queue of one target. It is used by one goroutine at a
 // time.
 type Queue struct {
-	limits  Limits
-	queued  [config.Classes][]item
-	credit  [config.Classes]float64
-	virtual [config.Classes]float64
-	finish  [config.Classes]map[uint32]float64
-	running map[uint64]*active
-	prefill int
-	order   uint64
-	hold    time.Duration
+	limits      Limits
+	queued      [config.Classes][]queuedRequest
+	credit      [config.Classes]float64
+	virtualTime [config.Classes]float64
+	finishTags  [config.Classes]map[uint32]float64
+	running     map[uint64]*runningRequest
+	prefilling  int
+	arrivals    uint64
+	serviceTime time.Duration
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(limits Limits) *Queue {
-	q := &Queue{limits: limits, running: map[uint64]*active{}}
-	for c := range q.finish {
-		q.finish[c] = map[uint32]float64{}
+	q := &Queue{limits: limits, running: map[uint64]*runningRequest{}}
+	for c := range q.finishTags {
+		q.finishTags[c] = map[uint32]float64{}
 	}
 	return q
 }
@@ -117,27 +117,27 @@
 func (q *Queue) Offer(now time.Duration, r Request) []Outcome {
 	it := q.tag(r)
 	if r.Deadline <= now {
-		refusal := errkind.After(errkind.DeadlineUnmeetable, q.spread(minRetry, r.ID), "the deadline has passed")
+		refusal := errkind.After(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, r.ID), "the deadline has passed")
 		return []Outcome{{ID: r.ID, Verdict: Refuse, Refusal: refusal}}
 	}
 	// A free target is tried whatever the estimate says: a wrong one would
 	// otherwise refuse the very requests that would mend it.
 	if q.canStart() && q.empty() {
-		q.commit(it)
-		q.begin(now, it)
+		q.advanceFinishTag(it)
+		q.start(now, it)
 		return []Outcome{{ID: r.ID, Verdict: Start}}
 	}
-	if refusal := q.judgeDeadline(now, it); refusal != nil {
+	if refusal := q.checkDeadline(now, it); refusal != nil {
 		return []Outcome{{ID: r.ID, Verdict: Refuse, Refusal: refusal}}
 	}
-	outcomes := q.makeRoom(now, it)
+	outcomes := q.shedIfFull(now, it)
 	if len(outcomes) == 1 && outcomes[0].ID == r.ID {
 		return outcomes
 	}
-	q.commit(it)
+	q.advanceFinishTag(it)
 	q.insert(it)
 	outcomes = append(outcomes, Outcome{ID: r.ID, Verdict: Wait})
-	return append(outcomes, q.fill(now)...)
+	return append(outcomes, q.startQueued(now)...)
 }
 
 // FirstToken tells that a request's first token is there.
@@ -147,8 +147,8 @@
 		return nil
 	}
 	a.prefilling = false
-	q.prefill--
-	return q.fill(now)
+	q.prefilling--
+	return q.startQueued(now)
 }
 
 // Finish tells that a running request has ended in any way.
@@ -159,15 +159,15 @@
 	}
 	delete(q.running, id)
 	if a.prefilling {
-		q.prefill--
+		q.prefilling--
 	}
-	q.learnHold(now - a.since)
-	return q.fill(now)
+	q.observeServiceTime(now - a.startedAt)
+	return q.startQueued(now)
 }
 
 // Abandon takes out a waiting request whose caller has gone. It reports
 // whether the request was waiting.
-func (q *Queue) Abandon(id uint64) bool {
+func (q *Queue) Cancel(id uint64) bool {
 	for c := range q.queued {
 		for i, it := range q.queued[c] {
 			if it.ID == id {
@@ -183,11 +183,11 @@
 func (q *Queue) Expire(now time.Duration) []Outcome {
 	var outcomes []Outcome
 	for c := range q.queued {
-		q.queued[c] = slices.DeleteFunc(q.queued[c], func(it item) bool {
+		q.queued[c] = slices.DeleteFunc(q.queued[c], func(it queuedRequest) bool {
 			if now+it.Prefill <= it.Deadline {
 				return false
 			}
-			refusal := errkind.After(errkind.DeadlineUnmeetable, q.spread(minRetry, it.ID), "waited in vain")
+			refusal := errkind.After(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, it.ID), "waited in vain")
 			outcomes = append(outcomes, Outcome{ID: it.ID, Verdict: Refuse, Refusal: refusal})
 			return true
 		})
@@ -208,45 +208,45 @@
 func (q *Queue) Running() int { return len(q.running) }
 
 // Prefilling is the number of running requests that await their first token.
-func (q *Queue) Prefilling() int { return q.prefill }
+func (q *Queue) Prefilling() int { return q.prefilling }
 
 // EstimateWait is the time until a new request of a workspace and class would
 // reach the target.
 func (q *Queue) EstimateWait(now time.Duration, workspace uint32, class config.Class) time.Duration {
 	it := q.tag(Request{Workspace: workspace, Class: class, Weight: 1})
-	return q.waitOf(now, it)
+	return q.expectedWait(now, it)
 }
 
 // tag computes a request's place in its class.
-func (q *Queue) tag(r Request) item {
-	start := max(q.virtual[r.Class], q.finish[r.Class][r.Workspace])
-	return item{Request: r, start: start, order: q.order}
+func (q *Queue) tag(r Request) queuedRequest {
+	start := max(q.virtualTime[r.Class], q.finishTags[r.Class][r.Workspace])
+	return queuedRequest{Request: r, startTag: start, arrival: q.arrivals}
 }
 
 // commit makes the place count for later requests of the workspace.
-func (q *Queue) commit(it item) {
+func (q *Queue) advanceFinishTag(it queuedRequest) {
 	weight := it.Weight
 	if weight <= 0 {
 		weight = 1
 	}
-	q.order++
-	q.finish[it.Class][it.Workspace] = it.start + it.Cost.Seconds()/weight
+	q.arrivals++
+	q.finishTags[it.Class][it.Workspace] = it.startTag + it.Cost.Seconds()/weight
 }
 
-func before(a, b item) bool {
-	if a.start != b.start {
-		return a.start < b.start
+func goesBefore(a, b queuedRequest) bool {
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	if a.Deadline != b.Deadline {
 		return a.Deadline < b.Deadline
 	}
-	return a.order < b.order
+	return a.arrival < b.arrival
 }
 
-func (q *Queue) insert(it item) {
+func (q *Queue) insert(it queuedRequest) {
 	line := q.queued[it.Class]
 	at := len(line)
-	for at > 0 && before(it, line[at-1]) {
+	for at > 0 && goesBefore(it, line[at-1]) {
 		at--
 	}
 	q.queued[it.Class] = slices.Insert(line, at, it)
@@ -255,13 +255,13 @@
 func (q *Queue) empty() bool { return q.Waiting() == 0 }
 
 func (q *Queue) canStart() bool {
-	return len(q.running) < q.limits.MaxRunning && q.prefill < q.limits.MaxPrefilling
+	return len(q.running) < q.limits.MaxRunning && q.prefilling < q.limits.MaxPrefilling
 }
 
-func (q *Queue) begin(now time.Duration, it item) {
-	q.running[it.ID] = &active{Request: it.Request, since: now, prefilling: true}
-	q.prefill++
-	q.virtual[it.Class] = max(q.virtual[it.Class], it.start)
+func (q *Queue) start(now time.Duration, it queuedRequest) {
+	q.running[it.ID] = &runningRequest{Request: it.Request, startedAt: now, prefilling: true}
+	q.prefilling++
+	q.virtualTime[it.Class] = max(q.virtualTime[it.Class], it.startTag)
 	q.prune(it.Class)
 }
 
@@ -269,18 +269,18 @@
 // nothing any more.
 func (q *Queue) prune(class config.Class) {
 	const pruneAbove = 64
-	if len(q.finish[class]) < pruneAbove {
+	if len(q.finishTags[class]) < pruneAbove {
 		return
 	}
-	for workspace, finish := range q.finish[class] {
-		if finish <= q.virtual[class] {
-			delete(q.finish[class], workspace)
+	for workspace, finish := range q.finishTags[class] {
+		if finish <= q.virtualTime[class] {
+			delete(q.finishTags[class], workspace)
 		}
 	}
 }
 
 // fill starts waiting requests while there is room.
-func (q *Queue) fill(now time.Duration) []Outcome {
+func (q *Queue) startQueued(now time.Duration) []Outcome {
 	var outcomes []Outcome
 	for q.canStart() {
 		class, ok := q.nextClass()
@@ -289,8 +289,8 @@
 		}
 		it := q.queued[class][0]
 		q.queued[class] = slices.Delete(q.queued[class], 0, 1)
-		q.settleCredit(class, it.Cost.Seconds())
-		q.begin(now, it)
+		q.updateCredit(class, it.Cost.Seconds())
+		q.start(now, it)
 		outcomes = append(outcomes, Outcome{ID: it.ID, Verdict: Start})
 	}
 	return outcomes
@@ -317,7 +317,7 @@
 
 // settleCredit pays a lower class's turn from its credit and credits the
 // classes that wait below the one served.
-func (q *Queue) settleCredit(served config.Class, cost float64) {
+func (q *Queue) updateCredit(served config.Class, cost float64) {
 	q.credit[served] = max(q.credit[served]-cost, 0)
 	for c := int(served) + 1; c < config.Classes; c++ {
 		if len(q.queued[c]) == 0 {
@@ -328,32 +328,32 @@
 	}
 }
 
-func (q *Queue) learnHold(hold time.Duration) {
-	if q.hold == 0 {
-		q.hold = hold
+func (q *Queue) observeServiceTime(hold time.Duration) {
+	if q.serviceTime == 0 {
+		q.serviceTime = hold
 		return
 	}
-	q.hold += time.Duration(holdSmoothing * float64(hold-q.hold))
+	q.serviceTime += time.Duration(serviceTimeSmoothing * float64(hold-q.serviceTime))
 }
 
 // waitOf estimates when an item would start: after the prefills under way,
 // those of the items that go before it, and a free place in the batch.
-func (q *Queue) waitOf(now time.Duration, it item) time.Duration {
+func (q *Queue) expectedWait(now time.Duration, it queuedRequest) time.Duration {
 	if q.canStart() && q.empty() {
 		return 0
 	}
-	ahead, count := q.ahead(it)
+	ahead, count := q.prefillAhead(it)
 	prefill := q.remainingPrefill(now) + ahead
 	short := count + 1 - (q.limits.MaxRunning - len(q.running))
 	if short <= 0 {
 		return prefill
 	}
-	slots := q.hold * time.Duration(short) / time.Duration(q.limits.MaxRunning)
+	slots := q.serviceTime * time.Duration(short) / time.Duration(q.limits.MaxRunning)
 	return max(prefill, slots)
 }
 
 // ahead sums the prefills of waiting requests that go before an item.
-func (q *Queue) ahead(it item) (prefill time.Duration, count int) {
+func (q *Queue) prefillAhead(it queuedRequest) (prefill time.Duration, count int) {
 	for c := 0; c < int(it.Class); c++ {
 		for _, other := range q.queued[c] {
 			prefill += other.Prefill
@@ -361,7 +361,7 @@
 		}
 	}
 	for _, other := range q.queued[it.Class] {
-		if before(it, other) {
+		if goesBefore(it, other) {
 			break
 		}
 		prefill += other.Prefill
@@ -374,25 +374,25 @@
 	var sum time.Duration
 	for _, a := range q.running {
 		if a.prefilling {
-			sum += max(a.Prefill-(now-a.since), 0)
+			sum += max(a.Prefill-(now-a.startedAt), 0)
 		}
 	}
 	return sum
 }
 
-func (q *Queue) judgeDeadline(now time.Duration, it item) *errkind.Error {
-	expected := now + q.waitOf(now, it) + it.Prefill
+func (q *Queue) checkDeadline(now time.Duration, it queuedRequest) *errkind.Error {
+	expected := now + q.expectedWait(now, it) + it.Prefill
 	if expected <= it.Deadline {
 		return nil
 	}
-	late := max(expected-it.Deadline, minRetry)
-	return errkind.After(errkind.DeadlineUnmeetable, q.spread(late, it.ID),
+	late := max(expected-it.Deadline, minRetryAfter)
+	return errkind.After(errkind.DeadlineUnmeetable, q.withJitter(late, it.ID),
 		"the first token would come %v after the deadline", late.Round(time.Millisecond))
 }
 
 // makeRoom refuses the last in line when the queue is full, be it the new
 // request or a waiting one that goes after it.
-func (q *Queue) makeRoom(now time.Duration, it item) []Outcome {
+func (q *Queue) shedIfFull(now time.Duration, it queuedRequest) []Outcome {
 	if q.Waiting() < q.limits.MaxQueued {
 		return nil
 	}
@@ -403,21 +403,21 @@
 			continue
 		}
 		last := line[len(line)-1]
-		if c > int(victim.Class) || before(victim, last) {
+		if c > int(victim.Class) || goesBefore(victim, last) {
 			victim = last
 		}
 	}
 	if victim.ID != it.ID {
-		q.Abandon(victim.ID)
+		q.Cancel(victim.ID)
 	}
-	retry := q.spread(max(q.waitOf(now, victim)/2, minRetry), victim.ID)
+	retry := q.withJitter(max(q.expectedWait(now, victim)/2, minRetryAfter), victim.ID)
 	refusal := errkind.After(errkind.Overloaded, retry, "%d requests wait", q.limits.MaxQueued)
 	return []Outcome{{ID: victim.ID, Verdict: Refuse, Refusal: refusal}}
 }
 
 // spread lengthens a time by a part that follows from the request's number.
-func (q *Queue) spread(d time.Duration, id uint64) time.Duration {
+func (q *Queue) withJitter(d time.Duration, id uint64) time.Duration {
 	const buckets = 1024
 	part := float64((id*0x9E3779B97F4A7C15)>>54) / buckets
-	return d + time.Duration(retrySpread*part*float64(d))
+	return d + time.Duration(retryJitter*part*float64(d))
 }
--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -29,17 +29,17 @@
 // Policy holds the thresholds.
 type Policy struct {
 	// Failures in a row that open the breaker.
-	Failures int
+	ConsecutiveFailures int
 	// OpenFor is the rest after opening.
 	OpenFor time.Duration
 	// Probes may run at once while half open.
-	Probes int
+	MaxProbes int
 	// ProbeTimeout frees a probe's place when its result never comes.
 	ProbeTimeout time.Duration
 }
 
 // DefaultPolicy is in force unless another is set.
-var DefaultPolicy = Policy{Failures: 5, OpenFor: 2 * time.Second, Probes: 1, ProbeTimeout: 10 * time.Second}
+var DefaultPolicy = Policy{ConsecutiveFailures: 5, OpenFor: 2 * time.Second, MaxProbes: 1, ProbeTimeout: 10 * time.Second}
 
 // State of a breaker.
 type State int
@@ -54,7 +54,7 @@
 // Permit allows one call. Its holder completes it once.
 type Permit struct {
 	generation uint64
-	number     uint64
+	id         uint64
 }
 
 // Breaker is used by one goroutine at a time. Times are since a start that the
@@ -66,7 +66,7 @@
 	failures   int
 	openUntil  time.Duration
 	probes     map[uint64]time.Duration
-	permits    uint64
+	lastID     uint64
 }
 
 // New returns a closed breaker.
@@ -77,7 +77,7 @@
 // State returns the state at a time.
 func (b *Breaker) State(now time.Duration) State {
 	if b.state == Open && now >= b.openUntil {
-		b.enter(HalfOpen)
+		b.transition(HalfOpen)
 	}
 	return b.state
 }
@@ -90,14 +90,14 @@
 		return Permit{}, false, b.openUntil
 	case HalfOpen:
 		b.dropExpiredProbes(now)
-		if len(b.probes) >= b.policy.Probes {
+		if len(b.probes) >= b.policy.MaxProbes {
 			return Permit{}, false, b.earliestExpiry()
 		}
 	}
-	b.permits++
-	p := Permit{generation: b.generation, number: b.permits}
+	b.lastID++
+	p := Permit{generation: b.generation, id: b.lastID}
 	if b.state == HalfOpen {
-		b.probes[p.number] = now + b.policy.ProbeTimeout
+		b.probes[p.id] = now + b.policy.ProbeTimeout
 	}
 	return p, true, 0
 }
@@ -109,7 +109,7 @@
 		return b.openUntil, true
 	case HalfOpen:
 		b.dropExpiredProbes(now)
-		if len(b.probes) >= b.policy.Probes {
+		if len(b.probes) >= b.policy.MaxProbes {
 			return b.earliestExpiry(), true
 		}
 	}
@@ -122,23 +122,23 @@
 	if p.generation != b.generation {
 		return
 	}
-	delete(b.probes, p.number)
+	delete(b.probes, p.id)
 	switch result {
 	case Success:
 		b.failures = 0
 		if b.state == HalfOpen {
-			b.enter(Closed)
+			b.transition(Closed)
 		}
 	case Failure:
 		b.failures++
-		if b.state == HalfOpen || b.failures >= b.policy.Failures {
+		if b.state == HalfOpen || b.failures >= b.policy.ConsecutiveFailures {
 			b.openUntil = now + b.policy.OpenFor
-			b.enter(Open)
+			b.transition(Open)
 		}
 	}
 }
 
-func (b *Breaker) enter(state State) {
+func (b *Breaker) transition(state State) {
 	b.state = state
 	b.generation++
 	b.failures = 0
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -37,7 +37,7 @@
 func (e *Entry) authenticate(token string) (*config.Workspace, *errkind.Error) {
 	c, _, ok := e.current()
 	if !ok {
-		return nil, errkind.After(errkind.ConfigurationMissing, suspectFor, "")
+		return nil, errkind.After(errkind.ConfigurationMissing, suspectDuration, "")
 	}
 	sum := sha256.Sum256([]byte(token))
 	digest := hex.EncodeToString(sum[:])
@@ -50,7 +50,7 @@
 
 // bearer returns the token of a request that the generated server does not
 // serve.
-func bearer(r *http.Request) (string, *errkind.Error) {
+func bearerToken(r *http.Request) (string, *errkind.Error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
 		return "", errkind.New(errkind.Unauthenticated, "send Authorization: Bearer TOKEN")
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -17,7 +17,7 @@
 
 const (
 	// maxTries bounds the targets that one request is run at.
-	maxTries = 4
+	maxAttempts = 4
 	// resumeWindow is the time after a cut, or after the last frame since, in
 	// which the stream is looked for where it ran: a sidecar that is replaced
 	// needs a moment to come up. Then the rest runs elsewhere.
@@ -26,10 +26,10 @@
 	// A frozen sidecar's host takes connections and never answers.
 	resumeTimeout = time.Second
 	// resumePause is the wait before a resume.
-	resumePause   = 100 * time.Millisecond
-	cancelTimeout = 2 * time.Second
+	resumeInterval = 100 * time.Millisecond
+	cancelTimeout  = 2 * time.Second
 	// loadPause is the wait for a target with the weights in force.
-	loadPause = 100 * time.Millisecond
+	weightsPollInterval = 100 * time.Millisecond
 )
 
 // completion is one checked request for a completion.
@@ -58,23 +58,23 @@
 
 // progress is what of an answer has reached the sink.
 type progress struct {
-	next  uint64
-	text  []byte
-	first time.Duration
-	end   *peerv1.End
-	made  choice
+	nextSeq          uint64
+	text             []byte
+	timeToFirstToken time.Duration
+	end              *peerv1.End
+	choice           choice
 	// gone is set when the sink failed.
-	gone bool
+	callerGone bool
 }
 
 // complete answers a request into the sink, over as many targets as it takes.
 func (e *Entry) complete(ctx context.Context, r *completion, out sink) (*progress, *errkind.Error) {
-	p := &progress{next: 1}
+	p := &progress{nextSeq: 1}
 	e.budget.Earn(r.retryShare(e))
 	avoid := map[string]bool{}
 	var last *errkind.Error
-	for try := 0; try < maxTries; try++ {
-		if try > 0 && !e.mayRetry(ctx, p.next > 1, last) {
+	for try := 0; try < maxAttempts; try++ {
+		if try > 0 && !e.mayRetry(ctx, p.nextSeq > 1, last) {
 			break
 		}
 		made, refusal := e.waitForTarget(ctx, r, avoid)
@@ -84,40 +84,40 @@
 			}
 			break
 		}
-		p.made = made
-		last = e.runAt(ctx, r, p, out)
+		p.choice = made
+		last = e.runOnTarget(ctx, r, p, out)
 		if last == nil {
 			return p, nil
 		}
-		if p.gone || !last.Kind.Row().Elsewhere {
+		if p.callerGone || !last.Kind.Row().Elsewhere {
 			break
 		}
-		if last.Kind == errkind.WrongWeights && p.next == 1 {
-			sleep.For(ctx, loadPause)
-			e.takeUpWeights(r)
+		if last.Kind == errkind.WrongWeights && p.nextSeq == 1 {
+			sleep.For(ctx, weightsPollInterval)
+			e.refreshWeights(r)
 		} else {
 			avoid[made.target.Name] = true
 		}
 		e.metrics.Retry(last.Kind.String())
-		e.logger.Info("retry", "request_id", r.id, "target", made.target.Name, "kind", last.Kind.String(), "next_seq", p.next)
+		e.logger.Info("retry", "request_id", r.id, "target", made.target.Name, "kind", last.Kind.String(), "next_seq", p.nextSeq)
 	}
 	return p, e.finalRefusal(r, p, last)
 }
 
 // takeUpWeights names the prompt anew by the weights in force: they changed
 // while the request was on its way. One whose answer has begun keeps its weights.
-func (e *Entry) takeUpWeights(r *completion) {
+func (e *Entry) refreshWeights(r *completion) {
 	c, _, ok := e.current()
 	if !ok {
 		return
 	}
 	if model := c.Model(r.model.Name); model != nil {
-		r.nameBy(model)
+		r.hashPrompt(model)
 	}
 }
 
 // nameBy names the prompt's prefixes by a model's weights.
-func (r *completion) nameBy(model *config.Model) {
+func (r *completion) hashPrompt(model *config.Model) {
 	r.model = model
 	scope := prefix.Scope{Workspace: r.workspace.Name, Model: model.Name, Adapter: r.adapter, Weights: model.Weights}
 	r.prompt = prefix.Parse(scope, r.parts, r.service.BlockTokens)
@@ -147,14 +147,14 @@
 // finalRefusal is what the caller is told. A call that may not be repeated is
 // called not run only by the record of claims.
 func (e *Entry) finalRefusal(r *completion, p *progress, last *errkind.Error) *errkind.Error {
-	if p.next > 1 && r.once == nil && !p.gone {
+	if p.nextSeq > 1 && r.once == nil && !p.callerGone {
 		return errkind.New(errkind.StreamBroken, "%v", last)
 	}
 	if r.once != nil {
 		return onceRefusal(last)
 	}
 	if last.Kind == errkind.UnknownRun {
-		return errkind.After(errkind.TargetFailed, suspectFor, "the run was lost")
+		return errkind.After(errkind.TargetFailed, suspectDuration, "the run was lost")
 	}
 	return last
 }
@@ -182,7 +182,7 @@
 		if refusal == nil || refusal.Kind != errkind.WrongWeights {
 			return made, refusal
 		}
-		if time.Now().Add(loadPause).After(r.deadline) || !sleep.For(ctx, loadPause) {
+		if time.Now().Add(weightsPollInterval).After(r.deadline) || !sleep.For(ctx, weightsPollInterval) {
 			return choice{}, refusal
 		}
 	}
@@ -194,9 +194,9 @@
 	if r.once == nil {
 		return e.choose(ctx, view, r, avoid)
 	}
-	target, ok := pinned(view.Services[r.service.Name], r.workspace.Name, r.service.Name, r.once.Key, avoid)
+	target, ok := pickByKey(view.Services[r.service.Name], r.workspace.Name, r.service.Name, r.once.Key, avoid)
 	if !ok {
-		return choice{}, errkind.After(errkind.NoTarget, suspectFor, "")
+		return choice{}, errkind.After(errkind.NoTarget, suspectDuration, "")
 	}
 	return choice{target: target}, nil
 }
@@ -206,7 +206,7 @@
 // configured targets that are not leaving, reachable or not, so that entries
 // which see different ones fail still agree; one that cannot be reached is tried
 // next.
-func pinned(targets []routing.Target, workspace, service, key string, avoid map[string]bool) (routing.Target, bool) {
+func pickByKey(targets []routing.Target, workspace, service, key string, avoid map[string]bool) (routing.Target, bool) {
 	hash := once.SlotKey(service, once.NewKey(workspace, service, key, 0, 0).Slot)
 	best := -1
 	var score uint64
@@ -227,39 +227,39 @@
 
 // runAt runs the rest of a request at the chosen target, resuming the stream
 // there while it is cut.
-func (e *Entry) runAt(ctx context.Context, r *completion, p *progress, out sink) *errkind.Error {
-	client := e.client(p.made.target.Address)
-	refusal, cut := e.firstStream(ctx, client, r, p, out)
+func (e *Entry) runOnTarget(ctx context.Context, r *completion, p *progress, out sink) *errkind.Error {
+	client := e.client(p.choice.target.Address)
+	refusal, cut := e.startStream(ctx, client, r, p, out)
 	for cutAt := time.Now(); cut && time.Since(cutAt) < resumeWindow; {
-		before := p.next
-		if p.gone || !sleep.For(ctx, resumePause) {
+		before := p.nextSeq
+		if p.callerGone || !sleep.For(ctx, resumeInterval) {
 			break
 		}
 		e.metrics.Resume()
 		refusal, cut = e.resumeStream(ctx, client, r, p, out)
-		if p.next > before {
+		if p.nextSeq > before {
 			cutAt = time.Now()
 		}
 	}
-	if p.gone || ctx.Err() != nil {
-		p.gone = true
+	if p.callerGone || ctx.Err() != nil {
+		p.callerGone = true
 		e.cancelRun(client, r)
 		return errkind.New(errkind.Cancelled, "the caller has gone")
 	}
 	if refusal != nil && refusal.Kind == errkind.TargetFailed {
-		e.health.note(p.made.target.Name, routing.Suspect)
+		e.health.record(p.choice.target.Name, routing.Suspect)
 	}
 	return refusal
 }
 
-func (e *Entry) firstStream(ctx context.Context, client peerv1.GateClient, r *completion, p *progress, out sink) (refusal *errkind.Error, cut bool) {
+func (e *Entry) startStream(ctx context.Context, client peerv1.GateClient, r *completion, p *progress, out sink) (refusal *errkind.Error, cut bool) {
 	_, view, _ := e.current()
 	request := &peerv1.RunRequest{
 		ConfigVersion: view.Version, RequestId: r.id, Workspace: r.workspace.Name, Service: r.service.Name,
 		Model: r.model.Name, Weights: r.model.Weights, Adapter: r.adapter, Class: uint32(r.class),
-		BudgetMs: budgetMs(r.deadline, p.next), Prompt: r.text, Blocks: r.prompt.Blocks,
+		BudgetMs: budgetMs(r.deadline, p.nextSeq), Prompt: r.text, Blocks: r.prompt.Blocks,
 		PromptTokens: uint32(r.prompt.Tokens), MaxTokens: uint32(r.maxTokens),
-		FromSeq: p.next, TextSoFar: string(p.text), Once: r.once,
+		FromSeq: p.nextSeq, TextSoFar: string(p.text), Once: r.once,
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -275,7 +275,7 @@
 	defer stop()
 	watchdog := time.AfterFunc(resumeTimeout, stop)
 	defer watchdog.Stop()
-	request := &peerv1.ResumeRequest{RequestId: r.id, Workspace: r.workspace.Name, FromSeq: p.next}
+	request := &peerv1.ResumeRequest{RequestId: r.id, Workspace: r.workspace.Name, FromSeq: p.nextSeq}
 	stream, err := client.Resume(ctx, connect.NewRequest(request))
 	if err != nil {
 		return errkind.New(errkind.TargetFailed, "%v", err), true
@@ -315,32 +315,32 @@
 	defer stream.Close()
 	for stream.Receive() {
 		frame := stream.Msg()
-		e.follower.Hint(frame.ConfigVersion, p.made.target.Address)
+		e.follower.Hint(frame.ConfigVersion, p.choice.target.Address)
 		if frame.Refusal != nil {
 			return refusalOf(frame.Refusal), false
 		}
-		if frame.Seq < p.next {
+		if frame.Seq < p.nextSeq {
 			continue
 		}
-		if frame.Seq > p.next {
-			return errkind.New(errkind.TargetFailed, "frame %d came when %d was due", frame.Seq, p.next), true
+		if frame.Seq > p.nextSeq {
+			return errkind.New(errkind.TargetFailed, "frame %d came when %d was due", frame.Seq, p.nextSeq), true
 		}
-		if p.take(r, frame, out); p.gone || p.end != nil {
+		if p.deliver(r, frame, out); p.callerGone || p.end != nil {
 			return nil, false
 		}
 	}
 	return errkind.New(errkind.TargetFailed, "stream cut: %v", stream.Err()), true
 }
 
-func (p *progress) take(r *completion, frame *peerv1.Frame, out sink) {
-	if p.next == 1 {
-		p.first = time.Since(r.arrived)
+func (p *progress) deliver(r *completion, frame *peerv1.Frame, out sink) {
+	if p.nextSeq == 1 {
+		p.timeToFirstToken = time.Since(r.arrived)
 	}
 	if err := out(frame); err != nil {
-		p.gone = true
+		p.callerGone = true
 		return
 	}
-	p.next++
+	p.nextSeq++
 	p.end = frame.End
 	p.text = append(p.text, frame.Text...)
 }
@@ -351,7 +351,7 @@
 	if r.once != nil {
 		return
 	}
-	ctx, cancel := background(cancelTimeout)
+	ctx, cancel := detachedContext(cancelTimeout)
 	defer cancel()
 	request := &peerv1.CancelRequest{RequestId: r.id, Workspace: r.workspace.Name}
 	if _, err := client.Cancel(ctx, connect.NewRequest(request)); err != nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -38,8 +38,8 @@
 )
 
 const (
-	hostsTimeout = 2 * time.Second
-	viewPeriod   = 200 * time.Millisecond
+	hostListTimeout = 2 * time.Second
+	viewPeriod      = 200 * time.Millisecond
 )
 
 // Board is an entry's blackboard.
@@ -54,24 +54,24 @@
 
 // Entry is one process of the role. Make it with New.
 type Entry struct {
-	settings *settings.Settings
-	logger   logr.Logger
-	metrics  *metrics.Metrics
-	hosts    external.Hosts
-	board    *Board
-	loop     *control.Loop
-	follower *configlog.Follower
-	health   *health
-	budget   *retry.Budget
-	burn     *burn.Counter
-	peers    *http.Client
-	prober   *probe.Client
-	place    routing.Place
-	clients  sync.Map // address to peerv1.GateClient
-	inFlight atomic.Int64
-	handler  http.Handler
-	tasks    sync.WaitGroup
-	reading  bool
+	settings        *settings.Settings
+	logger          logr.Logger
+	metrics         *metrics.Metrics
+	hosts           external.Hosts
+	board           *Board
+	loop            *control.Loop
+	follower        *configlog.Follower
+	health          *targetHealth
+	budget          *retry.Budget
+	burn            *burn.Counter
+	peers           *http.Client
+	prober          *probe.Client
+	location        routing.Location
+	clients         sync.Map // address to peerv1.GateClient
+	inFlight        atomic.Int64
+	handler         http.Handler
+	tasks           sync.WaitGroup
+	refreshingHosts bool
 }
 
 // Deps are what an entry needs from outside.
@@ -89,14 +89,14 @@
 func New(s *settings.Settings, d Deps) (*Entry, error) {
 	e := &Entry{
 		settings: s, logger: d.Logger, metrics: d.Metrics, hosts: d.Hosts,
-		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.Control), health: newHealth(time.Now),
+		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.Control), health: newTargetHealth(time.Now),
 		budget: retry.NewBudget(), burn: burn.NewCounter(time.Now), peers: d.Peers, prober: d.Prober,
-		place: routing.Place{Zone: s.AvailabilityZone, Region: s.Region},
+		location: routing.Location{Zone: s.AvailabilityZone, Region: s.Region},
 	}
 	e.follower = configlog.NewFollower(e.loop, d.Log, &e.board.Config, configlog.FollowerOptions{
 		Address: s.AdminListen, Peers: s.Peers, LogPolls: s.Timing.LogPolls, SyncPeriod: s.Timing.SyncPeriod.Duration,
 		Retention: s.Platform.LogRetention.Duration, Client: d.Peers, Logger: d.Logger, LogError: d.Metrics.LogError,
-		InForce: e.inForce,
+		InForce: e.configChanged,
 	})
 	handler, err := e.newHandler()
 	if err != nil {
@@ -116,7 +116,7 @@
 	e.follower.Start()
 	e.loop.Every(func() time.Duration { return viewPeriod }, e.buildView)
 	if e.hosts != nil {
-		e.loop.Every(func() time.Duration { return e.settings.Timing.HostsPeriod.Duration }, e.readHosts)
+		e.loop.Every(func() time.Duration { return e.settings.Timing.HostsPeriod.Duration }, e.refreshHosts)
 	}
 }
 
@@ -150,30 +150,30 @@
 // InFlight is the number of requests being served.
 func (e *Entry) InFlight() int { return int(e.inFlight.Load()) }
 
-func (e *Entry) inForce(s configlog.Snapshot) {
+func (e *Entry) configChanged(s configlog.Snapshot) {
 	e.metrics.ConfigVersion(s.Version)
 	e.buildView()
 }
 
-func (e *Entry) readHosts() {
-	if e.reading {
+func (e *Entry) refreshHosts() {
+	if e.refreshingHosts {
 		return
 	}
-	e.reading = true
-	control.Do(e.loop, hostsTimeout, e.hosts.List, func(hosts []external.Host, err error) {
-		e.reading = false
+	e.refreshingHosts = true
+	control.Do(e.loop, hostListTimeout, e.hosts.List, func(hosts []external.Host, err error) {
+		e.refreshingHosts = false
 		if err != nil {
 			e.logger.Info("hosts_read_failed", "error", err.Error())
 			return
 		}
 		before, _ := e.board.Hosts.Get()
-		e.board.Hosts.Post(withDeparted(before, hosts, e.targetNamed), time.Now())
+		e.board.Hosts.Post(keepDeparted(before, hosts, e.hasTarget), time.Now())
 		e.buildView()
 	})
 }
 
 // targetNamed reports whether the configuration in force has a target of a name.
-func (e *Entry) targetNamed(name string) bool {
+func (e *Entry) hasTarget(name string) bool {
 	s, ok := e.board.Config.Get()
 	if !ok {
 		return true
@@ -198,6 +198,6 @@
 }
 
 // background returns a context for what must outlive a caller.
-func background(timeout time.Duration) (context.Context, context.CancelFunc) {
+func detachedContext(timeout time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), timeout)
 }
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -95,11 +95,11 @@
 
 // serveError answers errors that the generated server finds itself.
 func (e *Entry) serveError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
-	writeProblem(w, requestID(ctx), kindOf(err))
+	writeProblem(w, requestID(ctx), toError(err))
 }
 
 // kindOf finds the kind of an error of the generated server.
-func kindOf(err error) *errkind.Error {
+func toError(err error) *errkind.Error {
 	var own *errkind.Error
 	if errors.As(err, &own) {
 		return own
@@ -155,11 +155,11 @@
 
 // NewError implements oas.Handler.
 func (a *callerAPI) NewError(ctx context.Context, err error) *oas.ProblemStatusCodeWithHeaders {
-	return problem(requestID(ctx), kindOf(err))
+	return problem(requestID(ctx), toError(err))
 }
 
 // refusalDone logs and counts a refusal.
-func (e *Entry) refusalDone(id, service, class string, refusal *errkind.Error, started time.Time) {
+func (e *Entry) recordRefusal(id, service, class string, refusal *errkind.Error, started time.Time) {
 	e.metrics.Refusal(service, class, refusal.Kind.String())
 	e.logger.Info("request_refused", "request_id", id, "service", service, "class", class,
 		"kind", refusal.Kind.String(), "retry_after", refusal.RetryAfter, "detail", refusal.Detail, "took", time.Since(started))
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -22,30 +22,30 @@
 )
 
 // header holds what a caller says beside the body.
-type header struct {
-	key       string
-	issuedMs  int64
-	class     string
-	deadline  time.Duration
-	dated     bool
-	workspace *config.Workspace
+type callHeader struct {
+	key         string
+	issuedMs    int64
+	class       string
+	deadline    time.Duration
+	hasDeadline bool
+	workspace   *config.Workspace
 }
 
-func headerOf(w *config.Workspace, key oas.OptString, issued oas.OptInt64, class oas.OptClass, deadline oas.OptInt64) header {
-	h := header{key: key.Or(""), issuedMs: issued.Or(0), workspace: w}
+func headerFromParams(w *config.Workspace, key oas.OptString, issued oas.OptInt64, class oas.OptClass, deadline oas.OptInt64) callHeader {
+	h := callHeader{key: key.Or(""), issuedMs: issued.Or(0), workspace: w}
 	if c, ok := class.Get(); ok {
 		h.class = string(c)
 	}
 	if ms, ok := deadline.Get(); ok {
-		h.deadline, h.dated = time.Duration(ms)*time.Millisecond, true
+		h.deadline, h.hasDeadline = time.Duration(ms)*time.Millisecond, true
 	}
 	return h
 }
 
 // headerFrom reads the header of a request that the generated server does not
 // serve.
-func headerFrom(r *http.Request, w *config.Workspace) (header, *errkind.Error) {
-	h := header{key: r.Header.Get("Idempotency-Key"), class: r.Header.Get("Toucanwell-Class"), workspace: w}
+func headerFromRequest(r *http.Request, w *config.Workspace) (callHeader, *errkind.Error) {
+	h := callHeader{key: r.Header.Get("Idempotency-Key"), class: r.Header.Get("Toucanwell-Class"), workspace: w}
 	var err error
 	if text := r.Header.Get("Idempotency-Key-Issued"); text != "" {
 		if h.issuedMs, err = strconv.ParseInt(text, 10, 64); err != nil {
@@ -57,13 +57,13 @@
 		if err != nil {
 			return h, errkind.New(errkind.BadRequest, "Toucanwell-Deadline-Ms: %q is no whole number", text)
 		}
-		h.deadline, h.dated = time.Duration(ms)*time.Millisecond, true
+		h.deadline, h.hasDeadline = time.Duration(ms)*time.Millisecond, true
 	}
 	return h, nil
 }
 
 // classOf returns the class that a caller names, or the workspace's.
-func (h *header) classOf() (config.Class, *errkind.Error) {
+func (h *callHeader) resolveClass() (config.Class, *errkind.Error) {
 	name := h.class
 	if name == "" {
 		name = h.workspace.Class
@@ -75,8 +75,8 @@
 	return class, nil
 }
 
-func (h *header) deadlineFrom(arrived time.Time, c *config.Config) (time.Time, *errkind.Error) {
-	if !h.dated {
+func (h *callHeader) resolveDeadline(arrived time.Time, c *config.Config) (time.Time, *errkind.Error) {
+	if !h.hasDeadline {
 		return arrived.Add(c.Limits.DefaultDeadline.Duration), nil
 	}
 	if h.deadline <= 0 {
@@ -87,7 +87,7 @@
 
 // onceKey checks the idempotency key of a call that runs at most once, and
 // returns nil for another.
-func (h *header) onceKey(service *config.Service, digest uint64, now time.Time, retention time.Duration) (*peerv1.OnceKey, *errkind.Error) {
+func (h *callHeader) onceKey(service *config.Service, digest uint64, now time.Time, retention time.Duration) (*peerv1.OnceKey, *errkind.Error) {
 	if !service.AtMostOnce {
 		return nil, nil
 	}
@@ -105,10 +105,10 @@
 }
 
 // newCompletion checks a request for a completion against the configuration.
-func (e *Entry) newCompletion(id string, arrived time.Time, h *header, req *oas.CompletionRequest) (*completion, *errkind.Error) {
+func (e *Entry) newCompletion(id string, arrived time.Time, h *callHeader, req *oas.CompletionRequest) (*completion, *errkind.Error) {
 	c, _, ok := e.current()
 	if !ok {
-		return nil, errkind.After(errkind.ConfigurationMissing, suspectFor, "")
+		return nil, errkind.After(errkind.ConfigurationMissing, suspectDuration, "")
 	}
 	model := c.Model(req.Model)
 	if model == nil || !model.HasAdapter(req.Adapter.Or("")) {
@@ -120,10 +120,10 @@
 		maxTokens: req.MaxTokens.Or(0), arrived: arrived,
 	}
 	var refusal *errkind.Error
-	if r.class, refusal = h.classOf(); refusal != nil {
+	if r.class, refusal = h.resolveClass(); refusal != nil {
 		return nil, refusal
 	}
-	if r.deadline, refusal = h.deadlineFrom(arrived, c); refusal != nil {
+	if r.deadline, refusal = h.resolveDeadline(arrived, c); refusal != nil {
 		return nil, refusal
 	}
 	r.parts = renderParts(req.Messages)
@@ -131,7 +131,7 @@
 	if r.once, refusal = h.onceKey(service, xxhash.Sum64String(r.text), arrived, e.settings.Platform.LogRetention.Duration); refusal != nil {
 		return nil, refusal
 	}
-	r.nameBy(model)
+	r.hashPrompt(model)
 	return r, nil
 }
 
--- a/internal/entry/route_test.go
+++ b/internal/entry/route_test.go
@@ -13,19 +13,19 @@
 // for them each time: the round ends shortly after the first answer.
 func TestDeadTargetsDoNotHoldUpARound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		results := make(chan placed, 4)
-		answers := make([]answer, 4)
+		results := make(chan indexedResult, 4)
+		answers := make([]probeResult, 4)
 		for i := range answers {
 			answers[i].refusal = errkind.New(errkind.NoTarget, "")
 		}
 		go func() {
 			time.Sleep(time.Millisecond)
-			results <- placed{2, answer{matched: 5}}
+			results <- indexedResult{2, probeResult{matched: 5}}
 			time.Sleep(time.Millisecond)
-			results <- placed{0, answer{matched: 7}}
+			results <- indexedResult{0, probeResult{matched: 7}}
 		}()
 		start := time.Now()
-		collect(context.Background(), answers, results)
+		collectResults(context.Background(), answers, results)
 		if took := time.Since(start); took != probeGrace+time.Millisecond {
 			t.Errorf("the round took %v", took)
 		}
@@ -39,10 +39,10 @@
 // without any knowledge.
 func TestSilentRoundEndsByItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		answers := []answer{{refusal: errkind.New(errkind.NoTarget, "")}}
+		answers := []probeResult{{refusal: errkind.New(errkind.NoTarget, "")}}
 		start := time.Now()
-		collect(context.Background(), answers, make(chan placed))
-		if took := time.Since(start); took != probeTimeout || !silent(answers) {
+		collectResults(context.Background(), answers, make(chan indexedResult))
+		if took := time.Since(start); took != probeTimeout || !noneResponded(answers) {
 			t.Errorf("the round took %v", took)
 		}
 	})
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -25,14 +25,14 @@
 // CreateCompletion implements oas.Handler: the whole answer at once.
 func (a *callerAPI) CreateCompletion(ctx context.Context, req *oas.CompletionRequest, params oas.CreateCompletionParams) (*oas.Completion, error) {
 	arrived := time.Now()
-	h := headerOf(workspaceOf(ctx), params.IdempotencyKey, params.IdempotencyKeyIssued, params.ToucanwellClass, params.ToucanwellDeadlineMs)
+	h := headerFromParams(workspaceOf(ctx), params.IdempotencyKey, params.IdempotencyKeyIssued, params.ToucanwellClass, params.ToucanwellDeadlineMs)
 	r, refusal := a.newCompletion(requestID(ctx), arrived, &h, req)
 	if refusal != nil {
-		a.refusalDone(requestID(ctx), unknownLabel, unknownLabel, refusal, arrived)
+		a.recordRefusal(requestID(ctx), unknownLabel, unknownLabel, refusal, arrived)
 		return nil, refusal
 	}
 	var text strings.Builder
-	p, refusal := a.completeCounted(ctx, r, func(f *peerv1.Frame) error {
+	p, refusal := a.completeWithMetrics(ctx, r, func(f *peerv1.Frame) error {
 		text.WriteString(f.Text)
 		return nil
 	})
@@ -51,31 +51,31 @@
 }
 
 // completeCounted answers a request and counts what became of it.
-func (e *Entry) completeCounted(ctx context.Context, r *completion, out sink) (*progress, *errkind.Error) {
+func (e *Entry) completeWithMetrics(ctx context.Context, r *completion, out sink) (*progress, *errkind.Error) {
 	class := r.class.String()
 	e.metrics.Request(r.service.Name, class)
 	p, refusal := e.complete(ctx, r, out)
 	if refusal != nil {
 		if refusal.Kind != errkind.Cancelled {
-			e.countObjective(r.service.Name, r.class, r.workspace.Name, -1)
+			e.recordObjective(r.service.Name, r.class, r.workspace.Name, -1)
 		}
-		e.refusalDone(r.id, r.service.Name, class, refusal, r.arrived)
+		e.recordRefusal(r.id, r.service.Name, class, refusal, r.arrived)
 		return p, refusal
 	}
-	e.countObjective(r.service.Name, r.class, r.workspace.Name, p.first)
-	e.metrics.FirstToken(r.service.Name, class, p.first)
+	e.recordObjective(r.service.Name, r.class, r.workspace.Name, p.timeToFirstToken)
+	e.metrics.FirstToken(r.service.Name, class, p.timeToFirstToken)
 	cached := int(p.end.CachedTokens)
-	wasted := max(min(p.made.bestMatched, int(p.end.PromptTokens))-cached, 0)
+	wasted := max(min(p.choice.maxMatched, int(p.end.PromptTokens))-cached, 0)
 	e.metrics.Tokens(r.service.Name, class, int(p.end.PromptTokens), cached, wasted)
 	e.logger.Info("request_done", "request_id", r.id, "workspace", r.workspace.Name, "service", r.service.Name, "class", class,
-		"target", p.made.target.Name, "rounds", p.made.rounds, "probes", p.made.probes, "wait", p.made.quote.Wait, "prefill", p.made.quote.Prefill,
-		"matched", p.made.matched, "prompt", p.end.PromptTokens, "cached", cached, "ttft", p.first, "took", time.Since(r.arrived))
+		"target", p.choice.target.Name, "rounds", p.choice.rounds, "probes", p.choice.probes, "wait", p.choice.estimate.Wait, "prefill", p.choice.estimate.Prefill,
+		"matched", p.choice.matched, "prompt", p.end.PromptTokens, "cached", cached, "ttft", p.timeToFirstToken, "took", time.Since(r.arrived))
 	return p, nil
 }
 
 // countObjective counts a request as good when its first token came in time;
 // first below zero means that none came.
-func (e *Entry) countObjective(service string, class config.Class, workspace string, first time.Duration) {
+func (e *Entry) recordObjective(service string, class config.Class, workspace string, first time.Duration) {
 	c, _, ok := e.current()
 	if !ok {
 		return
@@ -95,16 +95,16 @@
 	id := requestID(r.Context())
 	request, refusal := e.streamRequest(r, id, arrived, body)
 	if refusal != nil {
-		e.refusalDone(id, unknownLabel, unknownLabel, refusal, arrived)
+		e.recordRefusal(id, unknownLabel, unknownLabel, refusal, arrived)
 		writeProblem(w, id, refusal)
 		return
 	}
-	events := &eventWriter{w: w, flush: http.NewResponseController(w), id: id, model: request.model.Name}
-	_, refusal = e.completeCounted(r.Context(), request, events.send)
+	events := &eventWriter{w: w, controller: http.NewResponseController(w), id: id, model: request.model.Name}
+	_, refusal = e.completeWithMetrics(r.Context(), request, events.send)
 	switch {
 	case refusal == nil:
 		events.done()
-	case !events.begun:
+	case !events.started:
 		writeProblem(w, id, refusal)
 	default:
 		events.fail(refusal)
@@ -112,7 +112,7 @@
 }
 
 func (e *Entry) streamRequest(r *http.Request, id string, arrived time.Time, body []byte) (*completion, *errkind.Error) {
-	token, refusal := bearer(r)
+	token, refusal := bearerToken(r)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -120,7 +120,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	h, refusal := headerFrom(r, workspace)
+	h, refusal := headerFromRequest(r, workspace)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -138,11 +138,11 @@
 // services know: a delta for each piece, a last one with the finish reason and
 // the usage, then [DONE]. A stream without [DONE] is not whole.
 type eventWriter struct {
-	w     http.ResponseWriter
-	flush *http.ResponseController
-	id    string
-	model string
-	begun bool
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	id         string
+	model      string
+	started    bool
 }
 
 type eventDelta struct {
@@ -186,8 +186,8 @@
 }
 
 func (ew *eventWriter) write(data []byte) error {
-	if !ew.begun {
-		ew.begun = true
+	if !ew.started {
+		ew.started = true
 		ew.w.Header().Set("Content-Type", "text/event-stream")
 		ew.w.Header().Set("Cache-Control", "no-store")
 	}
@@ -198,7 +198,7 @@
 	if _, err := ew.w.Write(line); err != nil {
 		return err
 	}
-	return ew.flush.Flush()
+	return ew.controller.Flush()
 }
 
 func (ew *eventWriter) done() { _ = ew.write([]byte("[DONE]")) }
@@ -209,7 +209,7 @@
 // CallService implements oas.Handler: one call of a plain service.
 func (a *callerAPI) CallService(ctx context.Context, req oas.CallServiceReq, params oas.CallServiceParams) (oas.CallServiceRes, error) {
 	arrived := time.Now()
-	h := headerOf(workspaceOf(ctx), params.IdempotencyKey, params.IdempotencyKeyIssued, params.ToucanwellClass, params.ToucanwellDeadlineMs)
+	h := headerFromParams(workspaceOf(ctx), params.IdempotencyKey, params.IdempotencyKeyIssued, params.ToucanwellClass, params.ToucanwellDeadlineMs)
 	var body bytes.Buffer
 	if req.Data != nil {
 		if _, err := body.ReadFrom(req.Data); err != nil {
@@ -218,19 +218,19 @@
 	}
 	call, refusal := a.newCall(requestID(ctx), arrived, &h, params.Service, params.Path.Or("/"), body.Bytes())
 	if refusal != nil {
-		a.refusalDone(requestID(ctx), unknownLabel, unknownLabel, refusal, arrived)
+		a.recordRefusal(requestID(ctx), unknownLabel, unknownLabel, refusal, arrived)
 		return nil, refusal
 	}
 	class := call.class.String()
 	a.metrics.Request(call.service.Name, class)
-	resp, refusal := a.callAnywhere(ctx, call)
+	resp, refusal := a.callWithRetries(ctx, call)
 	if refusal != nil {
-		a.countObjective(call.service.Name, call.class, h.workspace.Name, -1)
-		a.refusalDone(call.request.RequestId, call.service.Name, class, refusal, arrived)
+		a.recordObjective(call.service.Name, call.class, h.workspace.Name, -1)
+		a.recordRefusal(call.request.RequestId, call.service.Name, class, refusal, arrived)
 		return nil, refusal
 	}
 	took := time.Since(arrived)
-	a.countObjective(call.service.Name, call.class, h.workspace.Name, took)
+	a.recordObjective(call.service.Name, call.class, h.workspace.Name, took)
 	a.metrics.FirstToken(call.service.Name, class, took)
 	a.logger.Info("call_done", "request_id", call.request.RequestId, "workspace", h.workspace.Name, "service", call.service.Name,
 		"class", class, "status", resp.Status, "replayed", resp.Replayed, "took", took)
@@ -249,10 +249,10 @@
 	request  *peerv1.CallRequest
 }
 
-func (e *Entry) newCall(id string, arrived time.Time, h *header, name, path string, body []byte) (*plainCall, *errkind.Error) {
+func (e *Entry) newCall(id string, arrived time.Time, h *callHeader, name, path string, body []byte) (*plainCall, *errkind.Error) {
 	c, view, ok := e.current()
 	if !ok {
-		return nil, errkind.After(errkind.ConfigurationMissing, suspectFor, "")
+		return nil, errkind.After(errkind.ConfigurationMissing, suspectDuration, "")
 	}
 	service := c.Service(name)
 	if service == nil || service.Kind != config.KindPlain {
@@ -263,10 +263,10 @@
 	}
 	call := &plainCall{service: service}
 	var refusal *errkind.Error
-	if call.class, refusal = h.classOf(); refusal != nil {
+	if call.class, refusal = h.resolveClass(); refusal != nil {
 		return nil, refusal
 	}
-	if call.deadline, refusal = h.deadlineFrom(arrived, c); refusal != nil {
+	if call.deadline, refusal = h.resolveDeadline(arrived, c); refusal != nil {
 		return nil, refusal
 	}
 	digest := xxhash.Sum64(append([]byte(path+"\x00"), body...))
@@ -283,20 +283,20 @@
 
 // callAnywhere tries targets in turn. A call that runs at most once goes by its
 // key, others by the request's id, so that they spread.
-func (e *Entry) callAnywhere(ctx context.Context, call *plainCall) (*peerv1.CallResponse, *errkind.Error) {
+func (e *Entry) callWithRetries(ctx context.Context, call *plainCall) (*peerv1.CallResponse, *errkind.Error) {
 	_, view, _ := e.current()
 	e.budget.Earn(view.Config.Limits.RetryShare)
 	avoid := map[string]bool{}
-	last := errkind.After(errkind.NoTarget, suspectFor, "")
-	for try := 0; try < maxTries; try++ {
+	last := errkind.After(errkind.NoTarget, suspectDuration, "")
+	for try := 0; try < maxAttempts; try++ {
 		if try > 0 && !e.mayRetry(ctx, false, last) {
 			break
 		}
-		target, ok := e.targetFor(&view, call, avoid)
+		target, ok := e.pickTarget(&view, call, avoid)
 		if !ok {
 			break
 		}
-		resp, refusal := e.callAt(ctx, &target, call)
+		resp, refusal := e.callTarget(ctx, &target, call)
 		if refusal == nil {
 			return resp, nil
 		}
@@ -313,12 +313,12 @@
 	return nil, last
 }
 
-func (e *Entry) targetFor(view *View, call *plainCall, avoid map[string]bool) (routing.Target, bool) {
+func (e *Entry) pickTarget(view *View, call *plainCall, avoid map[string]bool) (routing.Target, bool) {
 	targets := view.Services[call.service.Name]
 	if call.request.Once != nil {
-		return pinned(targets, call.request.Workspace, call.service.Name, call.request.Once.Key, avoid)
+		return pickByKey(targets, call.request.Workspace, call.service.Name, call.request.Once.Key, avoid)
 	}
-	ranking := routing.Rank(targets, e.place, []uint64{xxhash.Sum64String(call.request.RequestId)})
+	ranking := routing.Rank(targets, e.location, []uint64{xxhash.Sum64String(call.request.RequestId)})
 	for i := range ranking.Len() {
 		if t := targets[ranking.At(i)]; !avoid[t.Name] {
 			return t, true
@@ -327,14 +327,14 @@
 	return routing.Target{}, false
 }
 
-func (e *Entry) callAt(ctx context.Context, target *routing.Target, call *plainCall) (*peerv1.CallResponse, *errkind.Error) {
+func (e *Entry) callTarget(ctx context.Context, target *routing.Target, call *plainCall) (*peerv1.CallResponse, *errkind.Error) {
 	call.request.BudgetMs = budgetMs(call.deadline, 1)
 	resp, err := e.client(target.Address).Call(ctx, connect.NewRequest(call.request))
 	if ctx.Err() != nil {
 		return nil, errkind.New(errkind.Cancelled, "the caller has gone")
 	}
 	if err != nil {
-		e.health.note(target.Name, routing.Suspect)
+		e.health.record(target.Name, routing.Suspect)
 		return nil, errkind.New(errkind.TargetFailed, "%v", err)
 	}
 	e.follower.Hint(resp.Msg.ConfigVersion, target.Address)
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -33,7 +33,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		const last = 8
 		e := &Entry{}
-		p := &progress{next: 1}
+		p := &progress{nextSeq: 1}
 		r := &completion{}
 		var got strings.Builder
 		for range rapid.IntRange(1, 6).Draw(rt, "connections") {
@@ -56,7 +56,7 @@
 				break
 			}
 		}
-		if want := "12345678"[:p.next-1]; got.String() != want {
+		if want := "12345678"[:p.nextSeq-1]; got.String() != want {
 			rt.Fatalf("the reader got %q, want %q", got.String(), want)
 		}
 	})
@@ -84,7 +84,7 @@
 // a failed target, not of a word between processes.
 func TestLostRunReadsAsFailedTarget(t *testing.T) {
 	e := &Entry{}
-	got := e.finalRefusal(&completion{}, &progress{next: 1}, errkind.New(errkind.UnknownRun, ""))
+	got := e.finalRefusal(&completion{}, &progress{nextSeq: 1}, errkind.New(errkind.UnknownRun, ""))
 	if got.Kind != errkind.TargetFailed {
 		t.Errorf("got %v", got.Kind)
 	}
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -55,7 +55,7 @@
 // withDeparted returns the list of hosts with those that were leaving before and are not
 // listed any more: a host that has left the list may serve on, and takes no new work until it
 // is listed as live. Those of which no target is named are dropped.
-func withDeparted(before, listed []external.Host, named func(string) bool) []external.Host {
+func keepDeparted(before, listed []external.Host, named func(string) bool) []external.Host {
 	present := make(map[string]bool, len(listed))
 	for _, h := range listed {
 		present[h.Name] = true
@@ -71,50 +71,50 @@
 
 const (
 	// suspectFor is how long a target that could not be reached is asked last.
-	suspectFor = 2 * time.Second
+	suspectDuration = 2 * time.Second
 	// leavingFor is how long a target that said that it is leaving is passed
 	// over. The platform's list takes over meanwhile; without it the target is
 	// asked again, and says again what it is.
-	leavingFor = 5 * time.Second
+	leavingDuration = 5 * time.Second
 )
 
 // health is what an entry's own calls tell of targets. The platform's list
 // lags: a target that dies or leaves shows here first, as a failed dial or as
 // its sidecar's refusal. It is safe for concurrent use.
-type health struct {
-	mu    sync.Mutex
-	now   func() time.Time
-	marks map[string]mark
+type targetHealth struct {
+	mu           sync.Mutex
+	now          func() time.Time
+	observations map[string]observation
 }
 
-type mark struct {
-	state routing.State
-	until time.Time
+type observation struct {
+	state     routing.State
+	expiresAt time.Time
 }
 
-func newHealth(now func() time.Time) *health {
-	return &health{now: now, marks: map[string]mark{}}
+func newTargetHealth(now func() time.Time) *targetHealth {
+	return &targetHealth{now: now, observations: map[string]observation{}}
 }
 
 // note marks a target for a time.
-func (h *health) note(target string, state routing.State) {
+func (h *targetHealth) record(target string, state routing.State) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	d := suspectFor
+	d := suspectDuration
 	if state == routing.Leaving {
-		d = leavingFor
+		d = leavingDuration
 	}
-	h.marks[target] = mark{state, h.now().Add(d)}
+	h.observations[target] = observation{state, h.now().Add(d)}
 }
 
 // states returns the marks in force and drops the others.
-func (h *health) states() map[string]routing.State {
+func (h *targetHealth) states() map[string]routing.State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	states := make(map[string]routing.State, len(h.marks))
-	for target, m := range h.marks {
-		if h.now().After(m.until) {
-			delete(h.marks, target)
+	states := make(map[string]routing.State, len(h.observations))
+	for target, m := range h.observations {
+		if h.now().After(m.expiresAt) {
+			delete(h.observations, target)
 			continue
 		}
 		states[target] = m.state
--- a/internal/entry/view_test.go
+++ b/internal/entry/view_test.go
@@ -14,17 +14,17 @@
 	leaving := external.Host{Name: "b", State: external.HostLeaving}
 	returned := external.Host{Name: "b", State: external.HostLive}
 	named := func(string) bool { return true }
-	hosts := withDeparted(nil, []external.Host{live, leaving}, named)
+	hosts := keepDeparted(nil, []external.Host{live, leaving}, named)
 	for range 3 {
-		hosts = withDeparted(hosts, []external.Host{live}, named)
+		hosts = keepDeparted(hosts, []external.Host{live}, named)
 	}
 	if !slices.Equal(hosts, []external.Host{live, leaving}) {
 		t.Errorf("after it has gone: %v", hosts)
 	}
-	if again := withDeparted(hosts, []external.Host{live, returned}, named); !slices.Equal(again, []external.Host{live, returned}) {
+	if again := keepDeparted(hosts, []external.Host{live, returned}, named); !slices.Equal(again, []external.Host{live, returned}) {
 		t.Errorf("listed as live again: %v", again)
 	}
-	if left := withDeparted(hosts, []external.Host{live}, func(string) bool { return false }); !slices.Equal(left, []external.Host{live}) {
+	if left := keepDeparted(hosts, []external.Host{live}, func(string) bool { return false }); !slices.Equal(left, []external.Host{live}) {
 		t.Errorf("no target is named: %v", left)
 	}
 }
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -27,19 +27,19 @@
 	maxBlocks   int
 	incarnation string
 	nextSeq     uint64
-	order       *list.List
-	places      map[uint32]*list.Element
-	expected    map[uint32]int
+	lru         *list.List
+	elements    map[uint32]*list.Element
+	inProgress  map[uint32]int
 	gaps        uint64
 }
 
 // NewIndex returns an empty index of an engine with so many blocks.
 func NewIndex(maxBlocks int) *Index {
 	return &Index{
-		maxBlocks: maxBlocks,
-		order:     list.New(),
-		places:    make(map[uint32]*list.Element),
-		expected:  make(map[uint32]int),
+		maxBlocks:  maxBlocks,
+		lru:        list.New(),
+		elements:   make(map[uint32]*list.Element),
+		inProgress: make(map[uint32]int),
 	}
 }
 
@@ -47,7 +47,7 @@
 func (x *Index) NextSeq() uint64 { return x.nextSeq }
 
 // Len is the number of blocks held.
-func (x *Index) Len() int { return x.order.Len() }
+func (x *Index) Len() int { return x.lru.Len() }
 
 // Gaps counts losses in the event stream since the start.
 func (x *Index) Gaps() uint64 { return x.gaps }
@@ -66,9 +66,9 @@
 }
 
 func (x *Index) clear() {
-	x.order.Init()
-	clear(x.places)
-	clear(x.expected)
+	x.lru.Init()
+	clear(x.elements)
+	clear(x.inProgress)
 }
 
 func (x *Index) applyEvent(event external.CacheEvent) {
@@ -81,9 +81,9 @@
 	x.nextSeq = event.Seq + 1
 	switch event.Kind {
 	case external.EventStored:
-		x.storeMissing(event.Blocks)
+		x.addMissing(event.Blocks)
 	case external.EventRemoved:
-		x.drop(event.Blocks)
+		x.remove(event.Blocks)
 	case external.EventCleared:
 		x.clear()
 	}
@@ -91,29 +91,29 @@
 
 // storeMissing takes blocks that an event tells of. Those that are held keep
 // their place: the event is older than what put them there.
-func (x *Index) storeMissing(blocks []uint64) {
+func (x *Index) addMissing(blocks []uint64) {
 	for _, block := range blocks {
-		b := Short(block)
-		if _, held := x.places[b]; !held {
-			x.places[b] = x.order.PushFront(b)
+		b := ShortHash(block)
+		if _, held := x.elements[b]; !held {
+			x.elements[b] = x.lru.PushFront(b)
 		}
 	}
-	x.trim()
+	x.evict()
 }
 
-func (x *Index) drop(blocks []uint64) {
+func (x *Index) remove(blocks []uint64) {
 	for _, block := range blocks {
-		if place, held := x.places[Short(block)]; held {
-			x.order.Remove(place)
-			delete(x.places, Short(block))
+		if place, held := x.elements[ShortHash(block)]; held {
+			x.lru.Remove(place)
+			delete(x.elements, ShortHash(block))
 		}
 	}
 }
 
-func (x *Index) trim() {
-	for x.order.Len() > x.maxBlocks {
-		last := x.order.Back()
-		delete(x.places, x.order.Remove(last).(uint32))
+func (x *Index) evict() {
+	for x.lru.Len() > x.maxBlocks {
+		last := x.lru.Back()
+		delete(x.elements, x.lru.Remove(last).(uint32))
 	}
 }
 
@@ -121,7 +121,7 @@
 // holds all its blocks now. Leading blocks stay longest, as in the engine. The
 // word of another incarnation than the one known is passed over: it comes late
 // from an earlier life, or the events will tell of a new one.
-func (x *Index) Confirm(incarnation string, blocks []uint64) {
+func (x *Index) AddCached(incarnation string, blocks []uint64) {
 	if x.incarnation == "" {
 		x.incarnation = incarnation
 	}
@@ -129,40 +129,40 @@
 		return
 	}
 	for i := len(blocks) - 1; i >= 0; i-- {
-		b := Short(blocks[i])
-		if place, held := x.places[b]; held {
-			x.order.MoveToFront(place)
+		b := ShortHash(blocks[i])
+		if place, held := x.elements[b]; held {
+			x.lru.MoveToFront(place)
 			continue
 		}
-		x.places[b] = x.order.PushFront(b)
+		x.elements[b] = x.lru.PushFront(b)
 	}
-	x.trim()
+	x.evict()
 }
 
 // Expect counts the blocks of admitted work as held, so that a second request
 // for a prefix that is being computed is not sent elsewhere.
-func (x *Index) Expect(blocks []uint64) {
+func (x *Index) AddInProgress(blocks []uint64) {
 	for _, block := range blocks {
-		x.expected[Short(block)]++
+		x.inProgress[ShortHash(block)]++
 	}
 }
 
 // Forget takes back what Expect counted, when the work has ended.
-func (x *Index) Forget(blocks []uint64) {
+func (x *Index) RemoveInProgress(blocks []uint64) {
 	for _, block := range blocks {
-		b := Short(block)
-		if x.expected[b] <= 1 {
-			delete(x.expected, b)
+		b := ShortHash(block)
+		if x.inProgress[b] <= 1 {
+			delete(x.inProgress, b)
 			continue
 		}
-		x.expected[b]--
+		x.inProgress[b]--
 	}
 }
 
 // Match returns how many leading blocks the engine holds or will hold.
 func (x *Index) Match(blocks []uint64) int {
 	for i, b := range blocks {
-		if !x.holds(Short(b)) {
+		if !x.has(ShortHash(b)) {
 			return i
 		}
 	}
@@ -174,14 +174,14 @@
 // the furthest point held stands for all before it.
 func (x *Index) MatchPoints(points []Point) int {
 	for i := len(points) - 1; i >= 0; i-- {
-		if x.holds(points[i].Block) {
+		if x.has(points[i].Block) {
 			return points[i].Tokens
 		}
 	}
 	return 0
 }
 
-func (x *Index) holds(block uint32) bool {
-	_, held := x.places[block]
-	return held || x.expected[block] > 0
+func (x *Index) has(block uint32) bool {
+	_, held := x.elements[block]
+	return held || x.inProgress[block] > 0
 }
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -30,9 +30,9 @@
 
 // Server answers probes.
 type Server struct {
-	conn   *net.UDPConn
-	answer func(*peerv1.ProbeRequest) *peerv1.ProbeResponse
-	done   sync.WaitGroup
+	conn    *net.UDPConn
+	handler func(*peerv1.ProbeRequest) *peerv1.ProbeResponse
+	done    sync.WaitGroup
 }
 
 // NewServer answers probes at an address until Close.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for probes")
 	}
-	s := &Server{conn: conn, answer: answer}
+	s := &Server{conn: conn, handler: answer}
 	s.done.Add(1)
 	go s.serve()
 	return s, nil
@@ -60,7 +60,7 @@
 			return
 		}
 		var err error
-		if out, err = (proto.MarshalOptions{}).MarshalAppend(out[:0], s.answer(request)); err == nil {
+		if out, err = (proto.MarshalOptions{}).MarshalAppend(out[:0], s.handler(request)); err == nil {
 			_, _ = s.conn.WriteToUDPAddrPort(out, from)
 		}
 	})
@@ -79,13 +79,13 @@
 	done    sync.WaitGroup
 	mu      sync.Mutex
 	nextID  uint32
-	pending map[uint32]waiter
+	pending map[uint32]pendingProbe
 }
 
 // waiter is a question that awaits its answer.
-type waiter struct {
-	to     netip.AddrPort
-	answer chan *peerv1.ProbeResponse
+type pendingProbe struct {
+	to       netip.AddrPort
+	response chan *peerv1.ProbeResponse
 }
 
 // NewClient returns a client that sends from the IP number of an address.
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "open probe socket")
 	}
-	c := &Client{conn: conn, nextID: rand.Uint32(), pending: map[uint32]waiter{}}
+	c := &Client{conn: conn, nextID: rand.Uint32(), pending: map[uint32]pendingProbe{}}
 	c.done.Add(1)
 	go c.receive()
 	return c, nil
@@ -115,18 +115,18 @@
 		if proto.Unmarshal(data, response) != nil {
 			return
 		}
-		if w, ok := c.take(response.Id, from); ok {
-			w.answer <- response
+		if w, ok := c.claim(response.Id, from); ok {
+			w.response <- response
 		}
 	})
 }
 
-func (c *Client) take(id uint32, from netip.AddrPort) (waiter, bool) {
+func (c *Client) claim(id uint32, from netip.AddrPort) (pendingProbe, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w, ok := c.pending[id]
 	if !ok || w.to != netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) {
-		return waiter{}, false
+		return pendingProbe{}, false
 	}
 	delete(c.pending, id)
 	return w, true
@@ -134,14 +134,14 @@
 
 // Ask sends a question and waits for its answer until the context ends. It
 // sets the question's number.
-func (c *Client) Ask(ctx context.Context, to netip.AddrPort, request *peerv1.ProbeRequest) (*peerv1.ProbeResponse, error) {
-	w := waiter{to: to, answer: make(chan *peerv1.ProbeResponse, 1)}
+func (c *Client) Probe(ctx context.Context, to netip.AddrPort, request *peerv1.ProbeRequest) (*peerv1.ProbeResponse, error) {
+	w := pendingProbe{to: to, response: make(chan *peerv1.ProbeResponse, 1)}
 	c.mu.Lock()
 	c.nextID++
 	request.Id = c.nextID
 	c.pending[request.Id] = w
 	c.mu.Unlock()
-	defer c.forget(request.Id)
+	defer c.removePending(request.Id)
 	data, err := proto.Marshal(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode probe")
@@ -150,14 +150,14 @@
 		return nil, errors.Wrap(err, "send probe")
 	}
 	select {
-	case response := <-w.answer:
+	case response := <-w.response:
 		return response, nil
 	case <-ctx.Done():
 		return nil, errors.Wrap(ctx.Err(), "probe")
 	}
 }
 
-func (c *Client) forget(id uint32) {
+func (c *Client) removePending(id uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -43,7 +43,7 @@
 	Service string
 	Address string
 	// Probe is the same address for datagrams.
-	Probe netip.AddrPort
+	ProbeAddr netip.AddrPort
 	// Zone and Region are where its host stands.
 	Zone   string
 	Region string
@@ -55,12 +55,12 @@
 // NewTarget returns a live target.
 func NewTarget(service, name, address, zone, region string) Target {
 	t := Target{Name: name, Service: service, Address: address, Zone: zone, Region: region, hash: xxhash.Sum64String(name)}
-	t.Probe, _ = netip.ParseAddrPort(address)
+	t.ProbeAddr, _ = netip.ParseAddrPort(address)
 	return t
 }
 
 // Place is where an entry stands.
-type Place struct {
+type Location struct {
 	Zone   string
 	Region string
 }
@@ -68,10 +68,10 @@
 // The parts of a ranking, in the order in which targets are asked.
 const (
 	// familyFirst targets of the family's key come first.
-	familyFirst = 6
+	familyCount = 6
 	// ownNext targets of the innermost level's key follow: the cases of a hot
 	// family spread over them.
-	ownNext = 8
+	ownCount = 8
 	// MaxRanked is how many targets a ranking holds at the most.
 	MaxRanked = 16
 )
@@ -79,18 +79,18 @@
 // Ranking lists targets in the order in which to ask them. It is a value
 // without pointers into the heap, so that ranking allocates nothing.
 type Ranking struct {
-	indexes [MaxRanked]int32
-	n       int
+	order [MaxRanked]int32
+	n     int
 }
 
 // Len is the number of ranked targets.
 func (r *Ranking) Len() int { return r.n }
 
 // At returns the index of the i-th ranked target.
-func (r *Ranking) At(i int) int { return int(r.indexes[i]) }
+func (r *Ranking) At(i int) int { return int(r.order[i]) }
 
 func (r *Ranking) has(index int) bool {
-	for _, x := range r.indexes[:r.n] {
+	for _, x := range r.order[:r.n] {
 		if int(x) == index {
 			return true
 		}
@@ -100,7 +100,7 @@
 
 func (r *Ranking) add(index int) {
 	if r.n < MaxRanked && !r.has(index) {
-		r.indexes[r.n] = int32(index)
+		r.order[r.n] = int32(index)
 		r.n++
 	}
 }
@@ -129,34 +129,34 @@
 
 // The scopes, from the best to the last resort. Leaving targets are in none.
 const (
-	nobody scope = iota
-	suspects
-	liveAnywhere
-	liveNear
+	scopeNone scope = iota
+	scopeSuspect
+	scopeLive
+	scopeLiveInRegion
 )
 
 // filter finds the best scope that has a target: live ones of the entry's
 // region; if there are none, live ones anywhere; if there are none, suspects.
-func filter(targets []Target, place Place) scope {
-	best := nobody
+func bestScope(targets []Target, place Location) scope {
+	best := scopeNone
 	for i := range targets {
 		switch t := &targets[i]; {
 		case t.State == Live && t.Region == place.Region:
-			return liveNear
+			return scopeLiveInRegion
 		case t.State == Live:
-			best = max(best, liveAnywhere)
+			best = max(best, scopeLive)
 		case t.State == Suspect:
-			best = max(best, suspects)
+			best = max(best, scopeSuspect)
 		}
 	}
 	return best
 }
 
-func (s scope) has(t *Target, place Place) bool {
+func (s scope) includes(t *Target, place Location) bool {
 	switch s {
-	case liveNear:
+	case scopeLiveInRegion:
 		return t.State == Live && t.Region == place.Region
-	case liveAnywhere:
+	case scopeLive:
 		return t.State == Live
 	default:
 		return t.State == Suspect
@@ -165,7 +165,7 @@
 
 // top holds the best targets of one key, best first. floor is the score that
 // a target must exceed to enter a full one.
-type top struct {
+type topScores struct {
 	index [MaxRanked]int32
 	score [MaxRanked]uint64
 	n     int
@@ -173,7 +173,7 @@
 	floor uint64
 }
 
-func (t *top) offer(index int, score uint64) {
+func (t *topScores) insert(index int, score uint64) {
 	if score <= t.floor {
 		return
 	}
@@ -194,23 +194,23 @@
 // level but one (the town), which many prompts share. Then come those of the
 // innermost level (the case), over which a family that is hotter than its first
 // targets can bear spreads out; then further ones of the family.
-func Rank(targets []Target, place Place, levels []uint64) Ranking {
+func Rank(targets []Target, place Location, levels []uint64) Ranking {
 	var ranking Ranking
-	allowed := filter(targets, place)
-	if allowed == nobody {
+	allowed := bestScope(targets, place)
+	if allowed == scopeNone {
 		return ranking
 	}
 	familyKey, ownKey := levelKeys(levels)
-	family := top{size: MaxRanked}
-	own := top{size: ownNext}
+	family := topScores{size: MaxRanked}
+	own := topScores{size: ownCount}
 	for i := range targets {
 		t := &targets[i]
-		if allowed.has(t, place) {
-			family.offer(i, t.Score(familyKey))
-			own.offer(i, t.Score(ownKey))
+		if allowed.includes(t, place) {
+			family.insert(i, t.Score(familyKey))
+			own.insert(i, t.Score(ownKey))
 		}
 	}
-	ranking.addAll(family.index[:min(family.n, familyFirst)])
+	ranking.addAll(family.index[:min(family.n, familyCount)])
 	ranking.addAll(own.index[:own.n])
 	ranking.addAll(family.index[:family.n])
 	return ranking
@@ -228,7 +228,7 @@
 }
 
 // Quote is a target's answer to a probe.
-type Quote struct {
+type Estimate struct {
 	// Index of the target.
 	Index int
 	// Wait until the request would reach the engine.
@@ -238,7 +238,7 @@
 	// Busy is the share of recent time that the target spent prefilling.
 	Busy float64
 	// Distance is the time of a round trip.
-	Distance time.Duration
+	RoundTrip time.Duration
 	// Refused is set when the target takes no new work.
 	Refused bool
 }
@@ -249,39 +249,39 @@
 	Rounds []int
 	// WasteFactor is how much a millisecond of recomputing at an idle target
 	// weighs against one of waiting. A class that cannot wait has a lower one.
-	WasteFactor [config.Classes]float64
+	PrefillWeight [config.Classes]float64
 	// BusyPrice and BusyPower say how much dearer recomputing is at a target
 	// that was busy for a part of the time: 1 + BusyPrice*busy^BusyPower times.
 	// There it delays the requests behind and evicts what they would have found.
-	BusyPrice, BusyPower float64
+	BusyPenalty, BusyExponent float64
 	// Content is the wait and Miss the recomputing up to which no further round
 	// is made. A long prefix that the first targets have lost is often still
 	// held by one that was asked while they were busy.
-	Content, Miss time.Duration
+	AcceptableWait, AcceptablePrefill time.Duration
 }
 
 // DefaultPolicy is the policy of entries whose settings name none; see docs/DESIGN.md.
 var DefaultPolicy = Policy{
-	Rounds:      []int{4, 10, 16},
-	WasteFactor: [config.Classes]float64{0.05, 1, 1},
-	BusyPrice:   60,
-	BusyPower:   2,
-	Content:     30 * time.Millisecond,
-	Miss:        150 * time.Millisecond,
+	Rounds:            []int{4, 10, 16},
+	PrefillWeight:     [config.Classes]float64{0.05, 1, 1},
+	BusyPenalty:       60,
+	BusyExponent:      2,
+	AcceptableWait:    30 * time.Millisecond,
+	AcceptablePrefill: 150 * time.Millisecond,
 }
 
 // Cost is what a quote weighs, in nanoseconds of waiting.
-func (p *Policy) Cost(class config.Class, q Quote) float64 {
+func (p *Policy) Cost(class config.Class, q Estimate) float64 {
 	if q.Refused {
 		return math.Inf(1)
 	}
-	price := p.WasteFactor[class] * (1 + p.BusyPrice*math.Pow(q.Busy, p.BusyPower))
-	return float64(q.Wait) + float64(q.Distance) + price*float64(q.Prefill)
+	price := p.PrefillWeight[class] * (1 + p.BusyPenalty*math.Pow(q.Busy, p.BusyExponent))
+	return float64(q.Wait) + float64(q.RoundTrip) + price*float64(q.Prefill)
 }
 
 // Pick returns the position of the cheapest quote, or -1. Of equal ones the
 // first in the ranking wins.
-func (p *Policy) Pick(class config.Class, quotes []Quote) int {
+func (p *Policy) Pick(class config.Class, quotes []Estimate) int {
 	best := -1
 	cost := math.Inf(1)
 	for i, q := range quotes {
@@ -293,7 +293,7 @@
 }
 
 // Satisfied reports whether the quotes so far make another round needless.
-func (p *Policy) Satisfied(class config.Class, quotes []Quote) bool {
+func (p *Policy) Satisfied(class config.Class, quotes []Estimate) bool {
 	best := p.Pick(class, quotes)
-	return best >= 0 && quotes[best].Wait <= p.Content && quotes[best].Prefill <= p.Miss
+	return best >= 0 && quotes[best].Wait <= p.AcceptableWait && quotes[best].Prefill <= p.AcceptablePrefill
 }
