--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -15,7 +15,7 @@
 
 const workspaceKey contextKey = 1
 
-// security implements the generated server's security handler.
+// security implements oas.SecurityHandler.
 type security struct{ *Entry }
 
 // HandleWorkspaceToken implements oas.SecurityHandler.
@@ -32,8 +32,8 @@
 	return w
 }
 
-// authenticate finds the workspace of a token by the token's digest, and
-// compares the digests in constant time.
+// authenticate finds the workspace of a token by the token's SHA-256 digest. Digests are
+// compared in constant time.
 func (e *Entry) authenticate(token string) (*config.Workspace, *errkind.Error) {
 	c, _, ok := e.current()
 	if !ok {
@@ -48,8 +48,7 @@
 	return w, nil
 }
 
-// bearer returns the token of a request that the generated server does not
-// serve.
+// bearerToken returns the token of a request that bypasses the generated server.
 func bearerToken(r *http.Request) (string, *errkind.Error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// maxTries bounds the targets that one request is run at.
+	// maxAttempts bounds the targets at which one request is run.
 	maxAttempts = 4
-	// resumeWindow is the time after a cut, or after the last frame since, in
-	// which the stream is looked for where it ran: a sidecar that is replaced
-	// needs a moment to come up. Then the rest runs elsewhere.
+	// resumeWindow is how long after a cut, or after the last frame since, the entry tries to
+	// resume a stream at its target, so that a sidecar can be replaced. After that the rest
+	// runs at another target.
 	resumeWindow = time.Second
-	// resumeTimeout is the time in which a resume must bring its first frame.
-	// A frozen sidecar's host takes connections and never answers.
+	// resumeTimeout bounds the wait for the first frame of a resumed stream. A frozen sidecar's
+	// host accepts connections, but the sidecar never responds.
 	resumeTimeout = time.Second
-	// resumePause is the wait before a resume.
+	// resumeInterval is the wait before each attempt to resume.
 	resumeInterval = 100 * time.Millisecond
 	cancelTimeout  = 2 * time.Second
-	// loadPause is the wait for a target with the weights in force.
+	// weightsPollInterval is the wait between checks for a target with the current weights.
 	weightsPollInterval = 100 * time.Millisecond
 )
 
-// completion is one checked request for a completion.
+// completion is a validated completion request.
 type completion struct {
 	id        string
 	workspace *config.Workspace
-	// workspaceHash is how probes name the workspace.
+	// workspaceHash identifies the workspace in probes.
 	workspaceHash uint32
 	service       *config.Service
 	model         *config.Model
 	adapter       string
 	class         config.Class
-	// parts of the prompt, and the whole text.
+	// parts are the prompt's parts, text their concatenation.
 	parts     []string
 	text      string
 	prompt    prefix.Prompt
@@ -52,39 +52,40 @@
 	deadline  time.Time
 }
 
-// sink takes an answer's frames in order. An error means that the caller has
-// gone.
+// sink receives the frames of a completion in order. It returns an error if the caller has
+// disconnected.
 type sink func(*peerv1.Frame) error
 
-// progress is what of an answer has reached the sink.
+// progress is the state of a completion that is being delivered to a sink.
 type progress struct {
 	nextSeq          uint64
 	text             []byte
 	timeToFirstToken time.Duration
 	end              *peerv1.End
 	choice           choice
-	// gone is set when the sink failed.
+	// callerGone is set when the sink failed.
 	callerGone bool
 }
 
-// complete answers a request into the sink, over as many targets as it takes.
+// complete runs a request and delivers its frames to the sink, retrying at other targets as
+// needed.
 func (e *Entry) complete(ctx context.Context, r *completion, out sink) (*progress, *errkind.Error) {
 	p := &progress{nextSeq: 1}
 	e.budget.Earn(r.retryShare(e))
-	avoid := map[string]bool{}
+	excluded := map[string]bool{}
 	var last *errkind.Error
-	for try := 0; try < maxAttempts; try++ {
-		if try > 0 && !e.mayRetry(ctx, p.nextSeq > 1, last) {
+	for attempt := 0; attempt < maxAttempts; attempt++ {
+		if attempt > 0 && !e.mayRetry(ctx, p.nextSeq > 1, last) {
 			break
 		}
-		made, refusal := e.waitForTarget(ctx, r, avoid)
+		chosen, refusal := e.waitForTarget(ctx, r, excluded)
 		if refusal != nil {
 			if last == nil {
 				last = refusal
 			}
 			break
 		}
-		p.choice = made
+		p.choice = chosen
 		last = e.runOnTarget(ctx, r, p, out)
 		if last == nil {
 			return p, nil
@@ -96,16 +97,17 @@
 			sleep.For(ctx, weightsPollInterval)
 			e.refreshWeights(r)
 		} else {
-			avoid[made.target.Name] = true
+			excluded[chosen.target.Name] = true
 		}
 		e.metrics.Retry(last.Kind.String())
-		e.logger.Info("retry", "request_id", r.id, "target", made.target.Name, "kind", last.Kind.String(), "next_seq", p.nextSeq)
+		e.logger.Info("retry", "request_id", r.id, "target", chosen.target.Name, "kind", last.Kind.String(), "next_seq", p.nextSeq)
 	}
 	return p, e.finalRefusal(r, p, last)
 }
 
-// takeUpWeights names the prompt anew by the weights in force: they changed
-// while the request was on its way. One whose answer has begun keeps its weights.
+// refreshWeights recomputes the prompt's hashes for the current weights, which changed while
+// the request was under way. It must not be called once frames have been delivered: these keep
+// their weights.
 func (e *Entry) refreshWeights(r *completion) {
 	c, _, ok := e.current()
 	if !ok {
@@ -116,7 +118,7 @@
 	}
 }
 
-// nameBy names the prompt's prefixes by a model's weights.
+// hashPrompt computes the hashes of the prompt's prefixes for a model's weights.
 func (r *completion) hashPrompt(model *config.Model) {
 	r.model = model
 	scope := prefix.Scope{Workspace: r.workspace.Name, Model: model.Name, Adapter: r.adapter, Weights: model.Weights}
@@ -131,21 +133,21 @@
 	return c.Limits.RetryShare
 }
 
-// mayRetry decides about another target. Retries beyond the budget would
-// multiply an overload; an answer that has begun is continued regardless,
-// since breaking it off would throw away what was paid for.
-func (e *Entry) mayRetry(ctx context.Context, begun bool, last *errkind.Error) bool {
+// mayRetry reports whether a request may go to another target. The retry budget keeps retries
+// from multiplying an overload. Requests refused by a leaving target or for its weights bypass
+// the budget, and so do started responses, whose work would be lost otherwise.
+func (e *Entry) mayRetry(ctx context.Context, started bool, last *errkind.Error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if begun || last.Kind == errkind.Leaving || last.Kind == errkind.WrongWeights {
+	if started || last.Kind == errkind.Leaving || last.Kind == errkind.WrongWeights {
 		return true
 	}
 	return e.budget.Spend()
 }
 
-// finalRefusal is what the caller is told. A call that may not be repeated is
-// called not run only by the record of claims.
+// finalRefusal returns the error for the caller. Only recorded claims decide that an
+// at-most-once call did not run.
 func (e *Entry) finalRefusal(r *completion, p *progress, last *errkind.Error) *errkind.Error {
 	if p.nextSeq > 1 && r.once == nil && !p.callerGone {
 		return errkind.New(errkind.StreamBroken, "%v", last)
@@ -154,33 +156,32 @@
 		return onceRefusal(last)
 	}
 	if last.Kind == errkind.UnknownRun {
-		return errkind.After(errkind.TargetFailed, suspectDuration, "the run was lost")
+		return errkind.After(errkind.TargetFailed, suspectDuration, "the target lost the run")
 	}
 	return last
 }
 
-// onceRefusal passes on what the record of claims has said, and turns every
-// other refusal of a call that may not be repeated into an unknown outcome: an
-// earlier try of the key may have run.
+// onceRefusal passes on refusals of an at-most-once call that recorded claims decided. It turns
+// all others into an unknown outcome, because an earlier attempt may have run.
 func onceRefusal(e *errkind.Error) *errkind.Error {
 	switch e.Kind {
 	case errkind.NotRun, errkind.OutcomeUnknown, errkind.InProgress, errkind.KeyConflict, errkind.KeyExpired, errkind.KeyInvalid:
 		return e
 	}
-	return errkind.After(errkind.OutcomeUnknown, max(e.RetryAfter, time.Second), "this try was not started or was lost: %v", e)
+	return errkind.After(errkind.OutcomeUnknown, max(e.RetryAfter, time.Second), "the last attempt was not started or its result was lost: %v", e)
 }
 
-// waitForTarget chooses a target. While all have other weights than those in
-// force, it waits for one to load them, up to the deadline.
-func (e *Entry) waitForTarget(ctx context.Context, r *completion, avoid map[string]bool) (choice, *errkind.Error) {
+// waitForTarget chooses a target. While targets refuse the request for lack of the current
+// weights, it waits for one to load them, up to the deadline.
+func (e *Entry) waitForTarget(ctx context.Context, r *completion, excluded map[string]bool) (choice, *errkind.Error) {
 	for {
 		_, view, ok := e.current()
 		if !ok {
 			return choice{}, errkind.After(errkind.ConfigurationMissing, time.Second, "")
 		}
-		made, refusal := e.chooseFor(ctx, &view, r, avoid)
+		chosen, refusal := e.chooseFor(ctx, &view, r, excluded)
 		if refusal == nil || refusal.Kind != errkind.WrongWeights {
-			return made, refusal
+			return chosen, refusal
 		}
 		if time.Now().Add(weightsPollInterval).After(r.deadline) || !sleep.For(ctx, weightsPollInterval) {
 			return choice{}, refusal
@@ -188,34 +189,33 @@
 	}
 }
 
-// chooseFor picks the target of a request: by quotes, or, for a call that runs
-// at most once, by its key alone, so that all tries of a key meet at one gate.
-func (e *Entry) chooseFor(ctx context.Context, view *View, r *completion, avoid map[string]bool) (choice, *errkind.Error) {
+// chooseFor chooses the target of a request: by probing, or, for an at-most-once call, by the
+// key alone, so that all attempts with a key reach the same sidecar.
+func (e *Entry) chooseFor(ctx context.Context, view *View, r *completion, excluded map[string]bool) (choice, *errkind.Error) {
 	if r.once == nil {
-		return e.choose(ctx, view, r, avoid)
+		return e.choose(ctx, view, r, excluded)
 	}
-	target, ok := pickByKey(view.Services[r.service.Name], r.workspace.Name, r.service.Name, r.once.Key, avoid)
+	target, ok := pickByKey(view.Services[r.service.Name], r.workspace.Name, r.service.Name, r.once.Key, excluded)
 	if !ok {
 		return choice{}, errkind.After(errkind.NoTarget, suspectDuration, "")
 	}
 	return choice{target: target}, nil
 }
 
-// pinned returns the first target for a key's claim stream that was not tried,
-// so that each gate holds the keys of few streams. The ranking is over the
-// configured targets that are not leaving, reachable or not, so that entries
-// which see different ones fail still agree; one that cannot be reached is tried
-// next.
-func pickByKey(targets []routing.Target, workspace, service, key string, avoid map[string]bool) (routing.Target, bool) {
-	hash := once.SlotKey(service, once.NewKey(workspace, service, key, 0, 0).Slot)
+// pickByKey returns the first target for a key's claim stream that is not excluded, so that
+// each sidecar handles the keys of few streams. It considers all configured targets that are
+// not leaving, whether reachable or not, so that entries that observe different failures still
+// agree.
+func pickByKey(targets []routing.Target, workspace, service, key string, excluded map[string]bool) (routing.Target, bool) {
+	streamHash := once.SlotKey(service, once.NewKey(workspace, service, key, 0, 0).Slot)
 	best := -1
 	var score uint64
 	for i := range targets {
 		t := &targets[i]
-		if avoid[t.Name] || t.State == routing.Leaving {
+		if excluded[t.Name] || t.State == routing.Leaving {
 			continue
 		}
-		if s := t.Score(hash); best < 0 || s > score {
+		if s := t.Score(streamHash); best < 0 || s > score {
 			best, score = i, s
 		}
 	}
@@ -225,8 +225,8 @@
 	return targets[best], true
 }
 
-// runAt runs the rest of a request at the chosen target, resuming the stream
-// there while it is cut.
+// runOnTarget runs the rest of a request at the chosen target and resumes the stream there if
+// it is cut.
 func (e *Entry) runOnTarget(ctx context.Context, r *completion, p *progress, out sink) *errkind.Error {
 	client := e.client(p.choice.target.Address)
 	refusal, cut := e.startStream(ctx, client, r, p, out)
@@ -244,7 +244,7 @@
 	if p.callerGone || ctx.Err() != nil {
 		p.callerGone = true
 		e.cancelRun(client, r)
-		return errkind.New(errkind.Cancelled, "the caller has gone")
+		return errkind.New(errkind.Cancelled, "the caller disconnected")
 	}
 	if refusal != nil && refusal.Kind == errkind.TargetFailed {
 		e.health.record(p.choice.target.Name, routing.Suspect)
@@ -282,12 +282,12 @@
 	}
 	refusal, cut = e.copyStream(&watchedStream{frameStream: stream, watchdog: watchdog}, r, p, out)
 	if refusal != nil && refusal.Kind == errkind.UnknownRun && r.once != nil {
-		refusal = errkind.After(errkind.OutcomeUnknown, time.Second, "the run was lost")
+		refusal = errkind.After(errkind.OutcomeUnknown, time.Second, "the target lost the run")
 	}
 	return refusal, cut
 }
 
-// frameStream is what Run and Resume return.
+// frameStream is the stream that Run and Resume return.
 type frameStream interface {
 	Receive() bool
 	Msg() *peerv1.Frame
@@ -295,7 +295,7 @@
 	Close() error
 }
 
-// watchedStream stops its watchdog with the first frame.
+// watchedStream stops its watchdog on the first frame.
 type watchedStream struct {
 	frameStream
 	watchdog *time.Timer
@@ -308,9 +308,8 @@
 	return ok
 }
 
-// copyStream moves frames to the sink. cut is true when the stream ended
-// without its end mark: a lost connection shows as a clean end or as an error,
-// and only the mark tells a whole answer.
+// copyStream copies frames to the sink. cut reports that the stream ended without its end mark:
+// a lost connection may look like a regular end of the stream.
 func (e *Entry) copyStream(stream frameStream, r *completion, p *progress, out sink) (refusal *errkind.Error, cut bool) {
 	defer stream.Close()
 	for stream.Receive() {
@@ -323,13 +322,13 @@
 			continue
 		}
 		if frame.Seq > p.nextSeq {
-			return errkind.New(errkind.TargetFailed, "frame %d came when %d was due", frame.Seq, p.nextSeq), true
+			return errkind.New(errkind.TargetFailed, "got frame %d, expected %d", frame.Seq, p.nextSeq), true
 		}
 		if p.deliver(r, frame, out); p.callerGone || p.end != nil {
 			return nil, false
 		}
 	}
-	return errkind.New(errkind.TargetFailed, "stream cut: %v", stream.Err()), true
+	return errkind.New(errkind.TargetFailed, "stream ended early: %v", stream.Err()), true
 }
 
 func (p *progress) deliver(r *completion, frame *peerv1.Frame, out sink) {
@@ -345,8 +344,8 @@
 	p.text = append(p.text, frame.Text...)
 }
 
-// cancelRun frees the target of a run whose caller has gone. A call that may
-// not be repeated is left to end, so that its end is recorded.
+// cancelRun cancels the run of a caller that has disconnected. An at-most-once call continues,
+// so that its outcome is recorded.
 func (e *Entry) cancelRun(client peerv1.GateClient, r *completion) {
 	if r.once != nil {
 		return
@@ -363,12 +362,12 @@
 	return errkind.After(errkind.Kind(m.Kind), time.Duration(m.RetryAfterMs)*time.Millisecond, "%s", m.Detail)
 }
 
-// budgetMs is the time left until the deadline. An answer that has begun has
-// met its deadline already; its rest gets the whole range.
-func budgetMs(deadline time.Time, next uint64) uint32 {
-	const begun = 60_000
-	if next > 1 {
-		return begun
+// budgetMs returns the time left until the deadline. The deadline applies to the first token
+// only; a response that has started gets a fixed budget.
+func budgetMs(deadline time.Time, nextSeq uint64) uint32 {
+	const startedBudgetMs = 60_000
+	if nextSeq > 1 {
+		return startedBudgetMs
 	}
 	return uint32(max(time.Until(deadline).Milliseconds(), 0))
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,16 +1,12 @@
-// Package entry is the role that takes callers' requests.
+// Package entry implements the entry role, which serves callers' requests.
 //
-// # What an entry guards against
+// An entry keeps no state that another process needs: it can be killed or restarted at any
+// time, and serves again as soon as it has read the configuration from the log or from a peer.
 //
-// An entry holds nothing that another cannot do without: no index, no session,
-// no record of calls. It is killed or restarted at any time, and a new one
-// serves as soon as it has the configuration, from the log or from any peer.
-//
-// A stream that breaks between target and entry is continued at the frame
-// after the last: at the same sidecar, at its successor, or, when the engine is
-// gone, by running the rest elsewhere. The caller sees one answer without a
-// gap, a repeat or a foreign frame. A call that may not be repeated is never
-// run again by the entry; the record of claims behind the sidecars decides.
+// If a stream from a target breaks, the entry resumes it after the last frame received: at the
+// same sidecar, at its successor, or, if the engine is gone, by running the rest of the
+// completion at another target. Whether an at-most-once call may run is decided by the claims
+// that sidecars record, never by the entry.
 package entry
 
 import (
@@ -42,31 +38,32 @@
 	viewPeriod      = 200 * time.Millisecond
 )
 
-// Board is an entry's blackboard.
+// Board is the blackboard of an entry.
 type Board struct {
-	// Config is owned by the configuration follower.
+	// Config is written by the configuration follower.
 	Config blackboard.Fact[configlog.Snapshot]
-	// Hosts is owned by the host watcher.
+	// Hosts is written by refreshHosts.
 	Hosts blackboard.Fact[[]external.Host]
-	// View is owned by the view builder.
+	// View is written by buildView.
 	View blackboard.Fact[View]
 }
 
-// Entry is one process of the role. Make it with New.
+// Entry serves callers' requests. Use New to create one.
 type Entry struct {
-	settings        *settings.Settings
-	logger          logr.Logger
-	metrics         *metrics.Metrics
-	hosts           external.Hosts
-	board           *Board
-	loop            *control.Loop
-	follower        *configlog.Follower
-	health          *targetHealth
-	budget          *retry.Budget
-	burn            *burn.Counter
-	peers           *http.Client
-	prober          *probe.Client
-	location        routing.Location
+	settings *settings.Settings
+	logger   logr.Logger
+	metrics  *metrics.Metrics
+	hosts    external.Hosts
+	board    *Board
+	loop     *control.Loop
+	follower *configlog.Follower
+	health   *targetHealth
+	budget   *retry.Budget
+	burn     *burn.Counter
+	peers    *http.Client
+	prober   *probe.Client
+	location routing.Location
+	// clients maps sidecar addresses to their peerv1.GateClient.
 	clients         sync.Map // address to peerv1.GateClient
 	inFlight        atomic.Int64
 	handler         http.Handler
@@ -74,7 +71,7 @@
 	refreshingHosts bool
 }
 
-// Deps are what an entry needs from outside.
+// Deps are the dependencies of an entry.
 type Deps struct {
 	Log external.Log
 	// Hosts may be nil.
@@ -85,7 +82,7 @@
 	Metrics *metrics.Metrics
 }
 
-// New returns an entry that has not started.
+// New returns an entry. Call Start to run it.
 func New(s *settings.Settings, d Deps) (*Entry, error) {
 	e := &Entry{
 		settings: s, logger: d.Logger, metrics: d.Metrics, hosts: d.Hosts,
@@ -106,7 +103,7 @@
 	return e, nil
 }
 
-// Start runs the control thread and the controllers.
+// Start runs the control loop and the controllers.
 func (e *Entry) Start() {
 	e.tasks.Add(1)
 	go func() {
@@ -120,16 +117,16 @@
 	}
 }
 
-// Handler serves callers.
+// Handler returns the handler of the callers' API.
 func (e *Entry) Handler() http.Handler { return e.handler }
 
-// PeerHandler serves other processes; it belongs on the administration
-// address, away from callers.
+// PeerHandler returns the path and the handler of the peer API. It must be served at the
+// administration address only, which callers cannot reach.
 func (e *Entry) PeerHandler() (string, http.Handler) {
 	return peerv1.NewPeerHandler(configlog.NewPeerServer(&e.board.Config, e.follower.Hint))
 }
 
-// Close ends the entry.
+// Close stops the control loop and waits for it.
 func (e *Entry) Close() {
 	e.loop.Stop()
 	e.tasks.Wait()
@@ -138,7 +135,7 @@
 // Board returns the blackboard, for the administration API.
 func (e *Entry) Board() *Board { return e.board }
 
-// Burn returns the objective counts.
+// Burn returns the counter of requests that met or missed their objective.
 func (e *Entry) Burn() *burn.Counter { return e.burn }
 
 // Ready reports whether the entry has a configuration to route by.
@@ -147,7 +144,7 @@
 	return ok
 }
 
-// InFlight is the number of requests being served.
+// InFlight returns the number of requests being served.
 func (e *Entry) InFlight() int { return int(e.inFlight.Load()) }
 
 func (e *Entry) configChanged(s configlog.Snapshot) {
@@ -166,13 +163,14 @@
 			e.logger.Info("hosts_read_failed", "error", err.Error())
 			return
 		}
-		before, _ := e.board.Hosts.Get()
-		e.board.Hosts.Post(keepDeparted(before, hosts, e.hasTarget), time.Now())
+		previous, _ := e.board.Hosts.Get()
+		e.board.Hosts.Post(keepDeparted(previous, hosts, e.hasTarget), time.Now())
 		e.buildView()
 	})
 }
 
-// targetNamed reports whether the configuration in force has a target of a name.
+// hasTarget reports whether the current configuration has a target of that name. It returns
+// true while there is no configuration.
 func (e *Entry) hasTarget(name string) bool {
 	s, ok := e.board.Config.Get()
 	if !ok {
@@ -182,7 +180,7 @@
 	return service != nil
 }
 
-// client returns the client of a sidecar.
+// client returns the cached client of a sidecar.
 func (e *Entry) client(address string) peerv1.GateClient {
 	if c, ok := e.clients.Load(address); ok {
 		return c.(peerv1.GateClient)
@@ -191,13 +189,13 @@
 	return c.(peerv1.GateClient)
 }
 
-// current returns the configuration and the view built from it.
+// current returns the current configuration and the view built from it.
 func (e *Entry) current() (*config.Config, View, bool) {
 	view, ok := e.board.View.Get()
 	return view.Config, view, ok
 }
 
-// background returns a context for what must outlive a caller.
+// detachedContext returns a context for calls that must outlive the caller's request.
 func detachedContext(timeout time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), timeout)
 }
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -29,19 +29,19 @@
 
 const requestIDKey contextKey = 0
 
-// requestID returns the id that the outermost handler gave the request.
+// requestID returns the ID that the outermost handler assigned to the request.
 func requestID(ctx context.Context) string {
 	id, _ := ctx.Value(requestIDKey).(string)
 	return id
 }
 
-// newHandler returns the callers' handler: the generated server, and before it
-// the handler of streamed completions, which that server cannot send.
+// newHandler returns the callers' handler. Streamed completions are handled separately, because
+// the generated server cannot send server-sent events.
 func (e *Entry) newHandler() (http.Handler, error) {
 	server, err := oas.NewServer(&callerAPI{e}, &security{e},
 		oas.WithErrorHandler(e.serveError),
 		oas.WithNotFound(func(w http.ResponseWriter, r *http.Request) {
-			writeProblem(w, requestID(r.Context()), errkind.New(errkind.BadRequest, "no such path %q", r.URL.Path))
+			writeProblem(w, requestID(r.Context()), errkind.New(errkind.BadRequest, "unknown path %q", r.URL.Path))
 		}))
 	if err != nil {
 		return nil, errors.Wrap(err, "caller API")
@@ -66,7 +66,7 @@
 	}), nil
 }
 
-// readBody reads the whole body up to the bound of the configuration.
+// readBody reads the whole body, up to the configured size limit.
 func (e *Entry) readBody(r *http.Request) ([]byte, *errkind.Error) {
 	limit := int64(4 << 20)
 	if c, _, ok := e.current(); ok {
@@ -77,35 +77,36 @@
 		return nil, errkind.New(errkind.BadRequest, "read body: %v", err)
 	}
 	if int64(len(body)) > limit {
-		return nil, errkind.New(errkind.BodyTooLarge, "allowed are %d bytes", limit)
+		return nil, errkind.New(errkind.BodyTooLarge, "the limit is %d bytes", limit)
 	}
 	return body, nil
 }
 
-// wantsStream looks for the field before it parses a long prompt for it.
+// wantsStream reports whether the body asks for a streamed response. It searches for the field
+// first, so that most bodies are not parsed here.
 func wantsStream(body []byte) bool {
 	if !bytes.Contains(body, []byte(`"stream"`)) {
 		return false
 	}
-	var peek struct {
+	var fields struct {
 		Stream bool `json:"stream"`
 	}
-	return json.Unmarshal(body, &peek) == nil && peek.Stream
+	return json.Unmarshal(body, &fields) == nil && fields.Stream
 }
 
-// serveError answers errors that the generated server finds itself.
+// serveError responds to errors that the generated server detects.
 func (e *Entry) serveError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	writeProblem(w, requestID(ctx), toError(err))
 }
 
-// kindOf finds the kind of an error of the generated server.
+// toError converts an error of the generated server to an errkind error.
 func toError(err error) *errkind.Error {
-	var own *errkind.Error
-	if errors.As(err, &own) {
-		return own
+	var known *errkind.Error
+	if errors.As(err, &known) {
+		return known
 	}
-	var sec *ogenerrors.SecurityError
-	if errors.As(err, &sec) {
+	var unauthenticated *ogenerrors.SecurityError
+	if errors.As(err, &unauthenticated) {
 		return errkind.New(errkind.Unauthenticated, "send Authorization: Bearer TOKEN")
 	}
 	var request *ogenerrors.DecodeRequestError
@@ -116,7 +117,7 @@
 	return errkind.From(err)
 }
 
-// problem builds the answer to a refusal.
+// problem builds the response to a refused request.
 func problem(id string, e *errkind.Error) *oas.ProblemStatusCodeWithHeaders {
 	row := e.Kind.Row()
 	p := &oas.ProblemStatusCodeWithHeaders{
@@ -150,7 +151,7 @@
 	_, _ = w.Write(encodeProblem(id, e))
 }
 
-// callerAPI implements the generated server's handler.
+// callerAPI implements oas.Handler.
 type callerAPI struct{ *Entry }
 
 // NewError implements oas.Handler.
@@ -158,7 +159,7 @@
 	return problem(requestID(ctx), toError(err))
 }
 
-// refusalDone logs and counts a refusal.
+// recordRefusal logs and counts a refused request.
 func (e *Entry) recordRefusal(id, service, class string, refusal *errkind.Error, started time.Time) {
 	e.metrics.Refusal(service, class, refusal.Kind.String())
 	e.logger.Info("request_refused", "request_id", id, "service", service, "class", class,
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -21,7 +21,7 @@
 	maxKeyLength = 128
 )
 
-// header holds what a caller says beside the body.
+// callHeader holds the values of a caller's request headers and the caller's workspace.
 type callHeader struct {
 	key         string
 	issuedMs    int64
@@ -42,27 +42,26 @@
 	return h
 }
 
-// headerFrom reads the header of a request that the generated server does not
-// serve.
+// headerFromRequest reads the headers of a request that bypasses the generated server.
 func headerFromRequest(r *http.Request, w *config.Workspace) (callHeader, *errkind.Error) {
 	h := callHeader{key: r.Header.Get("Idempotency-Key"), class: r.Header.Get("Toucanwell-Class"), workspace: w}
 	var err error
 	if text := r.Header.Get("Idempotency-Key-Issued"); text != "" {
 		if h.issuedMs, err = strconv.ParseInt(text, 10, 64); err != nil {
-			return h, errkind.New(errkind.BadRequest, "Idempotency-Key-Issued: %q is no whole number", text)
+			return h, errkind.New(errkind.BadRequest, "Idempotency-Key-Issued: %q is not an integer", text)
 		}
 	}
 	if text := r.Header.Get("Toucanwell-Deadline-Ms"); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return h, errkind.New(errkind.BadRequest, "Toucanwell-Deadline-Ms: %q is no whole number", text)
+			return h, errkind.New(errkind.BadRequest, "Toucanwell-Deadline-Ms: %q is not an integer", text)
 		}
 		h.deadline, h.hasDeadline = time.Duration(ms)*time.Millisecond, true
 	}
 	return h, nil
 }
 
-// classOf returns the class that a caller names, or the workspace's.
+// resolveClass returns the class that the caller states, or else the workspace's class.
 func (h *callHeader) resolveClass() (config.Class, *errkind.Error) {
 	name := h.class
 	if name == "" {
@@ -70,32 +69,33 @@
 	}
 	class, ok := config.ParseClass(name)
 	if !ok {
-		return 0, errkind.New(errkind.BadRequest, `Toucanwell-Class: %q found; allowed are "alert", "interactive" and "batch"`, name)
+		return 0, errkind.New(errkind.BadRequest, `Toucanwell-Class: %q is unknown; use "alert", "interactive" or "batch"`, name)
 	}
 	return class, nil
 }
 
+// resolveDeadline returns the deadline that the caller states, or else the configured default.
 func (h *callHeader) resolveDeadline(arrived time.Time, c *config.Config) (time.Time, *errkind.Error) {
 	if !h.hasDeadline {
 		return arrived.Add(c.Limits.DefaultDeadline.Duration), nil
 	}
 	if h.deadline <= 0 {
-		return time.Time{}, errkind.New(errkind.DeadlinePast, "Toucanwell-Deadline-Ms: %d found; allowed are numbers above 0", h.deadline.Milliseconds())
+		return time.Time{}, errkind.New(errkind.DeadlinePast, "Toucanwell-Deadline-Ms: %d is not above 0", h.deadline.Milliseconds())
 	}
 	return arrived.Add(h.deadline), nil
 }
 
-// onceKey checks the idempotency key of a call that runs at most once, and
-// returns nil for another.
+// onceKey checks and returns the idempotency key of a call that runs at most once. For services
+// that allow repeated runs it returns nil.
 func (h *callHeader) onceKey(service *config.Service, digest uint64, now time.Time, retention time.Duration) (*peerv1.OnceKey, *errkind.Error) {
 	if !service.AtMostOnce {
 		return nil, nil
 	}
 	if h.key == "" {
-		return nil, errkind.New(errkind.KeyMissing, "service %q runs each call at most once", service.Name)
+		return nil, errkind.New(errkind.KeyMissing, "calls of service %q need an idempotency key", service.Name)
 	}
 	if len(h.key) < minKeyLength || len(h.key) > maxKeyLength {
-		return nil, errkind.New(errkind.KeyInvalid, "%d bytes found; allowed are %d to %d", len(h.key), minKeyLength, maxKeyLength)
+		return nil, errkind.New(errkind.KeyInvalid, "the key has %d bytes; it must have %d to %d", len(h.key), minKeyLength, maxKeyLength)
 	}
 	issued := once.IssueTime(h.key, h.issuedMs)
 	if refusal := once.CheckAge(issued, once.Terms{Opaque: service.OpaqueKeys, Lifetime: service.KeyLifetime.Duration}, now, retention); refusal != nil {
@@ -104,7 +104,7 @@
 	return &peerv1.OnceKey{Key: h.key, IssuedUnixMs: issued, Digest: digest}, nil
 }
 
-// newCompletion checks a request for a completion against the configuration.
+// newCompletion validates a completion request against the configuration.
 func (e *Entry) newCompletion(id string, arrived time.Time, h *callHeader, req *oas.CompletionRequest) (*completion, *errkind.Error) {
 	c, _, ok := e.current()
 	if !ok {
@@ -135,7 +135,7 @@
 	return r, nil
 }
 
-// renderParts turns messages into the prompt's parts, each with its role.
+// renderParts renders each message with its role as one part of the prompt.
 func renderParts(messages []oas.Message) []string {
 	parts := make([]string, 0, len(messages))
 	for _, m := range messages {
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -10,138 +10,136 @@
 )
 
 const (
-	// probeTimeout bounds one round of probes. A sidecar that does not answer
-	// within it is frozen, gone or cut off.
+	// probeTimeout bounds a round of probes.
 	probeTimeout = 100 * time.Millisecond
-	// probeGrace is how long a round waits for others after its first answer.
+	// probeGrace is how long a round waits for further responses after the first.
 	probeGrace = 10 * time.Millisecond
-	// zoneDistance is the round trip across availability zones, regionDistance
-	// across regions.
+	// Round-trip times assumed between availability zones and between regions.
 	crossZoneRoundTrip   = 2 * time.Millisecond
 	crossRegionRoundTrip = 30 * time.Millisecond
 	permille             = 1000
 )
 
-// choice is a routing decision with its reason.
+// choice is a routing decision and what it was based on.
 type choice struct {
 	target   routing.Target
 	estimate routing.Estimate
-	// probes sent, and rounds made.
+	// probes counts the probes sent, rounds the rounds they took.
 	probes int
 	rounds int
-	// bestMatched is the most tokens that any asked target held.
+	// maxMatched is the largest number of cached tokens that a probed target reported, matched
+	// that of the chosen target.
 	maxMatched int
 	matched    int
 }
 
-// choose asks targets in widening rounds and picks one. avoid names targets
-// that failed this request already.
-func (e *Entry) choose(ctx context.Context, view *View, r *completion, avoid map[string]bool) (choice, *errkind.Error) {
+// choose probes targets in widening rounds and picks one. excluded names targets that already
+// failed this request.
+func (e *Entry) choose(ctx context.Context, view *View, r *completion, excluded map[string]bool) (choice, *errkind.Error) {
 	targets := view.Services[r.service.Name]
 	ranking := routing.Rank(targets, e.location, r.prompt.Levels)
 	if ranking.Len() == 0 {
 		return choice{}, errkind.After(errkind.NoTarget, suspectDuration, "")
 	}
 	policy := &routing.DefaultPolicy
-	var answers []probeResult
-	var quotes []routing.Estimate
-	asked := 0
-	made := choice{}
-	for _, upTo := range policy.Rounds {
-		fresh := e.probeRound(ctx, r, targets, &ranking, asked, min(upTo, ranking.Len()), avoid)
-		asked = min(upTo, ranking.Len())
-		answers = append(answers, fresh...)
-		for _, a := range fresh {
-			quotes = append(quotes, a.estimate)
+	var results []probeResult
+	var estimates []routing.Estimate
+	probed := 0
+	chosen := choice{}
+	for _, roundEnd := range policy.Rounds {
+		round := e.probeRound(ctx, r, targets, &ranking, probed, min(roundEnd, ranking.Len()), excluded)
+		probed = min(roundEnd, ranking.Len())
+		results = append(results, round...)
+		for _, result := range round {
+			estimates = append(estimates, result.estimate)
 		}
-		made.rounds++
-		if policy.Satisfied(r.class, quotes) || asked == ranking.Len() {
+		chosen.rounds++
+		if policy.Satisfied(r.class, estimates) || probed == ranking.Len() {
 			break
 		}
 	}
-	made.probes = len(quotes)
-	e.metrics.Probes(made.probes)
-	best := policy.Pick(r.class, quotes)
-	if best < 0 && noneResponded(answers) {
-		return chooseUnprobed(targets, &ranking, avoid)
+	chosen.probes = len(estimates)
+	e.metrics.Probes(chosen.probes)
+	best := policy.Pick(r.class, estimates)
+	if best < 0 && noneResponded(results) {
+		return chooseUnprobed(targets, &ranking, excluded)
 	}
 	if best < 0 {
-		return choice{}, combineRefusals(answers)
+		return choice{}, combineRefusals(results)
 	}
-	made.estimate = quotes[best]
-	made.target = targets[quotes[best].Index]
-	made.matched = answers[best].matched
-	for _, a := range answers {
-		made.maxMatched = max(made.maxMatched, a.matched)
+	chosen.estimate = estimates[best]
+	chosen.target = targets[estimates[best].Index]
+	chosen.matched = results[best].matched
+	for _, result := range results {
+		chosen.maxMatched = max(chosen.maxMatched, result.matched)
 	}
-	return made, nil
+	return chosen, nil
 }
 
-// silent reports whether no probe was answered at all.
-func noneResponded(answers []probeResult) bool {
-	for _, a := range answers {
-		if a.refusal.Kind != errkind.NoTarget {
+// noneResponded reports whether all probes went unanswered.
+func noneResponded(results []probeResult) bool {
+	for _, result := range results {
+		if result.refusal.Kind != errkind.NoTarget {
 			return false
 		}
 	}
 	return true
 }
 
-// blind picks the first of the ranking when no probe was answered: datagrams
-// may be lost where connections are not, and the gate decides in any case.
-func chooseUnprobed(targets []routing.Target, ranking *routing.Ranking, avoid map[string]bool) (choice, *errkind.Error) {
+// chooseUnprobed picks the first target of the ranking when no probe was answered. Datagrams
+// may be lost where connections work, and the sidecar still decides on admission.
+func chooseUnprobed(targets []routing.Target, ranking *routing.Ranking, excluded map[string]bool) (choice, *errkind.Error) {
 	for i := range ranking.Len() {
-		if t := targets[ranking.At(i)]; !avoid[t.Name] {
+		if t := targets[ranking.At(i)]; !excluded[t.Name] {
 			return choice{target: t}, nil
 		}
 	}
-	return choice{}, errkind.After(errkind.NoTarget, suspectDuration, "no target is left to try")
+	return choice{}, errkind.After(errkind.NoTarget, suspectDuration, "all targets have been tried")
 }
 
-// answer is what one probe brought.
+// probeResult is the result of one probe.
 type probeResult struct {
 	estimate routing.Estimate
 	matched  int
 	refusal  *errkind.Error
 }
 
-// placed is an answer with its position in the round.
+// indexedResult is a probe result with its position in the round.
 type indexedResult struct {
 	index  int
 	result probeResult
 }
 
-// probeRound asks the targets of one round at once. After the first answer the
-// others have a short time to follow: a dead target, which never answers, would
-// otherwise hold up a request each time it is tried again.
-func (e *Entry) probeRound(ctx context.Context, r *completion, targets []routing.Target, ranking *routing.Ranking, from, to int, avoid map[string]bool) []probeResult {
-	answers := make([]probeResult, 0, to-from)
-	results := make(chan indexedResult, to-from)
+// probeRound probes the targets of one round in parallel. After the first response it waits
+// only briefly for the others, so that unresponsive targets do not delay every request.
+func (e *Entry) probeRound(ctx context.Context, r *completion, targets []routing.Target, ranking *routing.Ranking, from, to int, excluded map[string]bool) []probeResult {
+	results := make([]probeResult, 0, to-from)
+	responses := make(chan indexedResult, to-from)
 	for i := from; i < to; i++ {
 		index := ranking.At(i)
-		if avoid[targets[index].Name] {
+		if excluded[targets[index].Name] {
 			continue
 		}
-		at := len(answers)
-		answers = append(answers, noResponse(&targets[index], index))
-		go func() { results <- indexedResult{at, e.probe(&targets[index], index, newProbe(r))} }()
+		position := len(results)
+		results = append(results, noResponse(&targets[index], index))
+		go func() { responses <- indexedResult{position, e.probe(&targets[index], index, newProbe(r))} }()
 	}
-	collectResults(ctx, answers, results)
-	return answers
+	collectResults(ctx, results, responses)
+	return results
 }
 
-// collect fills in the answers until all are there or the time is over.
-func collectResults(ctx context.Context, answers []probeResult, results <-chan indexedResult) {
-	wait := time.NewTimer(probeTimeout)
-	defer wait.Stop()
-	for n := range answers {
+// collectResults stores the responses until all have arrived or the round times out.
+func collectResults(ctx context.Context, results []probeResult, responses <-chan indexedResult) {
+	timer := time.NewTimer(probeTimeout)
+	defer timer.Stop()
+	for n := range results {
 		select {
-		case p := <-results:
-			answers[p.index] = p.result
+		case p := <-responses:
+			results[p.index] = p.result
 			if n == 0 {
-				wait.Reset(probeGrace)
+				timer.Reset(probeGrace)
 			}
-		case <-wait.C:
+		case <-timer.C:
 			return
 		case <-ctx.Done():
 			return
@@ -149,11 +147,11 @@
 	}
 }
 
-// unanswered stands for a probe that has brought nothing.
+// noResponse returns the result of a probe without a response.
 func noResponse(target *routing.Target, index int) probeResult {
 	return probeResult{
 		estimate: routing.Estimate{Index: index, Refused: true},
-		refusal:  errkind.After(errkind.NoTarget, suspectDuration, "%s does not answer", target.Name),
+		refusal:  errkind.After(errkind.NoTarget, suspectDuration, "%s did not respond to a probe", target.Name),
 	}
 }
 
@@ -168,8 +166,8 @@
 	return m
 }
 
-// probe asks one target. It has its own time, so that one that answers late is
-// told from one that never does.
+// probe probes one target. Its timeout is independent of the round's, so that targets that
+// respond late are not marked as suspect.
 func (e *Entry) probe(target *routing.Target, index int, request *peerv1.ProbeRequest) probeResult {
 	ctx, cancel := detachedContext(probeTimeout)
 	defer cancel()
@@ -178,19 +176,19 @@
 		e.health.record(target.Name, routing.Suspect)
 		return noResponse(target, index)
 	}
-	a := probeResult{estimate: routing.Estimate{Index: index, RoundTrip: e.roundTrip(target)}}
+	result := probeResult{estimate: routing.Estimate{Index: index, RoundTrip: e.roundTrip(target)}}
 	e.follower.Hint(m.ConfigVersion, target.Address)
 	if kind := errkind.Kind(m.RefusalKind); kind != errkind.None {
 		e.noteRefusal(target.Name, kind)
-		a.estimate.Refused = true
-		a.refusal = errkind.After(kind, time.Duration(m.RetryAfterMs)*time.Millisecond, "")
-		return a
-	}
-	a.estimate.Wait = time.Duration(m.WaitMs) * time.Millisecond
-	a.estimate.Prefill = time.Duration(m.PrefillMs) * time.Millisecond
-	a.estimate.Busy = float64(m.BusyPermille) / permille
-	a.matched = int(m.MatchedTokens)
-	return a
+		result.estimate.Refused = true
+		result.refusal = errkind.After(kind, time.Duration(m.RetryAfterMs)*time.Millisecond, "")
+		return result
+	}
+	result.estimate.Wait = time.Duration(m.WaitMs) * time.Millisecond
+	result.estimate.Prefill = time.Duration(m.PrefillMs) * time.Millisecond
+	result.estimate.Busy = float64(m.BusyPermille) / permille
+	result.matched = int(m.MatchedTokens)
+	return result
 }
 
 func (e *Entry) noteRefusal(target string, kind errkind.Kind) {
@@ -210,16 +208,16 @@
 	}
 }
 
-// noneTook turns the refusals of all asked targets into one. Waiting helps
-// when any of them says so; the soonest counts.
-func combineRefusals(answers []probeResult) *errkind.Error {
-	refusal := errkind.After(errkind.NoTarget, suspectDuration, "no target took the request")
-	for _, a := range answers {
-		if a.refusal == nil || a.refusal.RetryAfter == 0 {
+// combineRefusals returns the refusal with the shortest delay to retry after. Refusals by
+// targets take precedence over probes without a response.
+func combineRefusals(results []probeResult) *errkind.Error {
+	refusal := errkind.After(errkind.NoTarget, suspectDuration, "no target accepted the request")
+	for _, result := range results {
+		if result.refusal == nil || result.refusal.RetryAfter == 0 {
 			continue
 		}
-		if a.refusal.Kind != errkind.NoTarget && (refusal.Kind == errkind.NoTarget || a.refusal.RetryAfter < refusal.RetryAfter) {
-			refusal = a.refusal
+		if result.refusal.Kind != errkind.NoTarget && (refusal.Kind == errkind.NoTarget || result.refusal.RetryAfter < refusal.RetryAfter) {
+			refusal = result.refusal
 		}
 	}
 	return refusal
--- a/internal/entry/route_test.go
+++ b/internal/entry/route_test.go
@@ -9,40 +9,40 @@
 	"github.com/toucanwell/toucanwell/internal/errkind"
 )
 
-// Two of four targets are dead and never answer a probe. An alert must not wait
-// for them each time: the round ends shortly after the first answer.
-func TestDeadTargetsDoNotHoldUpARound(t *testing.T) {
+// Targets that never respond to a probe must not delay every request: a round must end shortly
+// after its first response.
+func TestDeadTargetsDoNotDelayProbeRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		results := make(chan indexedResult, 4)
-		answers := make([]probeResult, 4)
-		for i := range answers {
-			answers[i].refusal = errkind.New(errkind.NoTarget, "")
+		responses := make(chan indexedResult, 4)
+		results := make([]probeResult, 4)
+		for i := range results {
+			results[i].refusal = errkind.New(errkind.NoTarget, "")
 		}
 		go func() {
 			time.Sleep(time.Millisecond)
-			results <- indexedResult{2, probeResult{matched: 5}}
+			responses <- indexedResult{2, probeResult{matched: 5}}
 			time.Sleep(time.Millisecond)
-			results <- indexedResult{0, probeResult{matched: 7}}
+			responses <- indexedResult{0, probeResult{matched: 7}}
 		}()
 		start := time.Now()
-		collectResults(context.Background(), answers, results)
+		collectResults(context.Background(), results, responses)
 		if took := time.Since(start); took != probeGrace+time.Millisecond {
 			t.Errorf("the round took %v", took)
 		}
-		if answers[0].matched != 7 || answers[2].matched != 5 || answers[1].refusal == nil || answers[3].refusal == nil {
-			t.Errorf("%+v", answers)
+		if results[0].matched != 7 || results[2].matched != 5 || results[1].refusal == nil || results[3].refusal == nil {
+			t.Errorf("unexpected results: %+v", results)
 		}
 	})
 }
 
-// No target answers: the round ends by its time, and the request goes on
-// without any knowledge.
-func TestSilentRoundEndsByItsTime(t *testing.T) {
+// A round without any response must end at its timeout, and the request is then placed without
+// probe results.
+func TestUnansweredProbeRoundTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		answers := []probeResult{{refusal: errkind.New(errkind.NoTarget, "")}}
+		results := []probeResult{{refusal: errkind.New(errkind.NoTarget, "")}}
 		start := time.Now()
-		collectResults(context.Background(), answers, make(chan indexedResult))
-		if took := time.Since(start); took != probeTimeout || !noneResponded(answers) {
+		collectResults(context.Background(), results, make(chan indexedResult))
+		if took := time.Since(start); took != probeTimeout || !noneResponded(results) {
 			t.Errorf("the round took %v", took)
 		}
 	})
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -22,7 +22,7 @@
 
 const unknownLabel = "unknown"
 
-// CreateCompletion implements oas.Handler: the whole answer at once.
+// CreateCompletion implements oas.Handler. It returns the whole completion at once.
 func (a *callerAPI) CreateCompletion(ctx context.Context, req *oas.CompletionRequest, params oas.CreateCompletionParams) (*oas.Completion, error) {
 	arrived := time.Now()
 	h := headerFromParams(workspaceOf(ctx), params.IdempotencyKey, params.IdempotencyKeyIssued, params.ToucanwellClass, params.ToucanwellDeadlineMs)
@@ -50,7 +50,7 @@
 	return oas.Usage{PromptTokens: int(end.PromptTokens), CachedTokens: int(end.CachedTokens), CompletionTokens: int(end.CompletionTokens)}
 }
 
-// completeCounted answers a request and counts what became of it.
+// completeWithMetrics runs a request, and counts and logs its outcome.
 func (e *Entry) completeWithMetrics(ctx context.Context, r *completion, out sink) (*progress, *errkind.Error) {
 	class := r.class.String()
 	e.metrics.Request(r.service.Name, class)
@@ -73,9 +73,9 @@
 	return p, nil
 }
 
-// countObjective counts a request as good when its first token came in time;
-// first below zero means that none came.
-func (e *Entry) recordObjective(service string, class config.Class, workspace string, first time.Duration) {
+// recordObjective counts whether a request met its objective for the time to first token; for
+// plain calls this is the total time. A negative time means that the request failed.
+func (e *Entry) recordObjective(service string, class config.Class, workspace string, timeToFirstToken time.Duration) {
 	c, _, ok := e.current()
 	if !ok {
 		return
@@ -84,12 +84,11 @@
 	if o == nil {
 		return
 	}
-	good := first >= 0 && first <= o.TTFT.Duration
-	e.burn.Add(burn.Key{Service: service, Class: class.String(), Workspace: workspace}, good)
+	met := timeToFirstToken >= 0 && timeToFirstToken <= o.TTFT.Duration
+	e.burn.Add(burn.Key{Service: service, Class: class.String(), Workspace: workspace}, met)
 }
 
-// serveStream answers a completion as server-sent events. The generated server
-// cannot send these.
+// serveStream responds to a completion request with server-sent events.
 func (e *Entry) serveStream(w http.ResponseWriter, r *http.Request, body []byte) {
 	arrived := time.Now()
 	id := requestID(r.Context())
@@ -134,9 +133,9 @@
 	return e.newCompletion(id, arrived, &h, req)
 }
 
-// eventWriter writes an answer as events in the shape that callers of model
-// services know: a delta for each piece, a last one with the finish reason and
-// the usage, then [DONE]. A stream without [DONE] is not whole.
+// eventWriter writes a completion as server-sent events in the format of chat completion APIs:
+// a delta for each frame, the last one with the finish reason and the usage, then [DONE]. A
+// stream without [DONE] is incomplete.
 type eventWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
@@ -203,10 +202,10 @@
 
 func (ew *eventWriter) done() { _ = ew.write([]byte("[DONE]")) }
 
-// fail ends a stream that has begun with an error event and without [DONE].
+// fail ends a started stream with an error event and without [DONE].
 func (ew *eventWriter) fail(e *errkind.Error) { _ = ew.write(encodeProblem(ew.id, e)) }
 
-// CallService implements oas.Handler: one call of a plain service.
+// CallService implements oas.Handler. It calls a plain service.
 func (a *callerAPI) CallService(ctx context.Context, req oas.CallServiceReq, params oas.CallServiceParams) (oas.CallServiceRes, error) {
 	arrived := time.Now()
 	h := headerFromParams(workspaceOf(ctx), params.IdempotencyKey, params.IdempotencyKeyIssued, params.ToucanwellClass, params.ToucanwellDeadlineMs)
@@ -234,14 +233,14 @@
 	a.metrics.FirstToken(call.service.Name, class, took)
 	a.logger.Info("call_done", "request_id", call.request.RequestId, "workspace", h.workspace.Name, "service", call.service.Name,
 		"class", class, "status", resp.Status, "replayed", resp.Replayed, "took", took)
-	answer := &oas.ServiceAnswerStatusCodeWithHeaders{StatusCode: int(resp.Status), Response: oas.ServiceAnswer{Data: bytes.NewReader(resp.Body)}}
+	response := &oas.ServiceAnswerStatusCodeWithHeaders{StatusCode: int(resp.Status), Response: oas.ServiceAnswer{Data: bytes.NewReader(resp.Body)}}
 	if resp.Replayed {
-		answer.ToucanwellReplayed = oas.NewOptBool(true)
+		response.ToucanwellReplayed = oas.NewOptBool(true)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// plainCall is one checked call of a plain service.
+// plainCall is a validated call of a plain service.
 type plainCall struct {
 	service  *config.Service
 	class    config.Class
@@ -256,10 +255,10 @@
 	}
 	service := c.Service(name)
 	if service == nil || service.Kind != config.KindPlain {
-		return nil, errkind.New(errkind.UnknownService, "%q is no plain service of the configuration", name)
+		return nil, errkind.New(errkind.UnknownService, "%q is not a plain service", name)
 	}
 	if !strings.HasPrefix(path, "/") {
-		return nil, errkind.New(errkind.BadRequest, "path: %q found; it must begin with /", path)
+		return nil, errkind.New(errkind.BadRequest, "path %q must begin with /", path)
 	}
 	call := &plainCall{service: service}
 	var refusal *errkind.Error
@@ -281,18 +280,18 @@
 	return call, nil
 }
 
-// callAnywhere tries targets in turn. A call that runs at most once goes by its
-// key, others by the request's id, so that they spread.
+// callWithRetries tries targets one after another. At-most-once calls are placed by their key,
+// all others by their request ID, which spreads the load.
 func (e *Entry) callWithRetries(ctx context.Context, call *plainCall) (*peerv1.CallResponse, *errkind.Error) {
 	_, view, _ := e.current()
 	e.budget.Earn(view.Config.Limits.RetryShare)
-	avoid := map[string]bool{}
+	excluded := map[string]bool{}
 	last := errkind.After(errkind.NoTarget, suspectDuration, "")
-	for try := 0; try < maxAttempts; try++ {
-		if try > 0 && !e.mayRetry(ctx, false, last) {
+	for attempt := 0; attempt < maxAttempts; attempt++ {
+		if attempt > 0 && !e.mayRetry(ctx, false, last) {
 			break
 		}
-		target, ok := e.pickTarget(&view, call, avoid)
+		target, ok := e.pickTarget(&view, call, excluded)
 		if !ok {
 			break
 		}
@@ -304,7 +303,7 @@
 		if !refusal.Kind.Row().Elsewhere {
 			break
 		}
-		avoid[target.Name] = true
+		excluded[target.Name] = true
 		e.metrics.Retry(refusal.Kind.String())
 	}
 	if call.request.Once != nil {
@@ -313,14 +312,14 @@
 	return nil, last
 }
 
-func (e *Entry) pickTarget(view *View, call *plainCall, avoid map[string]bool) (routing.Target, bool) {
+func (e *Entry) pickTarget(view *View, call *plainCall, excluded map[string]bool) (routing.Target, bool) {
 	targets := view.Services[call.service.Name]
 	if call.request.Once != nil {
-		return pickByKey(targets, call.request.Workspace, call.service.Name, call.request.Once.Key, avoid)
+		return pickByKey(targets, call.request.Workspace, call.service.Name, call.request.Once.Key, excluded)
 	}
 	ranking := routing.Rank(targets, e.location, []uint64{xxhash.Sum64String(call.request.RequestId)})
 	for i := range ranking.Len() {
-		if t := targets[ranking.At(i)]; !avoid[t.Name] {
+		if t := targets[ranking.At(i)]; !excluded[t.Name] {
 			return t, true
 		}
 	}
@@ -331,7 +330,7 @@
 	call.request.BudgetMs = budgetMs(call.deadline, 1)
 	resp, err := e.client(target.Address).Call(ctx, connect.NewRequest(call.request))
 	if ctx.Err() != nil {
-		return nil, errkind.New(errkind.Cancelled, "the caller has gone")
+		return nil, errkind.New(errkind.Cancelled, "the caller disconnected")
 	}
 	if err != nil {
 		e.health.record(target.Name, routing.Suspect)
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -15,20 +15,19 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// fakeStream yields frames and then ends, cleanly or not.
+// fakeStream yields its frames and then fails.
 type fakeStream struct {
-	frames []*peerv1.Frame
-	at     int
+	frames   []*peerv1.Frame
+	received int
 }
 
-func (s *fakeStream) Receive() bool      { s.at++; return s.at <= len(s.frames) }
-func (s *fakeStream) Msg() *peerv1.Frame { return s.frames[s.at-1] }
+func (s *fakeStream) Receive() bool      { s.received++; return s.received <= len(s.frames) }
+func (s *fakeStream) Msg() *peerv1.Frame { return s.frames[s.received-1] }
 func (s *fakeStream) Err() error         { return io.ErrUnexpectedEOF }
 func (s *fakeStream) Close() error       { return nil }
 
-// Connections break, repeat frames, skip some and cross them. The reader gets
-// the frames from the first on, each once and in order, and the answer counts
-// as whole only with its last frame.
+// Broken connections and repeated, skipped or reordered frames must not lose, repeat or reorder
+// what the caller receives. A response is complete only with its last frame.
 func TestReaderGetsEachFrameOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const last = 8
@@ -49,43 +48,43 @@
 				got.WriteString(f.Text)
 				return nil
 			})
-			if whole := refusal == nil && !cut; whole != (p.end != nil) {
-				rt.Fatalf("whole %v, but the last frame came: %v", whole, p.end != nil)
+			if complete := refusal == nil && !cut; complete != (p.end != nil) {
+				rt.Fatalf("complete %v, but last frame received %v", complete, p.end != nil)
 			}
 			if p.end != nil {
 				break
 			}
 		}
 		if want := "12345678"[:p.nextSeq-1]; got.String() != want {
-			rt.Fatalf("the reader got %q, want %q", got.String(), want)
+			rt.Fatalf("got %q, want %q", got.String(), want)
 		}
 	})
 }
 
-// Every refusal of a call that may not be repeated, other than those that the
-// record of claims gives, leaves its outcome unknown.
-func TestOnlyTheRecordOfClaimsSaysNotRun(t *testing.T) {
+// For at-most-once calls, every refusal that was not decided by recorded claims must leave the
+// outcome unknown.
+func TestOnlyClaimOutcomesReachTheCaller(t *testing.T) {
 	for _, kind := range errkind.All() {
 		got := onceRefusal(errkind.New(kind, "")).Kind
 		switch kind {
 		case errkind.NotRun, errkind.OutcomeUnknown, errkind.InProgress, errkind.KeyConflict, errkind.KeyExpired, errkind.KeyInvalid:
 			if got != kind {
-				t.Errorf("%v became %v", kind, got)
+				t.Errorf("%v was turned into %v", kind, got)
 			}
 		default:
 			if got != errkind.OutcomeUnknown {
-				t.Errorf("%v became %v", kind, got)
+				t.Errorf("%v was turned into %v", kind, got)
 			}
 		}
 	}
 }
 
-// A sidecar loses a run, and no other target may be tried. The caller reads of
-// a failed target, not of a word between processes.
-func TestLostRunReadsAsFailedTarget(t *testing.T) {
+// A run that its sidecar lost must be reported as a failed target: the kind UnknownRun is
+// internal.
+func TestLostRunIsReportedAsFailedTarget(t *testing.T) {
 	e := &Entry{}
 	got := e.finalRefusal(&completion{}, &progress{nextSeq: 1}, errkind.New(errkind.UnknownRun, ""))
 	if got.Kind != errkind.TargetFailed {
-		t.Errorf("got %v", got.Kind)
+		t.Errorf("got kind %v", got.Kind)
 	}
 }
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -10,15 +10,15 @@
 	"github.com/toucanwell/toucanwell/internal/routing"
 )
 
-// View is what traffic routes by: the targets of each service with their
-// states, built from the configuration, the host list and failures seen.
+// View holds the targets of each service and their states, built from the configuration, the
+// host list and the failures that the entry observed. Requests are routed by it.
 type View struct {
 	Version  uint64
 	Config   *config.Config
 	Services map[string][]routing.Target
 }
 
-// buildView posts a new view. It runs on the control thread.
+// buildView posts a new view. It runs on the control loop.
 func (e *Entry) buildView() {
 	s, ok := e.board.Config.Get()
 	if !ok {
@@ -28,7 +28,7 @@
 	e.board.View.Post(newView(s.Version, s.Config, hosts, e.health.states()), time.Now())
 }
 
-func newView(version uint64, c *config.Config, hosts []external.Host, seen map[string]routing.State) View {
+func newView(version uint64, c *config.Config, hosts []external.Host, observed map[string]routing.State) View {
 	listed := make(map[string]routing.State, len(hosts))
 	for _, h := range hosts {
 		if h.State == external.HostLeaving {
@@ -41,7 +41,7 @@
 		targets := make([]routing.Target, 0, len(service.Targets))
 		for _, t := range service.Targets {
 			target := routing.NewTarget(service.Name, t.Name, t.Address, t.AvailabilityZone, c.RegionOf(t.AvailabilityZone))
-			target.State = max(listed[t.Name], seen[t.Name])
+			target.State = max(listed[t.Name], observed[t.Name])
 			if listed[t.Name] == routing.Leaving {
 				target.State = routing.Leaving
 			}
@@ -52,35 +52,35 @@
 	return view
 }
 
-// withDeparted returns the list of hosts with those that were leaving before and are not
-// listed any more: a host that has left the list may serve on, and takes no new work until it
-// is listed as live. Those of which no target is named are dropped.
-func keepDeparted(before, listed []external.Host, named func(string) bool) []external.Host {
+// keepDeparted returns the host list with the previously leaving hosts that are no longer
+// listed. Such a host may still serve, and gets no new work until it is listed as live. Hosts
+// that are no longer targets are dropped.
+func keepDeparted(previous, listed []external.Host, isTarget func(string) bool) []external.Host {
 	present := make(map[string]bool, len(listed))
 	for _, h := range listed {
 		present[h.Name] = true
 	}
-	all := slices.Clone(listed)
-	for _, h := range before {
-		if h.State == external.HostLeaving && !present[h.Name] && named(h.Name) {
-			all = append(all, h)
+	merged := slices.Clone(listed)
+	for _, h := range previous {
+		if h.State == external.HostLeaving && !present[h.Name] && isTarget(h.Name) {
+			merged = append(merged, h)
 		}
 	}
-	return all
+	return merged
 }
 
 const (
-	// suspectFor is how long a target that could not be reached is asked last.
+	// suspectDuration is how long a target that could not be reached is used only as a last
+	// resort.
 	suspectDuration = 2 * time.Second
-	// leavingFor is how long a target that said that it is leaving is passed
-	// over. The platform's list takes over meanwhile; without it the target is
-	// asked again, and says again what it is.
+	// leavingDuration is how long a target that refused a request as leaving gets no new work.
+	// By then the host list usually shows its state; if not, the target refuses again.
 	leavingDuration = 5 * time.Second
 )
 
-// health is what an entry's own calls tell of targets. The platform's list
-// lags: a target that dies or leaves shows here first, as a failed dial or as
-// its sidecar's refusal. It is safe for concurrent use.
+// targetHealth holds the target states that the entry observed through its own calls: failed
+// connections and refusals. They show failures before the host list does. It is safe for
+// concurrent use.
 type targetHealth struct {
 	mu           sync.Mutex
 	now          func() time.Time
@@ -96,18 +96,18 @@
 	return &targetHealth{now: now, observations: map[string]observation{}}
 }
 
-// note marks a target for a time.
+// record stores the observed state of a target until it expires.
 func (h *targetHealth) record(target string, state routing.State) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	d := suspectDuration
+	duration := suspectDuration
 	if state == routing.Leaving {
-		d = leavingDuration
+		duration = leavingDuration
 	}
-	h.observations[target] = observation{state, h.now().Add(d)}
+	h.observations[target] = observation{state, h.now().Add(duration)}
 }
 
-// states returns the marks in force and drops the others.
+// states returns the unexpired states and deletes the expired ones.
 func (h *targetHealth) states() map[string]routing.State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/entry/view_test.go
+++ b/internal/entry/view_test.go
@@ -7,24 +7,23 @@
 	"github.com/toucanwell/toucanwell/internal/external"
 )
 
-// Guards against new work at a host that was listed as leaving and has gone from the list
-// while it serves on.
-func TestHostThatLeftTheListStaysLeaving(t *testing.T) {
+// A leaving host that is no longer listed but still serves must not get new work.
+func TestDepartedHostStaysLeaving(t *testing.T) {
 	live := external.Host{Name: "a", State: external.HostLive}
 	leaving := external.Host{Name: "b", State: external.HostLeaving}
 	returned := external.Host{Name: "b", State: external.HostLive}
-	named := func(string) bool { return true }
-	hosts := keepDeparted(nil, []external.Host{live, leaving}, named)
+	isTarget := func(string) bool { return true }
+	hosts := keepDeparted(nil, []external.Host{live, leaving}, isTarget)
 	for range 3 {
-		hosts = keepDeparted(hosts, []external.Host{live}, named)
+		hosts = keepDeparted(hosts, []external.Host{live}, isTarget)
 	}
 	if !slices.Equal(hosts, []external.Host{live, leaving}) {
-		t.Errorf("after it has gone: %v", hosts)
+		t.Errorf("after the host has left the list: %v", hosts)
 	}
-	if again := keepDeparted(hosts, []external.Host{live, returned}, named); !slices.Equal(again, []external.Host{live, returned}) {
-		t.Errorf("listed as live again: %v", again)
+	if returnedHosts := keepDeparted(hosts, []external.Host{live, returned}, isTarget); !slices.Equal(returnedHosts, []external.Host{live, returned}) {
+		t.Errorf("the host is live again: %v", returnedHosts)
 	}
-	if left := keepDeparted(hosts, []external.Host{live}, func(string) bool { return false }); !slices.Equal(left, []external.Host{live}) {
-		t.Errorf("no target is named: %v", left)
+	if removed := keepDeparted(hosts, []external.Host{live}, func(string) bool { return false }); !slices.Equal(removed, []external.Host{live}) {
+		t.Errorf("the host is no longer a target: %v", removed)
 	}
 }
