--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,15 +1,13 @@
-// Package admission decides when a target works on a request: at once, after
-// others, or not at all.
+// Package admission decides whether a request starts at a target at once, waits or is refused.
 //
-// A [Queue] stands at a sidecar, before its target. Classes go in order of
-// priority, but a class that waits is credited a small part of what higher
-// classes are served, so that it is never starved. Within a class, workspaces
-// share by weight through start-time fair queueing. A request whose deadline
-// the queue cannot meet is refused when it comes, with a lower bound of when
-// to come back, because a refusal now leaves the caller time to act and a
-// timeout later does not.
+// Each sidecar has a [Queue] in front of its target. Classes are served in order of priority; a
+// waiting lower class accumulates credit as higher classes are served, so that it does not
+// starve. Within a class, workspaces share the target by weight through start-time fair
+// queueing. A request whose deadline cannot be met is refused on arrival, so that its caller
+// can still act.
 //
-// The queue is pure: the caller gives the time and acts on what is returned.
+// The queue has no clock, goroutines or I/O: callers pass the time and act on the returned
+// outcomes.
 package admission
 
 import (
@@ -22,44 +20,44 @@
 
 // Limits are the bounds of a queue.
 type Limits struct {
-	// MaxRunning is how many requests the target works on at once.
+	// MaxRunning is the number of requests that may run at the target at once.
 	MaxRunning int
-	// MaxPrefilling is how many of them may await their first token.
+	// MaxPrefilling is the number of running requests that may await their first token.
 	MaxPrefilling int
-	// MaxQueued is how many requests may wait.
+	// MaxQueued is the number of requests that may wait.
 	MaxQueued int
 }
 
 const (
-	// lowerClassShare is the part of what a higher class is served that a
-	// waiting lower class is credited.
+	// lowerClassShare is the share of the cost served to a higher class that each waiting lower
+	// class is credited with.
 	lowerClassShare = 0.1
-	// holdSmoothing is the weight of the newest hold time in the average.
+	// serviceTimeSmoothing is the weight of the newest sample in the average service time.
 	serviceTimeSmoothing = 0.1
-	// retrySpread is how far the times to come back are spread, as a part of
-	// the time itself, so that refused callers do not return together.
+	// retryJitter is the maximum jitter added to a retry delay, as a share of the delay, so
+	// that refused callers do not retry all at once.
 	retryJitter   = 0.5
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// Request asks for admission. Times are since a start that the caller chose.
+// Request asks for admission. Times are relative to an origin that the caller chooses.
 type Request struct {
 	// ID is unique among the requests of the queue.
 	ID uint64
-	// Workspace is the hash of its name.
+	// Workspace is the hash of the workspace's name.
 	Workspace uint32
-	// Weight of the workspace.
+	// Weight is the workspace's weight in fair queueing; values of 0 or less count as 1.
 	Weight float64
 	Class  config.Class
 	// Prefill is the time to compute the tokens that are not cached.
 	Prefill time.Duration
-	// Cost is the request's whole use of the target, for fairness.
+	// Cost is the total use of the target, for fair queueing.
 	Cost time.Duration
-	// Deadline is when the first token must be there.
+	// Deadline is when the first token is due.
 	Deadline time.Duration
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict int
 
 // The verdicts.
@@ -69,7 +67,7 @@
 	Refuse
 )
 
-// Outcome is the answer to one request.
+// Outcome is a request with its verdict.
 type Outcome struct {
 	ID      uint64
 	Verdict Verdict
@@ -89,18 +87,17 @@
 	prefilling bool
 }
 
-// Queue is the admission queue of one target. It is used by one goroutine at a
-// time.
+// Queue is the admission queue of one target. It is not safe for concurrent use.
 type Queue struct {
-	limits      Limits
-	queued      [config.Classes][]queuedRequest
-	credit      [config.Classes]float64
-	virtualTime [config.Classes]float64
-	finishTags  [config.Classes]map[uint32]float64
-	running     map[uint64]*runningRequest
-	prefilling  int
-	arrivals    uint64
-	serviceTime time.Duration
+	limits       Limits
+	queued       [config.Classes][]queuedRequest
+	credit       [config.Classes]float64
+	virtualTime  [config.Classes]float64
+	finishTags   [config.Classes]map[uint32]float64
+	running      map[uint64]*runningRequest
+	prefillCount int
+	arrivals     uint64
+	serviceTime  time.Duration
 }
 
 // NewQueue returns an empty queue.
@@ -112,46 +109,46 @@
 	return q
 }
 
-// Offer asks for admission. The outcomes speak of the request itself and of a
-// waiting one that had to give way to it.
+// Offer asks for admission of a request. Besides the request's own outcome, it returns the
+// outcomes of waiting requests that were shed or started.
 func (q *Queue) Offer(now time.Duration, r Request) []Outcome {
-	it := q.tag(r)
+	req := q.tag(r)
 	if r.Deadline <= now {
 		refusal := errkind.After(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, r.ID), "the deadline has passed")
 		return []Outcome{{ID: r.ID, Verdict: Refuse, Refusal: refusal}}
 	}
-	// A free target is tried whatever the estimate says: a wrong one would
-	// otherwise refuse the very requests that would mend it.
+	// A target with free capacity gets the request whatever the estimate: a wrong one is corrected
+	// only by requests that run.
 	if q.canStart() && q.empty() {
-		q.advanceFinishTag(it)
-		q.start(now, it)
+		q.advanceFinishTag(req)
+		q.start(now, req)
 		return []Outcome{{ID: r.ID, Verdict: Start}}
 	}
-	if refusal := q.checkDeadline(now, it); refusal != nil {
+	if refusal := q.checkDeadline(now, req); refusal != nil {
 		return []Outcome{{ID: r.ID, Verdict: Refuse, Refusal: refusal}}
 	}
-	outcomes := q.shedIfFull(now, it)
+	outcomes := q.shedIfFull(now, req)
 	if len(outcomes) == 1 && outcomes[0].ID == r.ID {
 		return outcomes
 	}
-	q.advanceFinishTag(it)
-	q.insert(it)
+	q.advanceFinishTag(req)
+	q.insert(req)
 	outcomes = append(outcomes, Outcome{ID: r.ID, Verdict: Wait})
 	return append(outcomes, q.startQueued(now)...)
 }
 
-// FirstToken tells that a request's first token is there.
+// FirstToken records that a running request has produced its first token.
 func (q *Queue) FirstToken(now time.Duration, id uint64) []Outcome {
 	a, ok := q.running[id]
 	if !ok || !a.prefilling {
 		return nil
 	}
 	a.prefilling = false
-	q.prefilling--
+	q.prefillCount--
 	return q.startQueued(now)
 }
 
-// Finish tells that a running request has ended in any way.
+// Finish records that a running request has ended, for whatever reason.
 func (q *Queue) Finish(now time.Duration, id uint64) []Outcome {
 	a, ok := q.running[id]
 	if !ok {
@@ -159,18 +156,17 @@
 	}
 	delete(q.running, id)
 	if a.prefilling {
-		q.prefilling--
+		q.prefillCount--
 	}
 	q.observeServiceTime(now - a.startedAt)
 	return q.startQueued(now)
 }
 
-// Abandon takes out a waiting request whose caller has gone. It reports
-// whether the request was waiting.
+// Cancel removes a waiting request, and reports whether it was waiting.
 func (q *Queue) Cancel(id uint64) bool {
 	for c := range q.queued {
-		for i, it := range q.queued[c] {
-			if it.ID == id {
+		for i, req := range q.queued[c] {
+			if req.ID == id {
 				q.queued[c] = slices.Delete(q.queued[c], i, i+1)
 				return true
 			}
@@ -179,23 +175,23 @@
 	return false
 }
 
-// Expire refuses the waiting requests whose deadline can no longer be met.
+// Expire refuses the waiting requests that can no longer meet their deadline.
 func (q *Queue) Expire(now time.Duration) []Outcome {
 	var outcomes []Outcome
 	for c := range q.queued {
-		q.queued[c] = slices.DeleteFunc(q.queued[c], func(it queuedRequest) bool {
-			if now+it.Prefill <= it.Deadline {
+		q.queued[c] = slices.DeleteFunc(q.queued[c], func(req queuedRequest) bool {
+			if now+req.Prefill <= req.Deadline {
 				return false
 			}
-			refusal := errkind.After(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, it.ID), "waited in vain")
-			outcomes = append(outcomes, Outcome{ID: it.ID, Verdict: Refuse, Refusal: refusal})
+			refusal := errkind.After(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, req.ID), "the deadline can no longer be met")
+			outcomes = append(outcomes, Outcome{ID: req.ID, Verdict: Refuse, Refusal: refusal})
 			return true
 		})
 	}
 	return outcomes
 }
 
-// Waiting is the number of waiting requests.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int {
 	n := 0
 	for c := range q.queued {
@@ -204,33 +200,32 @@
 	return n
 }
 
-// Running is the number of running requests.
+// Running returns the number of running requests.
 func (q *Queue) Running() int { return len(q.running) }
 
-// Prefilling is the number of running requests that await their first token.
-func (q *Queue) Prefilling() int { return q.prefilling }
+// Prefilling returns the number of running requests that await their first token.
+func (q *Queue) Prefilling() int { return q.prefillCount }
 
-// EstimateWait is the time until a new request of a workspace and class would
-// reach the target.
+// EstimateWait returns how long a new request of a workspace and class would wait in the queue.
 func (q *Queue) EstimateWait(now time.Duration, workspace uint32, class config.Class) time.Duration {
-	it := q.tag(Request{Workspace: workspace, Class: class, Weight: 1})
-	return q.expectedWait(now, it)
+	req := q.tag(Request{Workspace: workspace, Class: class, Weight: 1})
+	return q.expectedWait(now, req)
 }
 
-// tag computes a request's place in its class.
+// tag returns the request with its start tag for fair queueing.
 func (q *Queue) tag(r Request) queuedRequest {
-	start := max(q.virtualTime[r.Class], q.finishTags[r.Class][r.Workspace])
-	return queuedRequest{Request: r, startTag: start, arrival: q.arrivals}
+	startTag := max(q.virtualTime[r.Class], q.finishTags[r.Class][r.Workspace])
+	return queuedRequest{Request: r, startTag: startTag, arrival: q.arrivals}
 }
 
-// commit makes the place count for later requests of the workspace.
-func (q *Queue) advanceFinishTag(it queuedRequest) {
-	weight := it.Weight
+// advanceFinishTag advances the workspace's finish tag by the cost of an accepted request.
+func (q *Queue) advanceFinishTag(req queuedRequest) {
+	weight := req.Weight
 	if weight <= 0 {
 		weight = 1
 	}
 	q.arrivals++
-	q.finishTags[it.Class][it.Workspace] = it.startTag + it.Cost.Seconds()/weight
+	q.finishTags[req.Class][req.Workspace] = req.startTag + req.Cost.Seconds()/weight
 }
 
 func goesBefore(a, b queuedRequest) bool {
@@ -243,30 +238,30 @@
 	return a.arrival < b.arrival
 }
 
-func (q *Queue) insert(it queuedRequest) {
-	line := q.queued[it.Class]
-	at := len(line)
-	for at > 0 && goesBefore(it, line[at-1]) {
-		at--
+func (q *Queue) insert(req queuedRequest) {
+	waiting := q.queued[req.Class]
+	position := len(waiting)
+	for position > 0 && goesBefore(req, waiting[position-1]) {
+		position--
 	}
-	q.queued[it.Class] = slices.Insert(line, at, it)
+	q.queued[req.Class] = slices.Insert(waiting, position, req)
 }
 
 func (q *Queue) empty() bool { return q.Waiting() == 0 }
 
 func (q *Queue) canStart() bool {
-	return len(q.running) < q.limits.MaxRunning && q.prefilling < q.limits.MaxPrefilling
+	return len(q.running) < q.limits.MaxRunning && q.prefillCount < q.limits.MaxPrefilling
 }
 
-func (q *Queue) start(now time.Duration, it queuedRequest) {
-	q.running[it.ID] = &runningRequest{Request: it.Request, startedAt: now, prefilling: true}
-	q.prefilling++
-	q.virtualTime[it.Class] = max(q.virtualTime[it.Class], it.startTag)
-	q.prune(it.Class)
+func (q *Queue) start(now time.Duration, req queuedRequest) {
+	q.running[req.ID] = &runningRequest{Request: req.Request, startedAt: now, prefilling: true}
+	q.prefillCount++
+	q.virtualTime[req.Class] = max(q.virtualTime[req.Class], req.startTag)
+	q.prune(req.Class)
 }
 
-// prune forgets the finish tags that the virtual time has passed; they bound
-// nothing any more.
+// prune deletes the finish tags that the virtual time has passed, which no longer have an
+// effect.
 func (q *Queue) prune(class config.Class) {
 	const pruneAbove = 64
 	if len(q.finishTags[class]) < pruneAbove {
@@ -279,7 +274,7 @@
 	}
 }
 
-// fill starts waiting requests while there is room.
+// startQueued starts waiting requests while the limits allow it.
 func (q *Queue) startQueued(now time.Duration) []Outcome {
 	var outcomes []Outcome
 	for q.canStart() {
@@ -287,17 +282,17 @@
 		if !ok {
 			return outcomes
 		}
-		it := q.queued[class][0]
+		req := q.queued[class][0]
 		q.queued[class] = slices.Delete(q.queued[class], 0, 1)
-		q.updateCredit(class, it.Cost.Seconds())
-		q.start(now, it)
-		outcomes = append(outcomes, Outcome{ID: it.ID, Verdict: Start})
+		q.updateCredit(class, req.Cost.Seconds())
+		q.start(now, req)
+		outcomes = append(outcomes, Outcome{ID: req.ID, Verdict: Start})
 	}
 	return outcomes
 }
 
-// nextClass picks the highest class that waits, or a lower one whose credit
-// pays for its next request.
+// nextClass returns the highest waiting class, or a lower one whose credit covers its next
+// request.
 func (q *Queue) nextClass() (config.Class, bool) {
 	highest := -1
 	for c := range q.queued {
@@ -315,8 +310,7 @@
 	return config.Class(max(highest, 0)), highest >= 0
 }
 
-// settleCredit pays a lower class's turn from its credit and credits the
-// classes that wait below the one served.
+// updateCredit deducts the cost from the served class and credits the waiting classes below it.
 func (q *Queue) updateCredit(served config.Class, cost float64) {
 	q.credit[served] = max(q.credit[served]-cost, 0)
 	for c := int(served) + 1; c < config.Classes; c++ {
@@ -328,40 +322,41 @@
 	}
 }
 
-func (q *Queue) observeServiceTime(hold time.Duration) {
+func (q *Queue) observeServiceTime(sample time.Duration) {
 	if q.serviceTime == 0 {
-		q.serviceTime = hold
+		q.serviceTime = sample
 		return
 	}
-	q.serviceTime += time.Duration(serviceTimeSmoothing * float64(hold-q.serviceTime))
+	q.serviceTime += time.Duration(serviceTimeSmoothing * float64(sample-q.serviceTime))
 }
 
-// waitOf estimates when an item would start: after the prefills under way,
-// those of the items that go before it, and a free place in the batch.
-func (q *Queue) expectedWait(now time.Duration, it queuedRequest) time.Duration {
+// expectedWait estimates when a request would start: after the prefills in progress and those
+// queued ahead of it, and once the target has a free slot.
+func (q *Queue) expectedWait(now time.Duration, req queuedRequest) time.Duration {
 	if q.canStart() && q.empty() {
 		return 0
 	}
-	ahead, count := q.prefillAhead(it)
+	ahead, count := q.prefillAhead(req)
 	prefill := q.remainingPrefill(now) + ahead
-	short := count + 1 - (q.limits.MaxRunning - len(q.running))
-	if short <= 0 {
+	excess := count + 1 - (q.limits.MaxRunning - len(q.running))
+	if excess <= 0 {
 		return prefill
 	}
-	slots := q.serviceTime * time.Duration(short) / time.Duration(q.limits.MaxRunning)
-	return max(prefill, slots)
+	slotWait := q.serviceTime * time.Duration(excess) / time.Duration(q.limits.MaxRunning)
+	return max(prefill, slotWait)
 }
 
-// ahead sums the prefills of waiting requests that go before an item.
-func (q *Queue) prefillAhead(it queuedRequest) (prefill time.Duration, count int) {
-	for c := 0; c < int(it.Class); c++ {
+// prefillAhead returns the total prefill time and the number of the requests queued ahead of a
+// request.
+func (q *Queue) prefillAhead(req queuedRequest) (prefill time.Duration, count int) {
+	for c := 0; c < int(req.Class); c++ {
 		for _, other := range q.queued[c] {
 			prefill += other.Prefill
 			count++
 		}
 	}
-	for _, other := range q.queued[it.Class] {
-		if goesBefore(it, other) {
+	for _, other := range q.queued[req.Class] {
+		if goesBefore(req, other) {
 			break
 		}
 		prefill += other.Prefill
@@ -380,44 +375,44 @@
 	return sum
 }
 
-func (q *Queue) checkDeadline(now time.Duration, it queuedRequest) *errkind.Error {
-	expected := now + q.expectedWait(now, it) + it.Prefill
-	if expected <= it.Deadline {
+func (q *Queue) checkDeadline(now time.Duration, req queuedRequest) *errkind.Error {
+	expected := now + q.expectedWait(now, req) + req.Prefill
+	if expected <= req.Deadline {
 		return nil
 	}
-	late := max(expected-it.Deadline, minRetryAfter)
-	return errkind.After(errkind.DeadlineUnmeetable, q.withJitter(late, it.ID),
+	late := max(expected-req.Deadline, minRetryAfter)
+	return errkind.After(errkind.DeadlineUnmeetable, q.withJitter(late, req.ID),
 		"the first token would come %v after the deadline", late.Round(time.Millisecond))
 }
 
-// makeRoom refuses the last in line when the queue is full, be it the new
-// request or a waiting one that goes after it.
-func (q *Queue) shedIfFull(now time.Duration, it queuedRequest) []Outcome {
+// shedIfFull refuses the last request in order if the queue is full: either the new request or
+// a waiting one that it precedes.
+func (q *Queue) shedIfFull(now time.Duration, req queuedRequest) []Outcome {
 	if q.Waiting() < q.limits.MaxQueued {
 		return nil
 	}
-	victim := it
+	victim := req
 	for c := range q.queued {
-		line := q.queued[c]
-		if len(line) == 0 || c < int(victim.Class) {
+		waiting := q.queued[c]
+		if len(waiting) == 0 || c < int(victim.Class) {
 			continue
 		}
-		last := line[len(line)-1]
+		last := waiting[len(waiting)-1]
 		if c > int(victim.Class) || goesBefore(victim, last) {
 			victim = last
 		}
 	}
-	if victim.ID != it.ID {
+	if victim.ID != req.ID {
 		q.Cancel(victim.ID)
 	}
-	retry := q.withJitter(max(q.expectedWait(now, victim)/2, minRetryAfter), victim.ID)
-	refusal := errkind.After(errkind.Overloaded, retry, "%d requests wait", q.limits.MaxQueued)
+	retryAfter := q.withJitter(max(q.expectedWait(now, victim)/2, minRetryAfter), victim.ID)
+	refusal := errkind.After(errkind.Overloaded, retryAfter, "%d requests are queued", q.limits.MaxQueued)
 	return []Outcome{{ID: victim.ID, Verdict: Refuse, Refusal: refusal}}
 }
 
-// spread lengthens a time by a part that follows from the request's number.
+// withJitter adds jitter, derived from the request ID, to a duration.
 func (q *Queue) withJitter(d time.Duration, id uint64) time.Duration {
 	const buckets = 1024
-	part := float64((id*0x9E3779B97F4A7C15)>>54) / buckets
-	return d + time.Duration(retryJitter*part*float64(d))
+	fraction := float64((id*0x9E3779B97F4A7C15)>>54) / buckets
+	return d + time.Duration(retryJitter*fraction*float64(d))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -20,8 +20,8 @@
 	return Request{ID: id, Workspace: workspace, Weight: 1, Class: class, Prefill: cost, Cost: cost, Deadline: time.Hour}
 }
 
-// Whatever comes in whatever order, the bounds hold, each request is decided
-// once, and none is forgotten.
+// In any sequence of events the limits must hold, and each request must be decided exactly
+// once.
 func TestQueueKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := NewQueue(limits)
@@ -29,7 +29,7 @@
 		decided := map[uint64]int{}
 		waiting := map[uint64]bool{}
 		var running []uint64
-		take := func(outcomes []Outcome) {
+		record := func(outcomes []Outcome) {
 			for _, o := range outcomes {
 				switch o.Verdict {
 				case Wait:
@@ -50,23 +50,23 @@
 				next++
 				r := request(next, rapid.Uint32Range(0, 3).Draw(rt, "workspace"), config.Class(rapid.IntRange(0, 2).Draw(rt, "class")), 100*time.Millisecond)
 				r.Deadline = now + time.Duration(rapid.IntRange(50, 3000).Draw(rt, "deadline"))*time.Millisecond
-				take(q.Offer(now, r))
+				record(q.Offer(now, r))
 			case 2:
 				if len(running) > 0 {
 					i := rapid.IntRange(0, len(running)-1).Draw(rt, "finished")
 					id := running[i]
 					running = append(running[:i], running[i+1:]...)
-					take(q.FirstToken(now, id))
-					take(q.Finish(now, id))
+					record(q.FirstToken(now, id))
+					record(q.Finish(now, id))
 				}
 			case 3:
-				take(q.Expire(now))
+				record(q.Expire(now))
 			}
 			if q.Running() > limits.MaxRunning || q.Prefilling() > limits.MaxPrefilling || q.Waiting() > limits.MaxQueued {
 				rt.Fatalf("running %d, prefilling %d, waiting %d", q.Running(), q.Prefilling(), q.Waiting())
 			}
 			if q.Running() != len(running) || q.Waiting() != len(waiting) {
-				rt.Fatalf("queue has %d running and %d waiting; told were %d and %d", q.Running(), q.Waiting(), len(running), len(waiting))
+				rt.Fatalf("the queue has %d running and %d waiting requests; its outcomes say %d and %d", q.Running(), q.Waiting(), len(running), len(waiting))
 			}
 		}
 		for id, n := range decided {
@@ -77,7 +77,7 @@
 	})
 }
 
-// serveAll keeps every flow backlogged and returns the cost served to each.
+// serveAll keeps every flow backlogged and returns the cost served to each workspace.
 func serveAll(t *testing.T, flows []Request, rounds int) map[uint32]float64 {
 	t.Helper()
 	q := NewQueue(Limits{MaxRunning: 1, MaxPrefilling: 1, MaxQueued: 1000})
@@ -105,7 +105,7 @@
 		served[done.Workspace] += done.Cost.Seconds()
 		outcomes := q.Finish(0, current)
 		if len(outcomes) == 0 {
-			t.Fatal("nothing was started")
+			t.Fatal("no request was started")
 		}
 		current = outcomes[0].ID
 		flow := done
@@ -114,8 +114,8 @@
 	return served
 }
 
-// Three workspaces want more than there is. Each gets its share by weight,
-// however large its requests are.
+// Under overload, each workspace must be served in proportion to its weight, however large its
+// requests are.
 func TestSharesFollowWeights(t *testing.T) {
 	flows := []Request{
 		request(0, 1, config.ClassInteractive, 50*time.Millisecond),
@@ -127,25 +127,26 @@
 	total := served[1] + served[2] + served[3]
 	for workspace, want := range map[uint32]float64{1: 4.0 / 7, 2: 2.0 / 7, 3: 1.0 / 7} {
 		if got := served[workspace] / total; math.Abs(got-want) > 0.1*want {
-			t.Errorf("workspace %d got %.3f, its weight is %.3f", workspace, got, want)
+			t.Errorf("workspace %d got a share of %.3f, want %.3f", workspace, got, want)
 		}
 	}
 }
 
-// Alerts come without end. Briefings still move, and take little from them.
+// A continuous load of alerts must not starve batch requests, which may take only a small
+// share.
 func TestLowerClassesAreNotStarved(t *testing.T) {
 	served := serveAll(t, []Request{
 		request(0, 1, config.ClassAlert, 50*time.Millisecond),
 		request(0, 2, config.ClassBatch, 200*time.Millisecond),
 	}, 2000)
-	if part := served[2] / served[1]; part < 0.05 || part > 0.15 {
-		t.Errorf("batch got %.3f of what alerts got", part)
+	if share := served[2] / served[1]; share < 0.05 || share > 0.15 {
+		t.Errorf("batch was served %.3f of what alerts were served", share)
 	}
 }
 
-// A request whose deadline lies before its turn is refused when it comes, with
-// a time to come back that is not the same for all.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// A request that cannot meet its deadline must be refused on arrival, with jitter in the retry
+// delay.
+func TestUnmeetableDeadlineIsRefusedOnArrival(t *testing.T) {
 	q := NewQueue(limits)
 	for id := uint64(1); id <= 5; id++ {
 		q.Offer(0, request(id, uint32(id), config.ClassInteractive, time.Second))
@@ -154,39 +155,39 @@
 	for id := uint64(10); id < 20; id++ {
 		r := request(id, 9, config.ClassInteractive, time.Second)
 		r.Deadline = 1500 * time.Millisecond
-		out := q.Offer(0, r)
-		if len(out) != 1 || out[0].Verdict != Refuse || out[0].Refusal.Kind != errkind.DeadlineUnmeetable {
-			t.Fatalf("request %d: %+v", id, out)
+		outcomes := q.Offer(0, r)
+		if len(outcomes) != 1 || outcomes[0].Verdict != Refuse || outcomes[0].Refusal.Kind != errkind.DeadlineUnmeetable {
+			t.Fatalf("request %d: %+v", id, outcomes)
 		}
-		if out[0].Refusal.RetryAfter < 500*time.Millisecond {
-			t.Errorf("come back after %v", out[0].Refusal.RetryAfter)
+		if outcomes[0].Refusal.RetryAfter < 500*time.Millisecond {
+			t.Errorf("retry after %v", outcomes[0].Refusal.RetryAfter)
 		}
-		seen[out[0].Refusal.RetryAfter] = true
+		seen[outcomes[0].Refusal.RetryAfter] = true
 	}
 	if len(seen) < 8 {
-		t.Errorf("ten refusals name %d times to come back", len(seen))
+		t.Errorf("ten refusals have %d distinct retry delays", len(seen))
 	}
 }
 
-// A request comes whose deadline passed on the way. No target works on it.
-func TestPassedDeadlineIsRefusedAtAFreeTarget(t *testing.T) {
+// A request that arrives after its deadline must not run, even at an idle target.
+func TestPastDeadlineIsRefusedWhenIdle(t *testing.T) {
 	q := NewQueue(limits)
 	r := request(1, 1, config.ClassAlert, time.Millisecond)
 	r.Deadline = 5 * time.Second
-	out := q.Offer(5*time.Second, r)
-	if len(out) != 1 || out[0].Verdict != Refuse || q.Running() != 0 {
-		t.Errorf("%+v", out)
+	outcomes := q.Offer(5*time.Second, r)
+	if len(outcomes) != 1 || outcomes[0].Verdict != Refuse || q.Running() != 0 {
+		t.Errorf("unexpected outcomes: %+v", outcomes)
 	}
 }
 
-// A full queue keeps the alert that comes and refuses a waiting briefing.
-func TestFullQueueRefusesTheLastInLine(t *testing.T) {
+// A full queue must shed a waiting batch request in favor of an alert.
+func TestFullQueueRefusesTheLastRequest(t *testing.T) {
 	q := NewQueue(Limits{MaxRunning: 1, MaxPrefilling: 1, MaxQueued: 2})
 	for id := uint64(1); id <= 3; id++ {
 		q.Offer(0, request(id, uint32(id), config.ClassBatch, time.Millisecond))
 	}
-	out := q.Offer(0, request(4, 4, config.ClassAlert, time.Millisecond))
-	if out[0].ID != 3 || out[0].Verdict != Refuse || out[0].Refusal.Kind != errkind.Overloaded {
-		t.Errorf("%+v", out)
+	outcomes := q.Offer(0, request(4, 4, config.ClassAlert, time.Millisecond))
+	if outcomes[0].ID != 3 || outcomes[0].Verdict != Refuse || outcomes[0].Refusal.Kind != errkind.Overloaded {
+		t.Errorf("unexpected outcomes: %+v", outcomes)
 	}
 }
