--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,18 +1,15 @@
-// Package routing decides which targets an entry asks for a request, and which
-// of them it picks.
+// Package routing ranks the targets of a service for a prompt and picks one by its response to
+// a probe.
 //
-// A decision takes three steps: filter the targets that may take the request,
-// rank them so that every entry ranks alike without talking, and pick by what
-// the ranked ones answer. The ranking is rendezvous hashing on the nested
-// levels of the prompt, so that requests which share a level meet at the same
-// few targets, and a target that comes or goes moves only its own share.
+// Targets are filtered by state and region, and ranked by rendezvous hashing on the nested
+// levels of the prompt. All entries therefore compute the same ranking without coordination,
+// requests that share a level reach the same few targets, and adding or removing a target moves
+// only that target's share.
 //
-// Targets are asked in widening rounds. While the first round finds one that
-// holds the prefix, or most of it, and is free, no other is asked. A prefix that
-// is hotter than its first targets can bear makes them busy; the next round brings in
-// more of its ranking, which compute the prefix once and hold it from then on.
-// Copies so follow the heat, and leave by the engines' own eviction when the
-// first targets suffice again. No entry keeps state for it.
+// Targets are probed in widening rounds until one has the prefix cached and is not busy. A
+// prefix with more load than its first targets can serve makes them busy, and later rounds add
+// targets that compute and cache the prefix too. When the load drops, these are no longer
+// chosen, and their engines evict it.
 package routing
 
 import (
@@ -25,30 +22,30 @@
 	"github.com/toucanwell/toucanwell/internal/config"
 )
 
-// State of a target in an entry's view.
+// State is the state of a target in an entry's view.
 type State uint8
 
 // The states.
 const (
 	Live State = iota
-	// Leaving takes no new work.
+	// Leaving targets get no new work.
 	Leaving
-	// Suspect failed lately and is asked only when no other is left.
+	// Suspect targets failed recently and are ranked only if no live target is left.
 	Suspect
 )
 
-// Target is a target as the ranking sees it.
+// Target is a target of a service.
 type Target struct {
 	Name    string
 	Service string
 	Address string
-	// Probe is the same address for datagrams.
+	// ProbeAddr is Address in parsed form, for probe datagrams.
 	ProbeAddr netip.AddrPort
-	// Zone and Region are where its host stands.
+	// Zone and Region locate the target's host.
 	Zone   string
 	Region string
 	State  State
-	// hash of the name.
+	// hash is the hash of Name.
 	hash uint64
 }
 
@@ -59,31 +56,31 @@
 	return t
 }
 
-// Place is where an entry stands.
+// Location is the location of an entry.
 type Location struct {
 	Zone   string
 	Region string
 }
 
-// The parts of a ranking, in the order in which targets are asked.
+// The sections of a ranking, in probing order.
 const (
-	// familyFirst targets of the family's key come first.
+	// familyCount targets by the family's key come first.
 	familyCount = 6
-	// ownNext targets of the innermost level's key follow: the cases of a hot
-	// family spread over them.
-	ownCount = 8
-	// MaxRanked is how many targets a ranking holds at the most.
+	// innermostCount targets by the innermost level's key follow, which spread the prompts of a
+	// hot family.
+	innermostCount = 8
+	// MaxRanked is the maximum length of a ranking.
 	MaxRanked = 16
 )
 
-// Ranking lists targets in the order in which to ask them. It is a value
-// without pointers into the heap, so that ranking allocates nothing.
+// Ranking lists the indexes of targets in probing order. It is a plain value, so that ranking
+// does not allocate.
 type Ranking struct {
 	order [MaxRanked]int32
 	n     int
 }
 
-// Len is the number of ranked targets.
+// Len returns the number of ranked targets.
 func (r *Ranking) Len() int { return r.n }
 
 // At returns the index of the i-th ranked target.
@@ -111,8 +108,7 @@
 	}
 }
 
-// mix is the finalizer of splitmix64: cheap, and every bit of the input
-// changes every bit of the output.
+// mix is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xBF58476D1CE4E5B9
@@ -121,13 +117,14 @@
 	return x ^ x>>31
 }
 
-// Score is the rendezvous score of a target for a key; the highest goes first.
+// Score returns the rendezvous score of the target for a key. The target with the highest score
+// ranks first.
 func (t *Target) Score(key uint64) uint64 { return mix(key ^ t.hash) }
 
-// scope is which targets the filter lets through.
+// scope is the set of targets that are eligible for a ranking.
 type scope uint8
 
-// The scopes, from the best to the last resort. Leaving targets are in none.
+// The scopes, in ascending order of preference. Leaving targets are in none.
 const (
 	scopeNone scope = iota
 	scopeSuspect
@@ -135,13 +132,13 @@
 	scopeLiveInRegion
 )
 
-// filter finds the best scope that has a target: live ones of the entry's
-// region; if there are none, live ones anywhere; if there are none, suspects.
-func bestScope(targets []Target, place Location) scope {
+// bestScope returns the most preferred scope that has a target: live targets of the entry's
+// region, else live targets of any region, else suspects.
+func bestScope(targets []Target, location Location) scope {
 	best := scopeNone
 	for i := range targets {
 		switch t := &targets[i]; {
-		case t.State == Live && t.Region == place.Region:
+		case t.State == Live && t.Region == location.Region:
 			return scopeLiveInRegion
 		case t.State == Live:
 			best = max(best, scopeLive)
@@ -152,10 +149,10 @@
 	return best
 }
 
-func (s scope) includes(t *Target, place Location) bool {
+func (s scope) includes(t *Target, location Location) bool {
 	switch s {
 	case scopeLiveInRegion:
-		return t.State == Live && t.Region == place.Region
+		return t.State == Live && t.Region == location.Region
 	case scopeLive:
 		return t.State == Live
 	default:
@@ -163,8 +160,8 @@
 	}
 }
 
-// top holds the best targets of one key, best first. floor is the score that
-// a target must exceed to enter a full one.
+// topScores collects the targets with the highest scores for one key, in descending order. Once
+// it is full, a target must exceed floor to enter.
 type topScores struct {
 	index [MaxRanked]int32
 	score [MaxRanked]uint64
@@ -177,46 +174,45 @@
 	if score <= t.floor {
 		return
 	}
-	at := min(t.n, t.size-1)
-	for at > 0 && t.score[at-1] < score {
-		t.index[at], t.score[at] = t.index[at-1], t.score[at-1]
-		at--
+	position := min(t.n, t.size-1)
+	for position > 0 && t.score[position-1] < score {
+		t.index[position], t.score[position] = t.index[position-1], t.score[position-1]
+		position--
 	}
-	t.index[at], t.score[at] = int32(index), score
+	t.index[position], t.score[position] = int32(index), score
 	t.n = min(t.n+1, t.size)
 	if t.n == t.size {
 		t.floor = t.score[t.size-1]
 	}
 }
 
-// Rank orders the targets of a service for a prompt with the given levels,
-// outermost first. The first targets are those of the family, the innermost
-// level but one (the town), which many prompts share. Then come those of the
-// innermost level (the case), over which a family that is hotter than its first
-// targets can bear spreads out; then further ones of the family.
-func Rank(targets []Target, place Location, levels []uint64) Ranking {
+// Rank ranks the targets of a service for a prompt with the given levels, outermost first. The
+// first targets are those of the family, which is the innermost level but one and shared by
+// many prompts. Targets of the innermost level follow, over which a hot family spreads, then
+// further targets of the family.
+func Rank(targets []Target, location Location, levels []uint64) Ranking {
 	var ranking Ranking
-	allowed := bestScope(targets, place)
+	allowed := bestScope(targets, location)
 	if allowed == scopeNone {
 		return ranking
 	}
-	familyKey, ownKey := levelKeys(levels)
+	familyKey, innermostKey := levelKeys(levels)
 	family := topScores{size: MaxRanked}
-	own := topScores{size: ownCount}
+	innermost := topScores{size: innermostCount}
 	for i := range targets {
 		t := &targets[i]
-		if allowed.includes(t, place) {
+		if allowed.includes(t, location) {
 			family.insert(i, t.Score(familyKey))
-			own.insert(i, t.Score(ownKey))
+			innermost.insert(i, t.Score(innermostKey))
 		}
 	}
 	ranking.addAll(family.index[:min(family.n, familyCount)])
-	ranking.addAll(own.index[:own.n])
+	ranking.addAll(innermost.index[:innermost.n])
 	ranking.addAll(family.index[:family.n])
 	return ranking
 }
 
-func levelKeys(levels []uint64) (family, own uint64) {
+func levelKeys(levels []uint64) (family, innermost uint64) {
 	switch len(levels) {
 	case 0:
 		return 0, 0
@@ -227,40 +223,40 @@
 	}
 }
 
-// Quote is a target's answer to a probe.
+// Estimate is a target's response to a probe.
 type Estimate struct {
-	// Index of the target.
+	// Index is the index of the target.
 	Index int
-	// Wait until the request would reach the engine.
+	// Wait is the time until the request would reach the engine.
 	Wait time.Duration
-	// Prefill is the time to compute what the engine does not hold.
+	// Prefill is the time to compute the tokens that are not cached.
 	Prefill time.Duration
-	// Busy is the share of recent time that the target spent prefilling.
+	// Busy is the share of recent time that the target spent on prefill.
 	Busy float64
-	// Distance is the time of a round trip.
+	// RoundTrip is the network round-trip time.
 	RoundTrip time.Duration
-	// Refused is set when the target takes no new work.
+	// Refused is set if the target refused the probe or did not respond.
 	Refused bool
 }
 
-// Policy weighs quotes.
+// Policy weighs estimates.
 type Policy struct {
-	// Rounds are the numbers of targets asked after each round.
+	// Rounds are the cumulative numbers of targets probed after each round.
 	Rounds []int
-	// WasteFactor is how much a millisecond of recomputing at an idle target
-	// weighs against one of waiting. A class that cannot wait has a lower one.
+	// PrefillWeight is the cost of prefill time at an idle target relative to waiting time. It
+	// is lower for classes that are sensitive to latency.
 	PrefillWeight [config.Classes]float64
-	// BusyPrice and BusyPower say how much dearer recomputing is at a target
-	// that was busy for a part of the time: 1 + BusyPrice*busy^BusyPower times.
-	// There it delays the requests behind and evicts what they would have found.
+	// BusyPenalty and BusyExponent raise the cost of prefill at a busy target by the factor 1 +
+	// BusyPenalty*busy^BusyExponent: it delays queued requests and evicts their cached
+	// prefixes.
 	BusyPenalty, BusyExponent float64
-	// Content is the wait and Miss the recomputing up to which no further round
-	// is made. A long prefix that the first targets have lost is often still
-	// held by one that was asked while they were busy.
+	// AcceptableWait and AcceptablePrefill are the bounds up to which an estimate ends the
+	// probing. A long prefix that the first targets have evicted is often still cached at a
+	// target of a later round.
 	AcceptableWait, AcceptablePrefill time.Duration
 }
 
-// DefaultPolicy is the policy of entries whose settings name none; see docs/DESIGN.md.
+// DefaultPolicy is the policy that entries use.
 var DefaultPolicy = Policy{
 	Rounds:            []int{4, 10, 16},
 	PrefillWeight:     [config.Classes]float64{0.05, 1, 1},
@@ -270,30 +266,30 @@
 	AcceptablePrefill: 150 * time.Millisecond,
 }
 
-// Cost is what a quote weighs, in nanoseconds of waiting.
-func (p *Policy) Cost(class config.Class, q Estimate) float64 {
-	if q.Refused {
+// Cost returns the cost of an estimate, in nanoseconds of waiting.
+func (p *Policy) Cost(class config.Class, e Estimate) float64 {
+	if e.Refused {
 		return math.Inf(1)
 	}
-	price := p.PrefillWeight[class] * (1 + p.BusyPenalty*math.Pow(q.Busy, p.BusyExponent))
-	return float64(q.Wait) + float64(q.RoundTrip) + price*float64(q.Prefill)
+	weight := p.PrefillWeight[class] * (1 + p.BusyPenalty*math.Pow(e.Busy, p.BusyExponent))
+	return float64(e.Wait) + float64(e.RoundTrip) + weight*float64(e.Prefill)
 }
 
-// Pick returns the position of the cheapest quote, or -1. Of equal ones the
-// first in the ranking wins.
-func (p *Policy) Pick(class config.Class, quotes []Estimate) int {
+// Pick returns the position of the estimate with the lowest cost, or -1 if all were refused. Of
+// equal costs the first wins.
+func (p *Policy) Pick(class config.Class, estimates []Estimate) int {
 	best := -1
 	cost := math.Inf(1)
-	for i, q := range quotes {
-		if c := p.Cost(class, q); c < cost {
+	for i, e := range estimates {
+		if c := p.Cost(class, e); c < cost {
 			best, cost = i, c
 		}
 	}
 	return best
 }
 
-// Satisfied reports whether the quotes so far make another round needless.
-func (p *Policy) Satisfied(class config.Class, quotes []Estimate) bool {
-	best := p.Pick(class, quotes)
-	return best >= 0 && quotes[best].Wait <= p.AcceptableWait && quotes[best].Prefill <= p.AcceptablePrefill
+// Satisfied reports whether the estimates so far make further rounds unnecessary.
+func (p *Policy) Satisfied(class config.Class, estimates []Estimate) bool {
+	best := p.Pick(class, estimates)
+	return best >= 0 && estimates[best].Wait <= p.AcceptableWait && estimates[best].Prefill <= p.AcceptablePrefill
 }
