--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -6,23 +6,18 @@
 	"github.com/toucanwell/toucanwell/internal/external"
 )
 
-// Index holds the short names of the blocks that one incarnation of an engine is
-// believed to have.
+// Index is the set of blocks that are believed to be in the KV cache of one incarnation of an
+// engine.
 //
-// All work of an engine passes its sidecar, so that the index mirrors the
-// engine's cache: a prompt whose first token is there is stored, least recently
-// used blocks leave beyond the engine's size, and the number of cached tokens
-// that the engine reports with each answer corrects what was believed wrongly.
-// Cache events, which come late and with gaps, correct the rest.
+// All requests to an engine pass its sidecar, so the index can mirror the cache: it adds a
+// prompt's blocks when its first token arrives and evicts the least recently used blocks beyond
+// the engine's capacity. Cache events, which may be late or lost, correct it.
 //
-// It guards against two failures. An engine that crashed comes back empty under
-// a new incarnation: the index is emptied with it, and events of the earlier
-// life are refused by their incarnation. An event stream that lost entries may
-// leave a block believed in that is gone, or the reverse; this costs time only,
-// since the engine looks up its own cache, and the next answer about the block
-// mends it.
+// An engine that restarts has an empty cache and a new incarnation: events of another
+// incarnation clear the index, and AddCached ignores other incarnations. Wrong entries due to
+// lost events only cost time, since the engine consults its own cache.
 //
-// An Index is used by one goroutine at a time.
+// An Index is not safe for concurrent use.
 type Index struct {
 	maxBlocks   int
 	incarnation string
@@ -33,7 +28,7 @@
 	gaps        uint64
 }
 
-// NewIndex returns an empty index of an engine with so many blocks.
+// NewIndex returns an empty index for an engine with a capacity of maxBlocks blocks.
 func NewIndex(maxBlocks int) *Index {
 	return &Index{
 		maxBlocks:  maxBlocks,
@@ -43,16 +38,16 @@
 	}
 }
 
-// NextSeq is the number of the first event not seen yet.
+// NextSeq returns the sequence number of the next expected event.
 func (x *Index) NextSeq() uint64 { return x.nextSeq }
 
-// Len is the number of blocks held.
+// Len returns the number of cached blocks.
 func (x *Index) Len() int { return x.lru.Len() }
 
-// Gaps counts losses in the event stream since the start.
+// Gaps returns the number of gaps seen in the event stream.
 func (x *Index) Gaps() uint64 { return x.gaps }
 
-// Apply takes a page of events. Pages may come late, twice or with gaps.
+// Apply applies a page of events. Pages may be late, repeated or have gaps.
 func (x *Index) Apply(page *external.EventPage) {
 	if page.Incarnation != x.incarnation {
 		x.incarnation = page.Incarnation
@@ -89,12 +84,12 @@
 	}
 }
 
-// storeMissing takes blocks that an event tells of. Those that are held keep
-// their place: the event is older than what put them there.
+// addMissing adds the blocks of a stored event. Blocks that are already present keep their
+// position, because events are late.
 func (x *Index) addMissing(blocks []uint64) {
 	for _, block := range blocks {
 		b := ShortHash(block)
-		if _, held := x.elements[b]; !held {
+		if _, found := x.elements[b]; !found {
 			x.elements[b] = x.lru.PushFront(b)
 		}
 	}
@@ -103,8 +98,8 @@
 
 func (x *Index) remove(blocks []uint64) {
 	for _, block := range blocks {
-		if place, held := x.elements[ShortHash(block)]; held {
-			x.lru.Remove(place)
+		if element, found := x.elements[ShortHash(block)]; found {
+			x.lru.Remove(element)
 			delete(x.elements, ShortHash(block))
 		}
 	}
@@ -117,10 +112,9 @@
 	}
 }
 
-// Confirm takes that an incarnation of the engine has computed a prompt and so
-// holds all its blocks now. Leading blocks stay longest, as in the engine. The
-// word of another incarnation than the one known is passed over: it comes late
-// from an earlier life, or the events will tell of a new one.
+// AddCached records that an incarnation of the engine has computed a prompt and now caches all
+// its blocks. Leading blocks become the most recently used, as in the engine. It ignores other
+// incarnations than the current one.
 func (x *Index) AddCached(incarnation string, blocks []uint64) {
 	if x.incarnation == "" {
 		x.incarnation = incarnation
@@ -130,8 +124,8 @@
 	}
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := ShortHash(blocks[i])
-		if place, held := x.elements[b]; held {
-			x.lru.MoveToFront(place)
+		if element, found := x.elements[b]; found {
+			x.lru.MoveToFront(element)
 			continue
 		}
 		x.elements[b] = x.lru.PushFront(b)
@@ -139,15 +133,15 @@
 	x.evict()
 }
 
-// Expect counts the blocks of admitted work as held, so that a second request
-// for a prefix that is being computed is not sent elsewhere.
+// AddInProgress counts the blocks of admitted requests as cached, so that further requests with
+// the prefix are not sent elsewhere while it is computed.
 func (x *Index) AddInProgress(blocks []uint64) {
 	for _, block := range blocks {
 		x.inProgress[ShortHash(block)]++
 	}
 }
 
-// Forget takes back what Expect counted, when the work has ended.
+// RemoveInProgress reverts AddInProgress when the request has ended.
 func (x *Index) RemoveInProgress(blocks []uint64) {
 	for _, block := range blocks {
 		b := ShortHash(block)
@@ -159,7 +153,7 @@
 	}
 }
 
-// Match returns how many leading blocks the engine holds or will hold.
+// Match returns how many leading blocks are cached or in progress.
 func (x *Index) Match(blocks []uint64) int {
 	for i, b := range blocks {
 		if !x.has(ShortHash(b)) {
@@ -169,9 +163,8 @@
 	return len(blocks)
 }
 
-// MatchPoints returns how many tokens of a prefix the engine holds or will
-// hold, as told by points of it. A block leaves after those behind it, so that
-// the furthest point held stands for all before it.
+// MatchPoints returns how many tokens of a prefix are cached or in progress. Blocks are evicted
+// after those that follow them, so the last matching point implies all earlier ones.
 func (x *Index) MatchPoints(points []Point) int {
 	for i := len(points) - 1; i >= 0; i-- {
 		if x.has(points[i].Block) {
@@ -182,6 +175,6 @@
 }
 
 func (x *Index) has(block uint32) bool {
-	_, held := x.elements[block]
-	return held || x.inProgress[block] > 0
+	_, found := x.elements[block]
+	return found || x.inProgress[block] > 0
 }
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,11 +1,9 @@
-// Package prefix names prompt prefixes and keeps an index of those that an
-// engine holds.
+// Package prefix computes hashes of prompt prefixes and indexes those that an engine has
+// cached.
 //
-// A block's name is a hash chained from everything that its cached content
-// depends on: workspace, model, adapter, weights version and all text before
-// it. Two prompts share a name only when an engine may reuse the one's cache
-// for the other, so that a name of another workspace or of older weights can
-// never match.
+// A block's hash is chained over everything that its KV cache depends on: workspace, model,
+// adapter, weights version and all preceding text. Blocks of different workspaces or weights
+// therefore never match.
 package prefix
 
 import (
@@ -14,10 +12,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BytesPerToken is the estimate by which the router counts tokens.
+// BytesPerToken is the estimated number of bytes per token.
 const BytesPerToken = 4
 
-// Scope is what a cached block belongs to besides its text.
+// Scope is what a cached block depends on besides its text.
 type Scope struct {
 	Workspace string
 	Model     string
@@ -25,8 +23,8 @@
 	Weights   string
 }
 
-// Root returns the hash that the chain of a scope starts with. Each field goes
-// in with its length, so that no two scopes run together.
+// Root returns the initial hash of the scope's chains. Fields are hashed with their lengths, so
+// that different scopes do not collide by concatenation.
 func (s Scope) Root() uint64 {
 	d := xxhash.New()
 	var size [8]byte
@@ -38,7 +36,7 @@
 	return d.Sum64()
 }
 
-// Chain returns the hash of a piece of text that follows prev.
+// Chain returns the hash of text that follows a prefix with hash prev.
 func Chain(prev uint64, text string) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(prev)
@@ -46,32 +44,29 @@
 	return d.Sum64()
 }
 
-// Prompt is a prompt as the router sees it.
+// Prompt holds the hashes of a prompt.
 type Prompt struct {
-	// Blocks are the names of its whole blocks, first block first.
+	// Blocks are the hashes of the complete blocks, in order.
 	Blocks []uint64
-	// Levels are the names of its nested prefixes, outermost first: the
-	// rulebook, the town within it, the case within that.
+	// Levels are the hashes of the nested prefixes, outermost first.
 	Levels []uint64
-	// Points are the last whole blocks within the levels.
+	// Points are the last complete blocks of the levels.
 	Points []Point
-	// Tokens is the estimated length.
+	// Tokens is the estimated length in tokens.
 	Tokens int
 }
 
-// Point is a block, by its short name, that stands for the prefix up to it.
+// Point is a block that stands for the prefix up to and including it.
 type Point struct {
 	Block  uint32
 	Tokens int
 }
 
-// Short is the name of a block in probes and in the index. Two of an engine's
-// 57,000 blocks share one once in many thousand lookups; what is believed
-// wrongly then costs time only.
+// ShortHash returns the truncated block hash that probes and the index use. Collisions are rare
+// and only cost time.
 func ShortHash(block uint64) uint32 { return uint32(block) }
 
-// PointsAt returns the points at numbers of blocks, leaving out those that
-// fall together.
+// PointsAt returns the points after the given numbers of blocks, without duplicates.
 func PointsAt(blocks []uint64, ends []int, blockTokens int) []Point {
 	points := make([]Point, 0, len(ends))
 	last := 0
@@ -84,9 +79,8 @@
 	return points
 }
 
-// Parse names the blocks and levels of a prompt made of parts. Each part but
-// the last closes a level; the last part is the caller's own question, unless
-// it is the only one.
+// Parse computes the hashes of a prompt. Each part but the last closes a level; the last part,
+// which is specific to the request, does so only if it is the only one.
 func Parse(scope Scope, parts []string, blockTokens int) Prompt {
 	root := scope.Root()
 	var text []byte
@@ -109,15 +103,15 @@
 }
 
 func blockHashes(root uint64, text []byte, size int) []uint64 {
-	names := make([]uint64, 0, len(text)/size)
+	hashes := make([]uint64, 0, len(text)/size)
 	prev := root
 	for len(text) >= size {
 		var d xxhash.Digest
 		d.ResetWithSeed(prev)
 		_, _ = d.Write(text[:size])
 		prev = d.Sum64()
-		names = append(names, prev)
+		hashes = append(hashes, prev)
 		text = text[size:]
 	}
-	return names
+	return hashes
 }
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -12,27 +12,26 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Two workspaces send one text; new weights come into force. Their blocks must
-// not share a name, nor may fields run into each other.
-func TestNamesAreApartByScope(t *testing.T) {
+// Blocks must have equal hashes only if workspace, model, adapter and weights are all equal.
+func TestBlockHashesDependOnScope(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		word := rapid.SampledFrom([]string{"", "a", "b", "ab", "ba"})
-		a := Scope{word.Draw(rt, "workspace"), word.Draw(rt, "model"), word.Draw(rt, "adapter"), word.Draw(rt, "weights")}
+		value := rapid.SampledFrom([]string{"", "a", "b", "ab", "ba"})
+		a := Scope{value.Draw(rt, "workspace"), value.Draw(rt, "model"), value.Draw(rt, "adapter"), value.Draw(rt, "weights")}
 		b := a
 		for _, field := range []*string{&b.Workspace, &b.Model, &b.Adapter, &b.Weights} {
 			if rapid.IntRange(0, 2).Draw(rt, "other") == 0 {
-				*field = word.Draw(rt, "field")
+				*field = value.Draw(rt, "field")
 			}
 		}
-		same := Parse(a, []string{"some shared text"}, 1).Blocks[0] == Parse(b, []string{"some shared text"}, 1).Blocks[0]
-		if same != (a == b) {
-			rt.Fatalf("%+v and %+v: same name %v", a, b, same)
+		equal := Parse(a, []string{"some shared text"}, 1).Blocks[0] == Parse(b, []string{"some shared text"}, 1).Blocks[0]
+		if equal != (a == b) {
+			rt.Fatalf("%+v and %+v: equal hashes %v", a, b, equal)
 		}
 	})
 }
 
-// Two prompts share the names of exactly the whole blocks that they share.
-func TestNamesFollowTheSharedText(t *testing.T) {
+// Two prompts must share the hashes of exactly the complete blocks that they share.
+func TestBlockHashesFollowSharedText(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		shared := rapid.StringOfN(rapid.RuneFrom([]rune("xy")), 0, 64, -1).Draw(rt, "shared")
 		a := Parse(Scope{}, []string{shared + "1" + "aaaaaaaaaaaa"}, 2)
@@ -42,7 +41,7 @@
 			n++
 		}
 		if want := len(shared) / (2 * BytesPerToken); n != want {
-			rt.Fatalf("%d blocks shared, want %d", n, want)
+			rt.Fatalf("%d blocks are shared, want %d", n, want)
 		}
 	})
 }
@@ -51,25 +50,23 @@
 	return &external.EventPage{Incarnation: incarnation, First: first, Events: events}
 }
 
-// The engine crashes and comes back empty. Events and answers of its earlier
-// life arrive late: none of its blocks may be believed in.
-func TestIndexForgetsAnEarlierLife(t *testing.T) {
+// The index of a restarted engine must not keep or accept blocks of the earlier incarnation.
+func TestNewIncarnationClearsIndex(t *testing.T) {
 	x := NewIndex(100)
 	blocks := []uint64{1, 2, 3}
-	x.AddCached("life 1", blocks)
-	x.Apply(page("life 1", 1, external.CacheEvent{Seq: 1, Kind: external.EventStored, Blocks: blocks}))
+	x.AddCached("incarnation 1", blocks)
+	x.Apply(page("incarnation 1", 1, external.CacheEvent{Seq: 1, Kind: external.EventStored, Blocks: blocks}))
 	if x.Match(blocks) != 3 {
-		t.Fatal("stored blocks are not held")
+		t.Fatal("stored blocks are not in the index")
 	}
-	x.Apply(page("life 2", 1))
-	x.AddCached("life 1", blocks)
+	x.Apply(page("incarnation 2", 1))
+	x.AddCached("incarnation 1", blocks)
 	if n := x.Match(blocks); n != 0 {
-		t.Fatalf("%d blocks of the earlier life are believed in", n)
+		t.Fatalf("%d blocks of the earlier incarnation are still in the index", n)
 	}
 }
 
-// Events are lost. What is believed wrongly is bounded by the engine's size and
-// leaves by the order of use.
+// When events are lost, the index must stay within the engine's capacity.
 func TestIndexIsBoundedWhenEventsAreLost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := NewIndex(8)
@@ -80,7 +77,7 @@
 			case 0:
 				x.AddCached("a", blocks)
 				if x.Match(blocks[:1]) != 1 {
-					rt.Fatalf("a block just confirmed is not held")
+					rt.Fatalf("a block that was just added is not in the index")
 				}
 			case 1:
 				seq += rapid.Uint64Range(1, 3).Draw(rt, "gap")
@@ -89,11 +86,11 @@
 				seq += rapid.Uint64Range(1, 3).Draw(rt, "gap")
 				x.Apply(page("a", 1, external.CacheEvent{Seq: seq, Kind: external.EventRemoved, Blocks: blocks}))
 				if x.Match(blocks[:1]) != 0 {
-					rt.Fatalf("a removed block is held")
+					rt.Fatalf("a removed block is still in the index")
 				}
 			}
 			if x.Len() > 8 {
-				rt.Fatalf("%d blocks are held", x.Len())
+				rt.Fatalf("the index has %d blocks", x.Len())
 			}
 		}
 	})
