--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -1,47 +1,45 @@
-// Package breaker rests a target that fails often.
+// Package breaker implements a circuit breaker for a target that fails repeatedly.
 //
-// The breaker stands at the target's sidecar. Every call to the target passes
-// there, so that its scope is the whole fleet without any shared store. Three
-// points follow "Circuit-Breaker Invocation Admission": each state change
-// advances a generation and a permit counts only in its own, so that a result
-// that comes late cannot close a breaker that opened since; a result is a
-// success, a failure of health, or neutral; and the time to come back is a
-// lower bound, for a half-open breaker the expiry of its probes.
+// The breaker runs in the target's sidecar, which all calls to the target pass, so it applies
+// to the whole fleet without shared state. Each state change starts a new generation, and
+// results of permits of earlier generations are ignored: a late success cannot close a breaker
+// that has opened since.
 package breaker
 
 import (
 	"time"
 )
 
-// Result is what a permitted call says about the target's health.
+// Result is the result of a permitted call regarding the target's health.
 type Result int
 
 // The results.
 const (
-	// Success: the target answered.
+	// Success means that the target responded.
 	Success Result = iota
-	// Failure: the target timed out, was unreachable or failed inside.
+	// Failure means that the target timed out, was unreachable or failed internally.
 	Failure
-	// Neutral: the call says nothing, such as one the caller cancelled.
+	// Neutral means that the call says nothing about the target, for example because the caller
+	// canceled it.
 	Neutral
 )
 
-// Policy holds the thresholds.
+// Policy holds the thresholds of a breaker.
 type Policy struct {
-	// Failures in a row that open the breaker.
+	// ConsecutiveFailures is the number of consecutive failures that open the breaker.
 	ConsecutiveFailures int
-	// OpenFor is the rest after opening.
+	// OpenFor is how long the breaker stays open.
 	OpenFor time.Duration
-	// Probes may run at once while half open.
+	// MaxProbes is the number of concurrent probes of a half-open breaker.
 	MaxProbes int
-	// ProbeTimeout frees a probe's place when its result never comes.
+	// ProbeTimeout is when a probe without a result expires.
 	ProbeTimeout time.Duration
 }
 
-// DefaultPolicy is in force unless another is set.
+// DefaultPolicy is the default policy.
 var DefaultPolicy = Policy{ConsecutiveFailures: 5, OpenFor: 2 * time.Second, MaxProbes: 1, ProbeTimeout: 10 * time.Second}
 
-// State of a breaker.
+// State is the state of a breaker.
 type State int
 
 // The states.
@@ -51,14 +49,14 @@
 	HalfOpen
 )
 
-// Permit allows one call. Its holder completes it once.
+// Permit allows one call. Its holder must pass it to Complete once.
 type Permit struct {
 	generation uint64
 	id         uint64
 }
 
-// Breaker is used by one goroutine at a time. Times are since a start that the
-// caller chose.
+// Breaker is a circuit breaker. It is not safe for concurrent use. Times are relative to an
+// origin that the caller chooses.
 type Breaker struct {
 	policy     Policy
 	state      State
@@ -74,7 +72,7 @@
 	return &Breaker{policy: policy, probes: map[uint64]time.Duration{}}
 }
 
-// State returns the state at a time.
+// State returns the state at the given time.
 func (b *Breaker) State(now time.Duration) State {
 	if b.state == Open && now >= b.openUntil {
 		b.transition(HalfOpen)
@@ -82,8 +80,7 @@
 	return b.state
 }
 
-// Acquire returns a permit, or the earliest time at which asking again can
-// help.
+// Acquire returns a permit, or the earliest time at which a retry can succeed.
 func (b *Breaker) Acquire(now time.Duration) (permit Permit, ok bool, notBefore time.Duration) {
 	switch b.State(now) {
 	case Open:
@@ -102,7 +99,7 @@
 	return p, true, 0
 }
 
-// Blocked reports whether Acquire would refuse, without taking a permit.
+// Blocked reports whether Acquire would refuse a permit, and until when.
 func (b *Breaker) Blocked(now time.Duration) (notBefore time.Duration, blocked bool) {
 	switch b.State(now) {
 	case Open:
@@ -116,8 +113,7 @@
 	return 0, false
 }
 
-// Complete reports a permit's result. One of an earlier generation changes
-// nothing.
+// Complete records the result of a permit. Results of earlier generations are ignored.
 func (b *Breaker) Complete(now time.Duration, p Permit, result Result) {
 	if p.generation != b.generation {
 		return
@@ -146,9 +142,9 @@
 }
 
 func (b *Breaker) dropExpiredProbes(now time.Duration) {
-	for number, expiry := range b.probes {
+	for id, expiry := range b.probes {
 		if expiry <= now {
-			delete(b.probes, number)
+			delete(b.probes, id)
 		}
 	}
 }
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -1,10 +1,8 @@
-// Package probe carries the small questions that entries ask sidecars before
-// they choose a target.
+// Package probe sends the probes with which entries query sidecars before they choose a target.
 //
-// A question and its answer are one UDP datagram each. An entry of a large
-// fleet asks hundreds of sidecars, each seldom: connections would cost it more
-// memory than all else it holds, and a question that is a second late is of no
-// use. There is no retry; who does not answer in time is passed over.
+// A probe and its response are one UDP datagram each, since connections from every entry to
+// every sidecar would use too much memory. Probes are not retried: targets that do not respond
+// in time are skipped.
 package probe
 
 import (
@@ -22,37 +20,37 @@
 	"github.com/toucanwell/toucanwell/internal/datagram"
 )
 
-// maxDatagram is more than any probe needs.
+// maxDatagram bounds the size of probes and responses, in bytes.
 const maxDatagram = 2048
 
-// WorkspaceHash is how probes name a workspace.
+// WorkspaceHash returns the hash that identifies a workspace in probes.
 func WorkspaceHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// Server answers probes.
+// Server responds to probes.
 type Server struct {
 	conn    *net.UDPConn
 	handler func(*peerv1.ProbeRequest) *peerv1.ProbeResponse
-	done    sync.WaitGroup
+	wg      sync.WaitGroup
 }
 
-// NewServer answers probes at an address until Close.
-func NewServer(address string, answer func(*peerv1.ProbeRequest) *peerv1.ProbeResponse) (*Server, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+// NewServer starts a server at a UDP address.
+func NewServer(address string, handler func(*peerv1.ProbeRequest) *peerv1.ProbeResponse) (*Server, error) {
+	localAddr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "probe address")
 	}
-	conn, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", localAddr)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for probes")
 	}
-	s := &Server{conn: conn, handler: answer}
-	s.done.Add(1)
+	s := &Server{conn: conn, handler: handler}
+	s.wg.Add(1)
 	go s.serve()
 	return s, nil
 }
 
 func (s *Server) serve() {
-	defer s.done.Done()
+	defer s.wg.Done()
 	var out []byte
 	datagram.Receive(s.conn, maxDatagram, func(data []byte, from netip.AddrPort) {
 		request := &peerv1.ProbeRequest{}
@@ -69,54 +67,53 @@
 // Close implements io.Closer.
 func (s *Server) Close() error {
 	err := s.conn.Close()
-	s.done.Wait()
+	s.wg.Wait()
 	return err
 }
 
-// Client asks probes. It is safe for concurrent use.
+// Client sends probes. It is safe for concurrent use.
 type Client struct {
 	conn    *net.UDPConn
-	done    sync.WaitGroup
+	wg      sync.WaitGroup
 	mu      sync.Mutex
 	nextID  uint32
 	pending map[uint32]pendingProbe
 }
 
-// waiter is a question that awaits its answer.
+// pendingProbe is a probe without a response yet.
 type pendingProbe struct {
 	to       netip.AddrPort
 	response chan *peerv1.ProbeResponse
 }
 
-// NewClient returns a client that sends from the IP number of an address.
+// NewClient returns a client that sends from the IP of the given address, at any free port.
 func NewClient(address string) (*Client, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+	localAddr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "probe address")
 	}
-	at.Port = 0
-	conn, err := net.ListenUDP("udp", at)
+	localAddr.Port = 0
+	conn, err := net.ListenUDP("udp", localAddr)
 	if err != nil {
 		return nil, errors.Wrap(err, "open probe socket")
 	}
 	c := &Client{conn: conn, nextID: rand.Uint32(), pending: map[uint32]pendingProbe{}}
-	c.done.Add(1)
+	c.wg.Add(1)
 	go c.receive()
 	return c, nil
 }
 
-// receive hands answers to their questions. The failure guarded against is an
-// answer that comes late or from elsewhere: it finds no question of its number
-// and sender, and is dropped.
+// receive delivers responses to their pending probes. Late responses and those from other
+// senders match no pending probe and are dropped.
 func (c *Client) receive() {
-	defer c.done.Done()
+	defer c.wg.Done()
 	datagram.Receive(c.conn, maxDatagram, func(data []byte, from netip.AddrPort) {
 		response := &peerv1.ProbeResponse{}
 		if proto.Unmarshal(data, response) != nil {
 			return
 		}
-		if w, ok := c.claim(response.Id, from); ok {
-			w.response <- response
+		if p, ok := c.claim(response.Id, from); ok {
+			p.response <- response
 		}
 	})
 }
@@ -124,22 +121,22 @@
 func (c *Client) claim(id uint32, from netip.AddrPort) (pendingProbe, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w, ok := c.pending[id]
-	if !ok || w.to != netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) {
+	p, ok := c.pending[id]
+	if !ok || p.to != netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) {
 		return pendingProbe{}, false
 	}
 	delete(c.pending, id)
-	return w, true
+	return p, true
 }
 
-// Ask sends a question and waits for its answer until the context ends. It
-// sets the question's number.
+// Probe sends a probe and waits for the response until the context is done. It sets the ID of
+// the request.
 func (c *Client) Probe(ctx context.Context, to netip.AddrPort, request *peerv1.ProbeRequest) (*peerv1.ProbeResponse, error) {
-	w := pendingProbe{to: to, response: make(chan *peerv1.ProbeResponse, 1)}
+	p := pendingProbe{to: to, response: make(chan *peerv1.ProbeResponse, 1)}
 	c.mu.Lock()
 	c.nextID++
 	request.Id = c.nextID
-	c.pending[request.Id] = w
+	c.pending[request.Id] = p
 	c.mu.Unlock()
 	defer c.removePending(request.Id)
 	data, err := proto.Marshal(request)
@@ -150,7 +147,7 @@
 		return nil, errors.Wrap(err, "send probe")
 	}
 	select {
-	case response := <-w.response:
+	case response := <-p.response:
 		return response, nil
 	case <-ctx.Done():
 		return nil, errors.Wrap(ctx.Err(), "probe")
@@ -166,6 +163,6 @@
 // Close implements io.Closer.
 func (c *Client) Close() error {
 	err := c.conn.Close()
-	c.done.Wait()
+	c.wg.Wait()
 	return err
 }
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -13,16 +13,16 @@
 	peerv1 "github.com/toucanwell/toucanwell/api/peer/v1"
 )
 
-// crossing answers each question only after the next one came, repeats old
-// answers, and lets a stranger answer first.
-type crossing struct {
+// hostileServer sends a forged response from another socket first, then the genuine one, and
+// repeats the response to the previous probe.
+type hostileServer struct {
 	conn     *net.UDPConn
-	stranger *net.UDPConn
+	impostor *net.UDPConn
 }
 
-func (c *crossing) serve() {
-	var held []byte
-	var heldFrom netip.AddrPort
+func (c *hostileServer) serve() {
+	var previous []byte
+	var previousFrom netip.AddrPort
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buffer)
@@ -33,14 +33,14 @@
 		if proto.Unmarshal(buffer[:n], request) != nil {
 			continue
 		}
-		wrong, _ := proto.Marshal(&peerv1.ProbeResponse{Id: request.Id, WaitMs: 999_999})
-		_, _ = c.stranger.WriteToUDPAddrPort(wrong, from)
-		right, _ := proto.Marshal(&peerv1.ProbeResponse{Id: request.Id, WaitMs: request.PromptTokens})
-		_, _ = c.conn.WriteToUDPAddrPort(right, from)
-		if held != nil {
-			_, _ = c.conn.WriteToUDPAddrPort(held, heldFrom)
+		forged, _ := proto.Marshal(&peerv1.ProbeResponse{Id: request.Id, WaitMs: 999_999})
+		_, _ = c.impostor.WriteToUDPAddrPort(forged, from)
+		genuine, _ := proto.Marshal(&peerv1.ProbeResponse{Id: request.Id, WaitMs: request.PromptTokens})
+		_, _ = c.conn.WriteToUDPAddrPort(genuine, from)
+		if previous != nil {
+			_, _ = c.conn.WriteToUDPAddrPort(previous, previousFrom)
 		}
-		held, heldFrom = right, from
+		previous, previousFrom = genuine, from
 	}
 }
 
@@ -54,10 +54,9 @@
 	return conn
 }
 
-// Answers come late, twice, crossed and from a stranger. Each question gets its
-// own answer or none.
-func TestEachQuestionGetsItsOwnAnswer(t *testing.T) {
-	c := &crossing{conn: listen(t), stranger: listen(t)}
+// Late, repeated, reordered or forged responses must not be delivered to the wrong probe.
+func TestResponsesAreMatchedToProbes(t *testing.T) {
+	c := &hostileServer{conn: listen(t), impostor: listen(t)}
 	go c.serve()
 	client, err := NewClient("127.0.0.1:0")
 	if err != nil {
@@ -73,15 +72,15 @@
 			defer wg.Done()
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			answer, err := client.Probe(ctx, to, &peerv1.ProbeRequest{PromptTokens: uint32(i)})
-			if err != nil || answer.WaitMs != uint32(i) {
-				t.Errorf("question %d: %v %v", i, answer, err)
+			response, err := client.Probe(ctx, to, &peerv1.ProbeRequest{PromptTokens: uint32(i)})
+			if err != nil || response.WaitMs != uint32(i) {
+				t.Errorf("probe %d: %v %v", i, response, err)
 			}
 		}()
 	}
 	wg.Wait()
 	if n := len(client.pending); n != 0 {
-		t.Errorf("%d questions are left pending", n)
+		t.Errorf("%d probes are still pending", n)
 	}
 }
 
@@ -100,18 +99,18 @@
 	defer client.Close()
 	to := server.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	to = netip.AddrPortFrom(to.Addr().Unmap(), to.Port())
-	request := sample()
+	request := sampleRequest()
 	data, _ := proto.Marshal(request)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := client.Probe(context.Background(), to, sample()); err != nil {
+		if _, err := client.Probe(context.Background(), to, sampleRequest()); err != nil {
 			b.Fatal(err)
 		}
 	}
 	b.ReportMetric(float64(len(data)), "request-B")
 }
 
-func sample() *peerv1.ProbeRequest {
+func sampleRequest() *peerv1.ProbeRequest {
 	return &peerv1.ProbeRequest{
 		Id: 1 << 30, Workspace: 1 << 30, Class: 1, PromptTokens: 11_000,
 		Points: []uint32{1 << 30, 2 << 30, 3 << 30}, PointTokens: []uint32{6144, 9216, 10240},
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,52 +1,49 @@
-// Package retry bounds retries to a share of the traffic, so that they cannot
-// multiply an overload.
+// Package retry limits retries to a share of the requests, so that they cannot multiply an
+// overload.
 package retry
 
 import "sync"
 
 const (
-	// maxSaved is how many retries a quiet time saves up.
+	// defaultLimit is the number of retries that may accumulate.
 	defaultLimit = 10.0
-	// startSaved lets a process that just started retry a little.
+	// defaultInitialBalance lets a new process make a few retries.
 	defaultInitialBalance = 3.0
 )
 
-// Budget allows retries as a share of requests. It is safe for concurrent use.
+// Budget accumulates a fraction of a retry with each request. It is safe for concurrent use.
 type Budget struct {
 	mu      sync.Mutex
 	balance float64
 	limit   float64
 }
 
-// NewBudget returns a budget that allows a few retries at once.
+// NewBudget returns a budget with the default limit.
 func NewBudget() *Budget { return &Budget{balance: defaultInitialBalance, limit: defaultLimit} }
 
-// freshShare is the part of what may be saved that a new budget starts with. A
-// process that is killed and started again would spend what several may if it
-// were all.
+// initialShare is the share of the limit that a new budget starts with. With a full budget, a
+// process that restarts repeatedly would exceed its share.
 const initialShare = 0.3
 
-// NewBudgetOf returns a budget that saves up to most retries.
-func NewBudgetWithLimit(most float64) *Budget {
-	return &Budget{balance: initialShare * most, limit: most}
-}
+// NewBudgetWithLimit returns a budget in which up to n retries accumulate.
+func NewBudgetWithLimit(n float64) *Budget { return &Budget{balance: initialShare * n, limit: n} }
 
-// SetMost changes how many retries are saved up.
-func (b *Budget) SetLimit(most float64) {
+// SetLimit changes how many retries may accumulate.
+func (b *Budget) SetLimit(limit float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.limit = most
-	b.balance = min(b.balance, most)
+	b.limit = limit
+	b.balance = min(b.balance, limit)
 }
 
-// Earn counts one request; share is the part of a retry that it pays for.
+// Earn records one request, which adds share retries to the balance.
 func (b *Budget) Earn(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance = min(b.balance+share, b.limit)
 }
 
-// Spend takes one retry and reports whether there was one.
+// Spend deducts one retry from the balance, and reports whether there was one.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
