--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// maxAttempts bounds the targets at which one request is run.
+	// maxAttempts bounds the attempts to run one request.
 	maxAttempts = 4
-	// resumeWindow is how long after a cut, or after the last frame since, the entry tries to
-	// resume a stream at its target, so that a sidecar can be replaced. After that the rest
-	// runs at another target.
+	// resumeWindow is how long the entry tries to resume a cut stream at its target without
+	// receiving a frame, so that a sidecar can be replaced. After that the rest runs at another
+	// target.
 	resumeWindow = time.Second
 	// resumeTimeout bounds the wait for the first frame of a resumed stream. A frozen sidecar's
 	// host accepts connections, but the sidecar never responds.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -64,7 +64,7 @@
 	prober   *probe.Client
 	location routing.Location
 	// clients maps sidecar addresses to their peerv1.GateClient.
-	clients         sync.Map // address to peerv1.GateClient
+	clients         sync.Map
 	inFlight        atomic.Int64
 	handler         http.Handler
 	tasks           sync.WaitGroup
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -166,8 +166,8 @@
 	return m
 }
 
-// probe probes one target. Its timeout is independent of the round's, so that targets that
-// respond late are not marked as suspect.
+// probe probes one target. Its timeout is independent of the round, which may end early, so
+// that targets that respond late are not marked as suspect.
 func (e *Entry) probe(target *routing.Target, index int, request *peerv1.ProbeRequest) probeResult {
 	ctx, cancel := detachedContext(probeTimeout)
 	defer cancel()
@@ -179,7 +179,7 @@
 	result := probeResult{estimate: routing.Estimate{Index: index, RoundTrip: e.roundTrip(target)}}
 	e.follower.Hint(m.ConfigVersion, target.Address)
 	if kind := errkind.Kind(m.RefusalKind); kind != errkind.None {
-		e.noteRefusal(target.Name, kind)
+		e.recordLeaving(target.Name, kind)
 		result.estimate.Refused = true
 		result.refusal = errkind.After(kind, time.Duration(m.RetryAfterMs)*time.Millisecond, "")
 		return result
@@ -191,7 +191,8 @@
 	return result
 }
 
-func (e *Entry) noteRefusal(target string, kind errkind.Kind) {
+// recordLeaving marks the target as leaving if it refused for that reason.
+func (e *Entry) recordLeaving(target string, kind errkind.Kind) {
 	if kind == errkind.Leaving {
 		e.health.record(target, routing.Leaving)
 	}
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -339,7 +339,7 @@
 	e.follower.Hint(resp.Msg.ConfigVersion, target.Address)
 	if resp.Msg.Refusal != nil {
 		refusal := refusalOf(resp.Msg.Refusal)
-		e.noteRefusal(target.Name, refusal.Kind)
+		e.recordLeaving(target.Name, refusal.Kind)
 		return nil, refusal
 	}
 	return resp.Msg, nil
--- a/internal/entry/view.go
+++ b/internal/entry/view.go
@@ -71,7 +71,7 @@
 
 const (
 	// suspectDuration is how long a target that could not be reached is used only as a last
-	// resort.
+	// resort. It is also the retry delay of requests that no target can serve.
 	suspectDuration = 2 * time.Second
 	// leavingDuration is how long a target that refused a request as leaving gets no new work.
 	// By then the host list usually shows its state; if not, the target refuses again.
@@ -112,12 +112,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	states := make(map[string]routing.State, len(h.observations))
-	for target, m := range h.observations {
-		if h.now().After(m.expiresAt) {
+	for target, o := range h.observations {
+		if h.now().After(o.expiresAt) {
 			delete(h.observations, target)
 			continue
 		}
-		states[target] = m.state
+		states[target] = o.state
 	}
 	return states
 }
