--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -32,7 +32,7 @@
 type entry struct {
 	beliefs   *beliefs
 	ledger    *ledger.Ledger
-	parts     *parts.Book
+	parts     *parts.Index
 	health    *health.Monitor
 	reach     *reach.Monitor
 	pool      *upstream.Pool
@@ -50,7 +50,7 @@
 }
 
 func newEntry(p *process) *entry {
-	e := &entry{beliefs: p.beliefs, ledger: ledger.New(), parts: parts.NewBook(), reach: &reach.Monitor{}, caches: map[fleet.ID]time.Time{}, changed: map[fleet.ID]bool{}}
+	e := &entry{beliefs: p.beliefs, ledger: ledger.New(), parts: parts.NewIndex(), reach: &reach.Monitor{}, caches: map[fleet.ID]time.Time{}, changed: map[fleet.ID]bool{}}
 	e.health = health.NewMonitor(func(life fleet.Incarnation, until time.Time, failures, others float64, outcome health.Outcome) {
 		p.logger.Info("target_rested", "target", life, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
 			"failures", math.Round(100*failures)/100, "others", math.Round(100*others)/100, "outcome", outcome.String())
@@ -59,7 +59,7 @@
 	e.suspects = newSuspects(p)
 	e.forwarder = forward.New(forward.Deps{
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
-		Quarantine: e.suspects.book, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
+		Quarantine: e.suspects.book, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds: forward.Bounds{
 			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.Weights.Duration,
 		},
@@ -130,7 +130,7 @@
 
 func (e *entry) composeWork(beat *peerv1.Beat) {
 	if e.beliefs.large.Load() {
-		e.parts.DropFresh()
+		e.parts.DropUpdates()
 		return
 	}
 	for target, w := range e.ledger.Own(e.beliefs.clock.Now()) {
@@ -181,7 +181,7 @@
 // freshFacts returns what the other entries were not told yet of parts.
 func (e *entry) freshFacts() []*peerv1.PartHeld {
 	var facts []*peerv1.PartHeld
-	for _, f := range e.parts.TakeFresh(maxFacts) {
+	for _, f := range e.parts.TakeUpdates(maxFacts) {
 		facts = append(facts, &peerv1.PartHeld{Part: uint32(f.Part), Target: uint32(f.Target), Done: f.Done})
 	}
 	return facts
@@ -198,7 +198,7 @@
 	if m.Entry {
 		e.ledger.ApplyReport(m.Address, loadsOf(m.Heartbeat), m.Heartbeat.Partial, now)
 		for _, p := range m.Heartbeat.Parts {
-			e.parts.Told(parts.Fact{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
+			e.parts.Apply(parts.Update{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
 		}
 		e.suspects.heard(m)
 	}
@@ -224,7 +224,7 @@
 	}
 	e.caches[fleet.ID(c.Cache)] = now
 	for i, part := range c.Parts {
-		e.parts.Learn(fleet.ID(c.Cache), parts.Key(part), int(c.Tokens[i]), now)
+		e.parts.RecordReport(fleet.ID(c.Cache), parts.Key(part), int(c.Tokens[i]), now)
 	}
 }
 
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -55,7 +55,7 @@
 	View     func() (*view.View, bool)
 	Pool     *upstream.Pool
 	Ledger   *ledger.Ledger
-	Parts    *parts.Book
+	Parts    *parts.Index
 	Health   *health.Monitor
 	Reach    *reach.Monitor
 	// Quarantine tracks requests that were running when targets crashed; CrashDetector
@@ -126,7 +126,7 @@
 	retryBudgets   sync.Map // by service name; values are *retry.Budget
 	prefillTime    *readtime.Predictor
 	paces          *readtime.Slowdowns
-	turnover       parts.Turnover
+	turnover       parts.RetentionEstimator
 	callerTimeouts timeoutTracker
 }
 
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -96,9 +96,9 @@
 	now := fl.Now()
 	for i, k := range dst.partKeys {
 		cached, inProgress := false, false
-		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
-			cached = cached || s == parts.Held
-			inProgress = inProgress || s == parts.Coming
+		fl.Parts.VisitLocations(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
+			cached = cached || s == parts.Cached
+			inProgress = inProgress || s == parts.InProgress
 		})
 		if !cached {
 			return inProgress
@@ -298,7 +298,7 @@
 		running += totals[targets[i].ID].Memory.Total()
 	}
 	free := fl.service.Engine.CacheTokens - running/max(len(targets), 1)
-	return fl.turnover.Kept(fl.view.EntryCount, len(targets), max(free, 0), fl.Now())
+	return fl.turnover.Retention(fl.view.EntryCount, len(targets), max(free, 0), fl.Now())
 }
 
 // placementInput returns what the placement decision needs to know about the request.
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -95,8 +95,8 @@
 	tokens := 0
 	for i, k := range dst.partKeys {
 		elsewhere := false
-		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, fl.Now(), func(target fleet.ID, s parts.State) {
-			elsewhere = elsewhere || s == parts.Held && target != dst.target.ID
+		fl.Parts.VisitLocations(k, fl.request.Parts[i].Tokens, fl.Now(), func(target fleet.ID, s parts.State) {
+			elsewhere = elsewhere || s == parts.Cached && target != dst.target.ID
 		})
 		if elsewhere {
 			tokens += fl.request.Parts[i].Tokens
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -110,7 +110,7 @@
 		maxWaitTimer = time.AfterFunc(dst.maxWait, func() { cancel(errMaxWait) })
 		defer maxWaitTimer.Stop()
 	}
-	fl.turnover.Intake(dst.memoryTokens, fl.Now())
+	fl.turnover.AddTokens(dst.memoryTokens, fl.Now())
 	item := fl.Ledger.Begin(dst.target.ID, dst.work, dst.choice.Wait+dst.choice.Fetch, fl.Now())
 	defer item.End()
 	fl.notifySent(dst)
@@ -137,7 +137,7 @@
 	fl.lastSend.status = resp.Status
 	reply := fl.Protocol.ReadReply(resp.Status, resp.Header)
 	if reply.IdleTimeout > 0 {
-		fl.Pool.LimitIdle(dst.target.Address, reply.IdleTimeout)
+		fl.Pool.SetIdleLimit(dst.target.Address, reply.IdleTimeout)
 	}
 	if reply.NotRun {
 		return fl.handleNotRun(dst, resp, reply)
@@ -160,9 +160,9 @@
 // recordParts records that the engine, and the store that it offloads to, has the prompt's
 // parts or is computing them. It reports whether the other entries should be told.
 func (fl *flow) recordParts(dst *destination, done bool) bool {
-	updated := fl.Parts.Note(dst.target.ID, dst.partKeys, done, fl.Now())
+	updated := fl.Parts.Record(dst.target.ID, dst.partKeys, done, fl.Now())
 	if dst.offloadTo != "" {
-		updated = fl.Parts.Note(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
+		updated = fl.Parts.Record(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
 	}
 	return updated
 }
@@ -185,9 +185,9 @@
 		send.Priority = dst.choice.Priority
 	}
 	return &upstream.Request{
-		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Retryable(),
-		Mine: func(status int, h http.Header) bool {
+		Method: fl.r.Method, RequestURI: fl.r.RequestURI, Host: fl.r.Host,
+		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Retryable(),
+		Matches: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
 		},
--- a/internal/gateway/forward/sources.go
+++ b/internal/gateway/forward/sources.go
@@ -104,7 +104,7 @@
 			rate := fl.linkRate(min(s.Store.LinkMbps, fl.service.Engine.LinkMbps))
 			p.sources = append(p.sources, source{
 				id: id, address: s.Store.Address, zone: s.Store.Zone, tokens: tokens, rate: rate,
-				unknown: !fl.Parts.Known(id, fl.Now()) && fl.linkQueue(s.Store.Address) < maxLinkQueue,
+				unknown: !fl.Parts.ReportedRecently(id, fl.Now()) && fl.linkQueue(s.Store.Address) < maxLinkQueue,
 			})
 		}
 	}
@@ -228,7 +228,7 @@
 		return ""
 	}
 	last := len(keys) - 1
-	if fl.Parts.At(keys[last], fl.request.Parts[last].Tokens, storeID(s.Store.Address.String()), fl.Now()) != parts.Absent {
+	if fl.Parts.StateAt(keys[last], fl.request.Parts[last].Tokens, storeID(s.Store.Address.String()), fl.Now()) != parts.Absent {
 		return ""
 	}
 	return s.Store.Address.String()
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -38,9 +38,9 @@
 
 // State is what the engine's controller knows of it.
 type State struct {
-	Life    fleet.Incarnation
-	Weights map[string]int64
-	Phase   weights.Phase
+	Incarnation fleet.Incarnation
+	Weights     map[string]int64
+	Phase       weights.Phase
 	// ReportedAt is when the engine last reported.
 	ReportedAt time.Time
 }
@@ -52,7 +52,7 @@
 	mu     sync.Mutex
 	known  bool
 	state  State
-	book   *parts.Book
+	book   *parts.Index
 	paces  *readtime.Slowdowns
 	health *health.Monitor
 	sends  map[probe.SendID]*send
@@ -67,39 +67,39 @@
 // New returns a tracker of an engine of which nothing is known.
 func New(now func() time.Time) *Tracker {
 	return &Tracker{
-		now: now, book: parts.NewBook(), paces: readtime.NewSlowdowns(),
+		now: now, book: parts.NewIndex(), paces: readtime.NewSlowdowns(),
 		health: health.NewMonitor(nil), sends: map[probe.SendID]*send{}, elsewhere: newElsewhere(),
 	}
 }
 
 // Set takes in what the engine's controller knows. What was sent to an earlier life of
 // the engine ended with it; one that does not answer for a moment keeps its life.
-func (t *Tracker) Set(s State) {
+func (t *Tracker) SetState(s State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s.Life.Instance == "" {
-		s.Life = t.state.Life
+	if s.Incarnation.Instance == "" {
+		s.Incarnation = t.state.Incarnation
 	}
-	if t.known && s.Life != t.state.Life && t.state.Life.Instance != "" {
+	if t.known && s.Incarnation != t.state.Incarnation && t.state.Incarnation.Instance != "" {
 		t.forget()
 	}
 	t.known, t.state = true, s
 }
 
 func (t *Tracker) forget() {
-	t.book, t.paces = parts.NewBook(), readtime.NewSlowdowns()
+	t.book, t.paces = parts.NewIndex(), readtime.NewSlowdowns()
 	clear(t.sends)
 }
 
 // Learn takes in that the engine's cache holds so many tokens of a part now.
-func (t *Tracker) Learn(k parts.Key, tokens int) {
+func (t *Tracker) SetCached(k parts.Key, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.book.Learn(t.id(), k, tokens, t.now())
+	t.book.RecordReport(t.id(), k, tokens, t.now())
 }
 
 // id is the engine's short name. The caller holds mu.
-func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Life.String()) }
+func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Incarnation.String()) }
 
 // Probe implements probe.Engine.
 func (t *Tracker) Probe(p probe.Prompt) (probe.Response, bool) {
@@ -111,10 +111,10 @@
 	}
 	t.sweep(now)
 	a := probe.Response{
-		Incarnation: t.state.Life, WeightVersions: t.state.Weights, Phase: t.state.Phase,
-		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), OfferedLoad: t.arriving.thousandths(now), Slowdown: t.paces.Factor(t.state.Life, now), ReportAge: now.Sub(t.state.ReportedAt),
+		Incarnation: t.state.Incarnation, WeightVersions: t.state.Weights, Phase: t.state.Phase,
+		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), OfferedLoad: t.arriving.thousandths(now), Slowdown: t.paces.Factor(t.state.Incarnation, now), ReportAge: now.Sub(t.state.ReportedAt),
 	}
-	_, a.Unhealthy = t.health.Ejected(now)[t.state.Life]
+	_, a.Unhealthy = t.health.Ejected(now)[t.state.Incarnation]
 	t.lookUp(p, &a, now)
 	return a, true
 }
@@ -133,12 +133,12 @@
 		}
 	}
 	for i, k := range keys {
-		if t.book.At(k, p.Parts[i].Tokens, id, now) == parts.Coming {
+		if t.book.StateAt(k, p.Parts[i].Tokens, id, now) == parts.InProgress {
 			a.PrefillInProgress = true
 		}
 	}
 	last := len(keys) - 1
-	a.Offloaded = t.book.At(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Held
+	a.Offloaded = t.book.StateAt(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Cached
 	t.elsewhere.lookUp(keys[last], a, now)
 }
 
@@ -171,8 +171,8 @@
 	}
 	t.sends[id] = one
 	t.arriving.add(one.urgency, one.reads, now)
-	t.book.Note(t.id(), one.keys, false, now)
-	t.book.DropFresh() // nobody else is told
+	t.book.Record(t.id(), one.keys, false, now)
+	t.book.DropUpdates() // nobody else is told
 }
 
 // Progressed implements probe.Engine. The failure guarded against is a word that comes
@@ -188,16 +188,16 @@
 	}
 	if p.PrefillDone {
 		one.wasRead, t.freeAt = true, now
-		t.book.Note(t.id(), one.keys, true, now)
+		t.book.Record(t.id(), one.keys, true, now)
 		if one.saved {
-			t.book.Note(theStore, one.keys, true, now)
+			t.book.Record(theStore, one.keys, true, now)
 		}
-		t.book.DropFresh()
-		t.paces.Record(t.state.Life, p.Latency, p.ExpectedLatency, now)
+		t.book.DropUpdates()
+		t.paces.Record(t.state.Incarnation, p.Latency, p.ExpectedLatency, now)
 	}
 	if p.Ended {
 		delete(t.sends, id)
-		t.health.Record("", t.state.Life, p.Outcome, now)
+		t.health.Record("", t.state.Incarnation, p.Outcome, now)
 	}
 }
 
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -25,7 +25,7 @@
 func newBench() *bench {
 	b := &bench{at: start}
 	b.Tracker = New(func() time.Time { return b.at })
-	b.Set(State{Life: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	b.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
 	return b
 }
 
@@ -145,8 +145,8 @@
 	b := newBench()
 	id := b.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
 	b.OnProgress(id, probe.Progress{PrefillDone: true})
-	b.Learn(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
-	b.Set(State{Life: fleet.Incarnation{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	b.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
+	b.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
 	if a := b.probe(t, promptOf("a")); a.Work.Running != 0 || a.CachedTokens != 0 || a.Incarnation.Instance != "i-2" {
 		t.Errorf("answer %+v", a)
 	}
@@ -170,11 +170,11 @@
 		t.Errorf("afterwards: coming %v, held %d", a.PrefillInProgress, a.CachedTokens)
 	}
 	b.pass(time.Second)
-	b.Learn(parts.KeyOf(parts.Scope("m", 1, ""), "a"), 0)
+	b.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "a"), 0)
 	if a := b.probe(t, promptOf("a", "b")); a.CachedTokens != 0 {
 		t.Errorf("%d held of a prompt whose beginning was dropped", a.CachedTokens)
 	}
-	b.Set(State{Life: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: b.at})
+	b.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: b.at})
 	if a := b.probe(t, promptOf("b")); a.CachedTokens != 0 {
 		t.Errorf("%d held that were made by other weights", a.CachedTokens)
 	}
@@ -251,11 +251,11 @@
 func TestEngineThatWasHeldUpKeepsWhatIsKnown(t *testing.T) {
 	b := newBench()
 	b.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
-	b.Set(State{Phase: weights.Silent, Weights: map[string]int64{"m": 1}})
+	b.SetState(State{Phase: weights.Silent, Weights: map[string]int64{"m": 1}})
 	if a := b.probe(t, promptOf()); a.Phase != weights.Silent || a.Work.Running != 1 {
 		t.Errorf("while it is silent: %+v", a)
 	}
-	b.Set(State{Life: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	b.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
 	if a := b.probe(t, promptOf("a")); a.Work.Running != 1 || !a.PrefillInProgress {
 		t.Errorf("afterwards: %+v", a)
 	}
