--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -15,7 +15,7 @@
 
 const workspaceKey contextKey = 1
 
-// security implements the generated server's security handler.
+// security implements oas.SecurityHandler.
 type security struct{ *Entry }
 
 // HandleWorkspaceToken implements oas.SecurityHandler.
@@ -32,12 +32,12 @@
 	return w
 }
 
-// authenticate finds the workspace of a token by the token's digest, and
-// compares the digests in constant time.
+// authenticate finds the workspace of a token by the token's SHA-256 digest. Digests are
+// compared in constant time.
 func (e *Entry) authenticate(token string) (*config.Workspace, *errkind.Error) {
 	c, _, ok := e.current()
 	if !ok {
-		return nil, errkind.After(errkind.ConfigurationMissing, suspectFor, "")
+		return nil, errkind.After(errkind.ConfigurationMissing, suspectDuration, "")
 	}
 	sum := sha256.Sum256([]byte(token))
 	digest := hex.EncodeToString(sum[:])
@@ -48,9 +48,8 @@
 	return w, nil
 }
 
-// bearer returns the token of a request that the generated server does not
-// serve.
-func bearer(r *http.Request) (string, *errkind.Error) {
+// bearerToken returns the token of a request that bypasses the generated server.
+func bearerToken(r *http.Request) (string, *errkind.Error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
 		return "", errkind.New(errkind.Unauthenticated, "send Authorization: Bearer TOKEN")
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,16 +1,12 @@
-// Package entry is the role that takes callers' requests.
+// Package entry implements the entry role, which serves callers' requests.
 //
-// # What an entry guards against
+// An entry keeps no state that another process needs: it can be killed or restarted at any
+// time, and serves again as soon as it has read the configuration from the log or from a peer.
 //
-// An entry holds nothing that another cannot do without: no index, no session,
-// no record of calls. It is killed or restarted at any time, and a new one
-// serves as soon as it has the configuration, from the log or from any peer.
-//
-// A stream that breaks between target and entry is continued at the frame
-// after the last: at the same sidecar, at its successor, or, when the engine is
-// gone, by running the rest elsewhere. The caller sees one answer without a
-// gap, a repeat or a foreign frame. A call that may not be repeated is never
-// run again by the entry; the record of claims behind the sidecars decides.
+// If a stream from a target breaks, the entry resumes it after the last frame received: at the
+// same sidecar, at its successor, or, if the engine is gone, by running the rest of the
+// completion at another target. Whether an at-most-once call may run is decided by the claims
+// that sidecars record, never by the entry.
 package entry
 
 import (
@@ -38,21 +34,21 @@
 )
 
 const (
-	hostsTimeout = 2 * time.Second
-	viewPeriod   = 200 * time.Millisecond
+	hostListTimeout = 2 * time.Second
+	viewPeriod      = 200 * time.Millisecond
 )
 
-// Board is an entry's blackboard.
+// Board is the blackboard of an entry.
 type Board struct {
-	// Config is owned by the configuration follower.
+	// Config is written by the configuration follower.
 	Config blackboard.Fact[configlog.Snapshot]
-	// Hosts is owned by the host watcher.
+	// Hosts is written by refreshHosts.
 	Hosts blackboard.Fact[[]external.Host]
-	// View is owned by the view builder.
+	// View is written by buildView.
 	View blackboard.Fact[View]
 }
 
-// Entry is one process of the role. Make it with New.
+// Entry serves callers' requests. Use New to create one.
 type Entry struct {
 	settings *settings.Settings
 	logger   logr.Logger
@@ -61,20 +57,21 @@
 	board    *Board
 	loop     *control.Loop
 	follower *configlog.Follower
-	health   *health
+	health   *targetHealth
 	budget   *retry.Budget
 	burn     *burn.Counter
 	peers    *http.Client
 	prober   *probe.Client
-	place    routing.Place
-	clients  sync.Map // address to peerv1.GateClient
-	inFlight atomic.Int64
-	handler  http.Handler
-	tasks    sync.WaitGroup
-	reading  bool
+	location routing.Location
+	// clients maps sidecar addresses to their peerv1.GateClient.
+	clients         sync.Map
+	inFlight        atomic.Int64
+	handler         http.Handler
+	tasks           sync.WaitGroup
+	refreshingHosts bool
 }
 
-// Deps are what an entry needs from outside.
+// Deps are the dependencies of an entry.
 type Deps struct {
 	Log external.Log
 	// Hosts may be nil.
@@ -85,18 +82,18 @@
 	Metrics *metrics.Metrics
 }
 
-// New returns an entry that has not started.
+// New returns an entry. Call Start to run it.
 func New(s *settings.Settings, d Deps) (*Entry, error) {
 	e := &Entry{
 		settings: s, logger: d.Logger, metrics: d.Metrics, hosts: d.Hosts,
-		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.Control), health: newHealth(time.Now),
+		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.Control), health: newTargetHealth(time.Now),
 		budget: retry.NewBudget(), burn: burn.NewCounter(time.Now), peers: d.Peers, prober: d.Prober,
-		place: routing.Place{Zone: s.AvailabilityZone, Region: s.Region},
+		location: routing.Location{Zone: s.AvailabilityZone, Region: s.Region},
 	}
 	e.follower = configlog.NewFollower(e.loop, d.Log, &e.board.Config, configlog.FollowerOptions{
 		Address: s.AdminListen, Peers: s.Peers, LogPolls: s.Timing.LogPolls, SyncPeriod: s.Timing.SyncPeriod.Duration,
 		Retention: s.Platform.LogRetention.Duration, Client: d.Peers, Logger: d.Logger, LogError: d.Metrics.LogError,
-		InForce: e.inForce,
+		InForce: e.configChanged,
 	})
 	handler, err := e.newHandler()
 	if err != nil {
@@ -106,7 +103,7 @@
 	return e, nil
 }
 
-// Start runs the control thread and the controllers.
+// Start runs the control loop and the controllers.
 func (e *Entry) Start() {
 	e.tasks.Add(1)
 	go func() {
@@ -116,20 +113,20 @@
 	e.follower.Start()
 	e.loop.Every(func() time.Duration { return viewPeriod }, e.buildView)
 	if e.hosts != nil {
-		e.loop.Every(func() time.Duration { return e.settings.Timing.HostsPeriod.Duration }, e.readHosts)
+		e.loop.Every(func() time.Duration { return e.settings.Timing.HostsPeriod.Duration }, e.refreshHosts)
 	}
 }
 
-// Handler serves callers.
+// Handler returns the handler of the callers' API.
 func (e *Entry) Handler() http.Handler { return e.handler }
 
-// PeerHandler serves other processes; it belongs on the administration
-// address, away from callers.
+// PeerHandler returns the path and the handler of the peer API. It must be served at the
+// administration address only, which callers cannot reach.
 func (e *Entry) PeerHandler() (string, http.Handler) {
 	return peerv1.NewPeerHandler(configlog.NewPeerServer(&e.board.Config, e.follower.Hint))
 }
 
-// Close ends the entry.
+// Close stops the control loop and waits for it.
 func (e *Entry) Close() {
 	e.loop.Stop()
 	e.tasks.Wait()
@@ -138,7 +135,7 @@
 // Board returns the blackboard, for the administration API.
 func (e *Entry) Board() *Board { return e.board }
 
-// Burn returns the objective counts.
+// Burn returns the counter of requests that met or missed their objective.
 func (e *Entry) Burn() *burn.Counter { return e.burn }
 
 // Ready reports whether the entry has a configuration to route by.
@@ -147,33 +144,34 @@
 	return ok
 }
 
-// InFlight is the number of requests being served.
+// InFlight returns the number of requests being served.
 func (e *Entry) InFlight() int { return int(e.inFlight.Load()) }
 
-func (e *Entry) inForce(s configlog.Snapshot) {
+func (e *Entry) configChanged(s configlog.Snapshot) {
 	e.metrics.ConfigVersion(s.Version)
 	e.buildView()
 }
 
-func (e *Entry) readHosts() {
-	if e.reading {
+func (e *Entry) refreshHosts() {
+	if e.refreshingHosts {
 		return
 	}
-	e.reading = true
-	control.Do(e.loop, hostsTimeout, e.hosts.List, func(hosts []external.Host, err error) {
-		e.reading = false
+	e.refreshingHosts = true
+	control.Do(e.loop, hostListTimeout, e.hosts.List, func(hosts []external.Host, err error) {
+		e.refreshingHosts = false
 		if err != nil {
 			e.logger.Info("hosts_read_failed", "error", err.Error())
 			return
 		}
-		before, _ := e.board.Hosts.Get()
-		e.board.Hosts.Post(withDeparted(before, hosts, e.targetNamed), time.Now())
+		previous, _ := e.board.Hosts.Get()
+		e.board.Hosts.Post(keepDeparted(previous, hosts, e.hasTarget), time.Now())
 		e.buildView()
 	})
 }
 
-// targetNamed reports whether the configuration in force has a target of a name.
-func (e *Entry) targetNamed(name string) bool {
+// hasTarget reports whether the current configuration has a target of that name. It returns
+// true while there is no configuration.
+func (e *Entry) hasTarget(name string) bool {
 	s, ok := e.board.Config.Get()
 	if !ok {
 		return true
@@ -182,7 +180,7 @@
 	return service != nil
 }
 
-// client returns the client of a sidecar.
+// client returns the cached client of a sidecar.
 func (e *Entry) client(address string) peerv1.GateClient {
 	if c, ok := e.clients.Load(address); ok {
 		return c.(peerv1.GateClient)
@@ -191,13 +189,13 @@
 	return c.(peerv1.GateClient)
 }
 
-// current returns the configuration and the view built from it.
+// current returns the current configuration and the view built from it.
 func (e *Entry) current() (*config.Config, View, bool) {
 	view, ok := e.board.View.Get()
 	return view.Config, view, ok
 }
 
-// background returns a context for what must outlive a caller.
-func background(timeout time.Duration) (context.Context, context.CancelFunc) {
+// detachedContext returns a context for calls that must outlive the caller's request.
+func detachedContext(timeout time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), timeout)
 }
