--- a/internal/batchmodel/model.go
+++ b/internal/batchmodel/model.go
@@ -62,7 +62,7 @@
 	random  *rand.Rand
 	engines []*engine
 	ledger  *ledger.Ledger
-	meter   *readtime.Meter
+	meter   *readtime.Predictor
 	seen    []snapshot
 	seenAt  time.Duration
 	stats   stats
@@ -89,7 +89,7 @@
 		return nil, fmt.Errorf("policy %q; there are %v", policy, Policies)
 	}
 	m := &model{
-		spec: spec, policy: policy, random: rand.New(rand.NewPCG(spec.Seed, 1)), ledger: ledger.New(), meter: readtime.New(),
+		spec: spec, policy: policy, random: rand.New(rand.NewPCG(spec.Seed, 1)), ledger: ledger.New(), meter: readtime.NewPredictor(),
 		begun: time.Unix(1_000_000, 0), stats: stats{first: map[string][]time.Duration{}, inTime: map[string]int{}, asked: map[string]int{}},
 	}
 	for i := range spec.Engines {
@@ -164,11 +164,11 @@
 	seen := m.look(q.at)
 	switch m.policy {
 	case "random":
-		m.send(q, m.engines[m.random.IntN(len(m.engines))], placement.Choice{Urgency: q.class.Urgency})
+		m.send(q, m.engines[m.random.IntN(len(m.engines))], placement.Choice{Priority: q.class.Urgency})
 	case "least work":
-		m.send(q, m.least(q), placement.Choice{Urgency: q.class.Urgency})
+		m.send(q, m.least(q), placement.Choice{Priority: q.class.Urgency})
 	case "hash of the family":
-		m.send(q, m.engines[q.family()%uint64(len(m.engines))], placement.Choice{Urgency: q.class.Urgency})
+		m.send(q, m.engines[q.family()%uint64(len(m.engines))], placement.Choice{Priority: q.class.Urgency})
 	default:
 		m.decide(q, seen)
 	}
@@ -186,23 +186,23 @@
 
 // decide asks the product's own placement.
 func (m *model) decide(q *request, seen []snapshot) {
-	question := &placement.Question{
-		Family: q.family(), Shared: q.sharedTokens(), Own: q.own, MaxTokens: q.answer, Aim: q.class.Aim, Urgency: q.class.Urgency, LateUrgency: ledger.Urgencies/2 + q.class.Urgency,
-		VersionBound: time.Hour, ReadTime: m.readTime,
+	question := &placement.Input{
+		Family: q.family(), SharedTokens: q.sharedTokens(), OwnTokens: q.own, MaxTokens: q.answer, Objective: q.class.Aim, Priority: q.class.Urgency, LatePriority: ledger.Priorities/2 + q.class.Urgency,
+		MaxStaleness: time.Hour, PrefillTime: m.readTime,
 	}
 	totals := m.ledger.Totals(m.time(q.at))
 	candidates := make([]placement.Candidate, len(m.engines))
 	for i, e := range m.engines {
 		c := &candidates[i]
 		*c = placement.Candidate{
-			Hash: placement.Mix(uint64(i) + 1), Near: e.zone == q.entry%m.spec.Zones, Slots: e.spec.Slots, Memory: e.spec.Memory,
-			Work: totals[fleet.ID(i)], Held: seen[i].tokens(q),
+			Hash: placement.Mix(uint64(i) + 1), SameZone: e.zone == q.entry%m.spec.Zones, Slots: e.spec.Slots, Memory: e.spec.Memory,
+			Work: totals[fleet.ID(i)], CachedTokens: seen[i].tokens(q),
 		}
 		if m.policy == "oracle" {
-			c.Work.Reading = ledger.Lane(0, m.readTime(e.waitingTokens(q.class.Urgency)))
+			c.Work.Prefill = ledger.AtPriority(0, m.readTime(e.waitingTokens(q.class.Urgency)))
 		}
-		c.Fetchable, c.Source.Rate = m.fetchable(q, i, seen), m.spec.Engine.FetchPerMs
-		c.Source.Near = true
+		c.FetchableTokens, c.Source.TokensPerMs = m.fetchable(q, i, seen), m.spec.Engine.FetchPerMs
+		c.Source.SameZone = true
 	}
 	choice := placement.Pick(question, candidates)
 	if choice.Estimate > q.class.Patience {
@@ -223,21 +223,21 @@
 	return most
 }
 
-func (m *model) readTime(tokens int) time.Duration { return m.meter.Of(tokens) }
+func (m *model) readTime(tokens int) time.Duration { return m.meter.PrefillTime(tokens) }
 
 // send hands a request to an engine.
 func (m *model) send(q *request, e *engine, choice placement.Choice) {
 	held := e.held(q)
 	m.stats.shared += q.sharedTokens()
-	r := &run{request: q, engine: e, readyAt: q.at + e.spec.First, urgency: choice.Urgency}
-	if choice.Fetched > 0 {
-		m.fetch(r, held+choice.Fetched)
+	r := &run{request: q, engine: e, readyAt: q.at + e.spec.First, urgency: choice.Priority}
+	if choice.FetchedTokens > 0 {
+		m.fetch(r, held+choice.FetchedTokens)
 	}
 	m.count(q, e, held)
-	work := ledger.Work{Running: 1, Reading: ledger.Lane(choice.Urgency, choice.Read), Memory: ledger.Lane(choice.Urgency, choice.ReadTokens+choice.Fetched+q.answer)}
+	work := ledger.Work{Running: 1, Prefill: ledger.AtPriority(choice.Priority, choice.Prefill), Memory: ledger.AtPriority(choice.Priority, choice.PrefillTokens+choice.FetchedTokens+q.answer)}
 	item := m.ledger.Begin(fleet.ID(e.index), work, choice.Wait+choice.Fetch, m.time(q.at))
 	q.finish = func(r *run) { item.End(); m.finished(r) }
-	r.onFirst = func(at time.Duration) { item.Read(); m.firstToken(r, choice, at) }
+	r.onFirst = func(at time.Duration) { item.PrefillDone(); m.firstToken(r, choice, at) }
 	e.waiting = append(e.waiting, r)
 }
 
@@ -283,8 +283,8 @@
 // firstToken learns from the first token, as an entry does.
 func (m *model) firstToken(r *run, choice placement.Choice, at time.Duration) {
 	took := at - r.request.at
-	if choice.ReadTokens > 0 && choice.Wait < unhindered {
-		m.meter.Note(choice.ReadTokens, took-choice.Fetch)
+	if choice.PrefillTokens > 0 && choice.Wait < unhindered {
+		m.meter.Record(choice.PrefillTokens, took-choice.Fetch)
 	}
 	c := r.request.class
 	r.inTime = took <= c.Aim
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -55,9 +55,9 @@
 	View     func() (*view.View, bool)
 	Pool     *upstream.Pool
 	Ledger   *ledger.Ledger
-	Parts    *parts.Book
-	Health   *health.Book
-	Reach    *reach.Book
+	Parts    *parts.Index
+	Health   *health.Monitor
+	Reach    *reach.Monitor
 	// Quarantine tracks requests that were running when targets crashed; CrashDetector
 	// distinguishes crashes from other disconnects.
 	Quarantine    *quarantine.Registry
@@ -84,7 +84,7 @@
 // them.
 type Sidecars interface {
 	// Ask returns the answers in the order of engines, and which of the engines answered.
-	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Answer, []bool)
+	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Response, []bool)
 	// Sent reports a send and returns the ID under which its progress is to be reported.
 	Sent(engine netip.AddrPort, s probe.Send) uint32
 	Progressed(engine netip.AddrPort, number uint32, p probe.Progress)
@@ -124,15 +124,15 @@
 	inFlight       atomic.Int64
 	random         atomic.Uint64
 	retryBudgets   sync.Map // by service name; values are *retry.Budget
-	prefillTime    *readtime.Meter
-	paces          *readtime.Paces
-	turnover       parts.Turnover
+	prefillTime    *readtime.Predictor
+	paces          *readtime.Slowdowns
+	turnover       parts.RetentionEstimator
 	callerTimeouts timeoutTracker
 }
 
 // New returns a Forwarder.
 func New(d Deps) *Forwarder {
-	f := &Forwarder{Deps: d, prefillTime: readtime.New(), paces: readtime.NewPaces()}
+	f := &Forwarder{Deps: d, prefillTime: readtime.NewPredictor(), paces: readtime.NewSlowdowns()}
 	f.random.Store(d.Seed)
 	return f
 }
@@ -160,9 +160,9 @@
 	slack := f.Bounds.RetrySlack * slackShare / float64(max(entries, 1))
 	b, ok := f.retryBudgets.Load(service)
 	if !ok {
-		b, _ = f.retryBudgets.LoadOrStore(service, retry.NewBudgetOf(slack))
+		b, _ = f.retryBudgets.LoadOrStore(service, retry.NewBudgetWithLimit(slack))
 	}
-	b.(*retry.Budget).SetMost(slack)
+	b.(*retry.Budget).SetLimit(slack)
 	return b.(*retry.Budget)
 }
 
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -420,8 +420,8 @@
 func TestEntryThatIsCutOffRefusesAtOnce(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	env := newTestEnv(t, tg)
-	env.Reach.Heard(time.Now().Add(-time.Second))
-	env.Reach.Failed(time.Now())
+	env.Reach.HeartbeatReceived(time.Now().Add(-time.Second))
+	env.Reach.ConnectFailed(time.Now())
 	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil {
 		t.Fatal(err)
@@ -460,7 +460,7 @@
 	tg := startTarget(t, "i1", nil)
 	env := newTestEnv(t, tg)
 	env.view.Estate.Match(host, "/prompt/").MaxWait = 300 * time.Millisecond
-	busy := env.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Reading: ledger.Lane(0, 2*time.Second)}, time.Hour, time.Now())
+	busy := env.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Prefill: ledger.AtPriority(0, 2*time.Second)}, time.Hour, time.Now())
 	defer busy.End()
 	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "deadline_unmeetable") || resp.Header.Get("Retry-After") == "" {
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -192,9 +192,9 @@
 	env.pool = upstream.NewPool(func() {})
 	env.Forwarder = New(Deps{
 		Protocol: wiretest.Protocol{}, View: func() (*view.View, bool) { return env.view, true }, Pool: env.pool,
-		Ledger: ledger.New(), Parts: parts.NewBook(), Health: health.NewBook(nil), Reach: &reach.Book{},
+		Ledger: ledger.New(), Parts: parts.NewIndex(), Health: health.NewMonitor(nil), Reach: &reach.Monitor{},
 		Quarantine:    quarantine.NewRegistry(quarantine.Limits{MaxCrashes: 3, SuspectFor: time.Hour, RefuseFor: time.Hour, MaxRecords: 100}, noObserver{}),
-		CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return env.pool.Refuses(ctx, t.Address) }),
+		CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return env.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds:        Bounds{RetryRatio: 0.5, RetrySlack: 100, MaxStaleness: 5 * time.Second}, Zone: "a",
 		Logger: logr.Discard(), RoutineLogger: logr.Discard(), Metrics: noMetrics{}, AnnounceWork: func(fleet.ID) {}, Now: time.Now, Seed: 1,
 	})
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -96,9 +96,9 @@
 	now := fl.Now()
 	for i, k := range dst.partKeys {
 		cached, inProgress := false, false
-		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
-			cached = cached || s == parts.Held
-			inProgress = inProgress || s == parts.Coming
+		fl.Parts.VisitLocations(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
+			cached = cached || s == parts.Cached
+			inProgress = inProgress || s == parts.InProgress
 		})
 		if !cached {
 			return inProgress
@@ -109,7 +109,7 @@
 
 // choose chooses a target from the current view, without waiting.
 func (fl *flow) choose(ctx context.Context) (*destination, *errkind.Error) {
-	if fl.service.Engine != nil && fl.Reach.CutOff(fl.Now()) {
+	if fl.service.Engine != nil && fl.Reach.Partitioned(fl.Now()) {
 		return nil, errkind.After(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine or sidecar has responded recently")
 	}
 	if fl.service.Engine != nil && fl.route.HasPrompts {
@@ -122,7 +122,7 @@
 // preferably in the entry's availability zone.
 func (fl *flow) choosePlain() (*destination, *errkind.Error) {
 	totals := fl.Ledger.Totals(fl.Now())
-	ejected := fl.Health.Rested(fl.Now())
+	ejected := fl.Health.Ejected(fl.Now())
 	best, lowest := -1, math.Inf(1)
 	targets := fl.view.Targets[fl.service.Name]
 	for i := range targets {
@@ -194,7 +194,7 @@
 			if p.offloaded() {
 				dst.offloadTo = ""
 			}
-			dst.inProgress = p.inProgress && dst.choice.Held+dst.choice.Fetched < in.Shared
+			dst.inProgress = p.inProgress && dst.choice.CachedTokens+dst.choice.FetchedTokens < in.SharedTokens
 		}
 		return dst, refusal
 	}
@@ -203,7 +203,7 @@
 }
 
 // resolveChoice turns a placement choice into a destination or a refusal.
-func (fl *flow) resolveChoice(in *placement.Question, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
+func (fl *flow) resolveChoice(in *placement.Input, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
 	if choice.Index < 0 {
 		return nil, errkind.After(errkind.NoTarget, fl.jitter(fl.noEngineRetryAfter(in)), "no engine of %s can accept the request now", fl.service.Name)
 	}
@@ -213,8 +213,8 @@
 	c := &candidates[choice.Index]
 	dst := fl.engineDestination(targets[choice.Index], c, choice, in)
 	dst.linkTime = choice.Fetch
-	if choice.Fetched == 0 && choice.FetchFrom.IsValid() {
-		missing := unknownStoreShare * float64(max(in.Shared-choice.Held, 0))
+	if choice.FetchedTokens == 0 && choice.FetchFrom.IsValid() {
+		missing := unknownStoreShare * float64(max(in.SharedTokens-choice.CachedTokens, 0))
 		dst.linkTime = time.Duration(c.Source.FetchMs(int(missing)) * float64(time.Millisecond))
 	}
 	return dst, nil
@@ -226,8 +226,8 @@
 
 // noEngineRetryAfter returns the retry delay for a caller whose prompt no engine can
 // accept.
-func (fl *flow) noEngineRetryAfter(in *placement.Question) time.Duration {
-	if in.MemoryShare > 0 {
+func (fl *flow) noEngineRetryAfter(in *placement.Input) time.Duration {
+	if in.MaxMemoryShare > 0 {
 		return memoryFullRetryAfter
 	}
 	return busyRetryAfter
@@ -249,7 +249,7 @@
 	candidates := make([]placement.Candidate, len(targets))
 	totals := fl.Ledger.Totals(fl.Now())
 	fl.totalWork = totals
-	ejected := fl.Health.Rested(fl.Now())
+	ejected := fl.Health.Ejected(fl.Now())
 	retention := fl.partRetention(targets, totals)
 	schedule := fl.loadSchedule(targets)
 	locations := fl.locationsByVersion(retention)
@@ -257,18 +257,18 @@
 		t := &targets[i]
 		c := &candidates[i]
 		*c = placement.Candidate{
-			Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone,
-			Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Emptying: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
+			Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone,
+			Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Draining: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
 			Slots: t.Slots, Memory: fl.service.Engine.CacheTokens, Work: totals[t.ID],
 		}
-		c.LoadsIn, c.Loads = schedule[t.Incarnation]
-		c.Pace = fl.paces.Of(t.Incarnation, fl.Now())
-		c.Behind = wanted.Behind(c.Version, fl.Now())
+		c.LoadStartsIn, c.LoadScheduled = schedule[t.Incarnation]
+		c.Slowdown = fl.paces.Factor(t.Incarnation, fl.Now())
+		c.StaleFor = wanted.Behind(c.Version, fl.Now())
 		if c.Slots == 0 {
 			c.Slots = fl.service.Engine.Slots
 		}
-		_, c.Rested = ejected[t.Incarnation]
-		c.Rested = c.Rested || t.Unconfirmed || fl.view.Unresponsive[t.Address]
+		_, c.Ejected = ejected[t.Incarnation]
+		c.Ejected = c.Ejected || t.Unconfirmed || fl.view.Unresponsive[t.Address]
 		locations.get(c.Version).fillCandidate(c, t)
 	}
 	return candidates
@@ -295,27 +295,27 @@
 func (fl *flow) partRetention(targets []fleet.Target, totals map[fleet.ID]ledger.Work) time.Duration {
 	running := 0
 	for i := range targets {
-		running += totals[targets[i].ID].Memory.All()
+		running += totals[targets[i].ID].Memory.Total()
 	}
 	free := fl.service.Engine.CacheTokens - running/max(len(targets), 1)
-	return fl.turnover.Kept(fl.view.EntryCount, len(targets), max(free, 0), fl.Now())
+	return fl.turnover.Retention(fl.view.EntryCount, len(targets), max(free, 0), fl.Now())
 }
 
 // placementInput returns what the placement decision needs to know about the request.
-func (fl *flow) placementInput() *placement.Question {
-	in := &placement.Question{Aim: fl.route.TargetLatency - time.Since(fl.arrived), VersionBound: fl.Bounds.MaxStaleness, FarCost: placement.FarCost, ReadTime: fl.prefillTime.Of, MaxTokens: fl.request.MaxTokens}
-	in.Urgency, in.LateUrgency = fl.priority(false), fl.priority(true)
-	in.Apart = fl.suspectKey()
+func (fl *flow) placementInput() *placement.Input {
+	in := &placement.Input{Objective: fl.route.TargetLatency - time.Since(fl.arrived), MaxStaleness: fl.Bounds.MaxStaleness, CrossZoneCost: placement.CrossZoneCost, PrefillTime: fl.prefillTime.PrefillTime, MaxTokens: fl.request.MaxTokens}
+	in.Priority, in.LatePriority = fl.priority(false), fl.priority(true)
+	in.PinKey = fl.suspectKey()
 	for i, p := range fl.request.Parts {
 		if i < len(fl.request.Parts)-1 {
-			in.Shared += p.Tokens
+			in.SharedTokens += p.Tokens
 			in.Family = xxhash.Sum64String(p.ID)
 		}
 		if i == 0 {
-			in.Outer = xxhash.Sum64String(fl.isolatedWorkspace() + "\x00" + p.ID)
+			in.FirstPart = xxhash.Sum64String(fl.isolatedWorkspace() + "\x00" + p.ID)
 		}
 	}
-	in.Own = max(fl.request.PromptTokens-in.Shared, 0)
+	in.OwnTokens = max(fl.request.PromptTokens-in.SharedTokens, 0)
 	return in
 }
 
@@ -323,18 +323,18 @@
 const meanAnswerDivisor = 2
 
 // engineDestination returns the destination for a chosen candidate.
-func (fl *flow) engineDestination(t fleet.Target, c *placement.Candidate, choice placement.Choice, in *placement.Question) *destination {
+func (fl *flow) engineDestination(t fleet.Target, c *placement.Candidate, choice placement.Choice, in *placement.Input) *destination {
 	cacheScope := fl.cacheScopeAt(c.Version)
 	partKeys := parts.Keys(cacheScope, fl.request.Parts)
-	slowdown := max(c.Pace, 1)
+	slowdown := max(c.Slowdown, 1)
 	dst := &destination{
 		slowdown:           slowdown,
-		expectedFirstEvent: time.Duration(float64(choice.Wait+choice.Read)/slowdown) + choice.Fetch,
+		expectedFirstEvent: time.Duration(float64(choice.Wait+choice.Prefill)/slowdown) + choice.Fetch,
 		target:             t, cacheScope: cacheScope, weightsVersion: c.Version, choice: choice, fetchFrom: choice.FetchFrom, partKeys: partKeys, offloadTo: fl.offloadTo(partKeys, in),
-		work: ledger.Work{Running: 1, Reading: ledger.Lane(choice.Urgency, choice.Read)},
+		work: ledger.Work{Running: 1, Prefill: ledger.AtPriority(choice.Priority, choice.Prefill)},
 	}
-	dst.memoryTokens = choice.ReadTokens + choice.Fetched + in.MaxTokens/meanAnswerDivisor
-	dst.work.Memory = ledger.Lane(choice.Urgency, dst.memoryTokens)
+	dst.memoryTokens = choice.PrefillTokens + choice.FetchedTokens + in.MaxTokens/meanAnswerDivisor
+	dst.work.Memory = ledger.AtPriority(choice.Priority, dst.memoryTokens)
 	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		dst.maxWait = firstEventMaxWait(choice, fl.timeLeft())
 	}
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -48,7 +48,7 @@
 	probed, inProgress bool
 	// probeCount is the number of engines probed, probeAnswer the answer of the chosen one.
 	probeCount  int
-	probeAnswer probe.Answer
+	probeAnswer probe.Response
 	// familyFirst is the best ranked engine of the prompt's family, whose sidecar tracks
 	// where the family's parts are computed. familyFirstSendID is the ID of the send at
 	// that sidecar; zero if the send was not reported to it.
@@ -110,14 +110,14 @@
 		maxWaitTimer = time.AfterFunc(dst.maxWait, func() { cancel(errMaxWait) })
 		defer maxWaitTimer.Stop()
 	}
-	fl.turnover.Intake(dst.memoryTokens, fl.Now())
+	fl.turnover.AddTokens(dst.memoryTokens, fl.Now())
 	item := fl.Ledger.Begin(dst.target.ID, dst.work, dst.choice.Wait+dst.choice.Fetch, fl.Now())
 	defer item.End()
 	fl.notifySent(dst)
 	defer fl.notifyEnded(dst)
 	link := fl.beginFetch(dst)
 	defer link.End()
-	if fl.recordParts(dst, false) || dst.choice.Read > announcePrefill {
+	if fl.recordParts(dst, false) || dst.choice.Prefill > announcePrefill {
 		fl.AnnounceWork(dst.target.ID)
 	}
 	fl.sentAt = time.Now()
@@ -132,12 +132,12 @@
 	}
 	defer resp.Close()
 	if fl.service.Engine != nil {
-		fl.Reach.Answered(fl.Now())
+		fl.Reach.EngineResponded(fl.Now())
 	}
 	fl.lastSend.status = resp.Status
 	reply := fl.Protocol.ReadReply(resp.Status, resp.Header)
 	if reply.IdleTimeout > 0 {
-		fl.Pool.LimitIdle(dst.target.Address, reply.IdleTimeout)
+		fl.Pool.SetIdleLimit(dst.target.Address, reply.IdleTimeout)
 	}
 	if reply.NotRun {
 		return fl.handleNotRun(dst, resp, reply)
@@ -153,16 +153,16 @@
 
 // beginFetch adds the fetch to the work of the source's link, so that other prompts take
 // its queue into account.
-func (fl *flow) beginFetch(dst *destination) *ledger.Item {
-	return fl.Ledger.Begin(linkID(dst.fetchFrom), ledger.Work{Reading: ledger.Lane(0, dst.linkTime)}, fl.linkQueue(dst.fetchFrom), fl.Now())
+func (fl *flow) beginFetch(dst *destination) *ledger.Request {
+	return fl.Ledger.Begin(linkID(dst.fetchFrom), ledger.Work{Prefill: ledger.AtPriority(0, dst.linkTime)}, fl.linkQueue(dst.fetchFrom), fl.Now())
 }
 
 // recordParts records that the engine, and the store that it offloads to, has the prompt's
 // parts or is computing them. It reports whether the other entries should be told.
 func (fl *flow) recordParts(dst *destination, done bool) bool {
-	updated := fl.Parts.Note(dst.target.ID, dst.partKeys, done, fl.Now())
+	updated := fl.Parts.Record(dst.target.ID, dst.partKeys, done, fl.Now())
 	if dst.offloadTo != "" {
-		updated = fl.Parts.Note(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
+		updated = fl.Parts.Record(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
 	}
 	return updated
 }
@@ -182,12 +182,12 @@
 		send.FetchFrom = dst.fetchFrom.String()
 	}
 	if fl.service.Engine != nil {
-		send.Priority = dst.choice.Urgency
+		send.Priority = dst.choice.Priority
 	}
 	return &upstream.Request{
-		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Retryable(),
-		Mine: func(status int, h http.Header) bool {
+		Method: fl.r.Method, RequestURI: fl.r.RequestURI, Host: fl.r.Host,
+		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Retryable(),
+		Matches: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
 		},
@@ -197,7 +197,7 @@
 const (
 	// onTimePriorities is the number of priorities for requests that can be answered in
 	// time; as many follow for late ones.
-	onTimePriorities = ledger.Urgencies / 2
+	onTimePriorities = ledger.Priorities / 2
 	// workspaceStep is the weight of a workspace's priority relative to a route's.
 	workspaceStep = 2
 )
@@ -229,7 +229,7 @@
 		fl.runs--
 		fl.delivered--
 		if fl.service.Engine != nil {
-			fl.Reach.Failed(fl.Now())
+			fl.Reach.ConnectFailed(fl.Now())
 		}
 		fl.recordOutcome(dst, health.Unreachable)
 		return sendResult{notRun: true, refusal: errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%v", err)}
--- a/internal/gateway/health/health.go
+++ b/internal/gateway/health/health.go
@@ -64,7 +64,7 @@
 }
 
 // Book holds the records of all targets. It is safe for concurrent use.
-type Book struct {
+type Monitor struct {
 	mu      sync.Mutex
 	records map[fleet.Incarnation]*record
 	// changed is told when a target begins to rest.
@@ -72,12 +72,12 @@
 }
 
 // NewBook returns an empty book. changed is told of each rest that begins.
-func NewBook(changed func(life fleet.Incarnation, until time.Time, failures, others float64, outcome Outcome)) *Book {
-	return &Book{records: map[fleet.Incarnation]*record{}, changed: changed}
+func NewMonitor(changed func(life fleet.Incarnation, until time.Time, failures, others float64, outcome Outcome)) *Monitor {
+	return &Monitor{records: map[fleet.Incarnation]*record{}, changed: changed}
 }
 
 // Note takes in an outcome at a target of a service.
-func (b *Book) Note(service string, life fleet.Incarnation, o Outcome, now time.Time) {
+func (b *Monitor) Record(service string, life fleet.Incarnation, o Outcome, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[life]
@@ -125,7 +125,7 @@
 }
 
 // othersFailures is the mean share of bad outcomes at the other targets.
-func (b *Book) othersFailures(service string, life fleet.Incarnation) float64 {
+func (b *Monitor) othersFailures(service string, life fleet.Incarnation) float64 {
 	sum, n := 0.0, 0
 	for other, r := range b.records {
 		if r.service == service && other != life && r.weight >= minOutcomes {
@@ -140,7 +140,7 @@
 }
 
 // Rested returns the targets that rest now, with when each may be tried again.
-func (b *Book) Rested(now time.Time) map[fleet.Incarnation]time.Time {
+func (b *Monitor) Ejected(now time.Time) map[fleet.Incarnation]time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var rested map[fleet.Incarnation]time.Time
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -161,8 +161,8 @@
 	}
 	s.caches.followEngine(s.address, life)
 	s.life, s.report, s.phase, s.known = life, report, phase, true
-	s.tracker.Set(tracker.State{
-		Life: life, Weights: report.Weights, Phase: phase, ReportedAt: report.At,
+	s.tracker.SetState(tracker.State{
+		Incarnation: life, Weights: report.Weights, Phase: phase, ReportedAt: report.At,
 	})
 	if told && !s.beliefs.large.Load() {
 		s.beliefs.mesh.Broadcast()
