--- a/internal/batchmodel/engine.go
+++ b/internal/batchmodel/engine.go
@@ -38,28 +38,28 @@
 }
 
 // part is one cached part.
-type part struct {
-	tokens int
-	used   time.Duration
+type cachedPart struct {
+	tokens   int
+	lastUsed time.Duration
 }
 
 // engine is one engine's state. Times are since the run's beginning.
 type engine struct {
-	spec    EngineSpec
-	index   int
-	zone    int
-	version int
-	now     time.Duration
-	waiting []*run
-	running []*run
-	cache   map[uint64]*part
-	cached  int
-	linkAt  time.Duration
+	spec         EngineSpec
+	index        int
+	zone         int
+	version      int
+	clock        time.Duration
+	waiting      []*run
+	running      []*run
+	cache        map[uint64]*cachedPart
+	cachedTokens int
+	linkFreeAt   time.Duration
 	// loads holds the versions that are to be loaded, with their times.
-	loads []load
+	pendingLoads []weightLoad
 }
 
-type load struct {
+type weightLoad struct {
 	at      time.Duration
 	version int
 }
@@ -71,28 +71,28 @@
 	// readyAt is when it may be admitted: its fetch has ended by then.
 	readyAt time.Duration
 	// urgency ranks runs that wait; 0 is first.
-	urgency int
+	priority int
 	// toRead and made count tokens; holds is the memory that it takes.
-	toRead, made, holds int
+	prefillLeft, generated, memory int
 	// heldParts is how many of the shared parts were cached at the admission.
-	heldParts int
-	lastToken time.Duration
-	longest   time.Duration
-	inTime    bool
-	onFirst   func(at time.Duration)
+	cachedParts  int
+	lastToken    time.Duration
+	maxGap       time.Duration
+	firstInTime  bool
+	onFirstToken func(at time.Duration)
 }
 
 func newEngine(spec EngineSpec, index, zone int) *engine {
-	return &engine{spec: spec, index: index, zone: zone, cache: map[uint64]*part{}}
+	return &engine{spec: spec, index: index, zone: zone, cache: map[uint64]*cachedPart{}}
 }
 
 // advance runs steps until a time.
 func (e *engine) advance(until time.Duration) {
-	for e.now < until {
-		e.beginLoads()
+	for e.clock < until {
+		e.applyLoads()
 		e.admit()
 		if len(e.running) == 0 {
-			e.now = min(until, e.nextEvent(until))
+			e.clock = min(until, e.nextEvent(until))
 			continue
 		}
 		e.step()
@@ -103,66 +103,66 @@
 func (e *engine) nextEvent(until time.Duration) time.Duration {
 	next := until
 	for _, r := range e.waiting {
-		next = min(next, max(r.readyAt, e.now+time.Microsecond))
+		next = min(next, max(r.readyAt, e.clock+time.Microsecond))
 	}
-	if len(e.loads) > 0 {
-		next = min(next, max(e.loads[0].at, e.now+time.Microsecond))
+	if len(e.pendingLoads) > 0 {
+		next = min(next, max(e.pendingLoads[0].at, e.clock+time.Microsecond))
 	}
 	return next
 }
 
 // beginLoads loads weights that are due: everything stands still, and the cache is
 // of no use any more.
-func (e *engine) beginLoads() {
-	for len(e.loads) > 0 && e.loads[0].at <= e.now {
-		e.version = e.loads[0].version
-		e.loads = e.loads[1:]
-		e.now += e.spec.LoadTime
-		e.cache, e.cached = map[uint64]*part{}, 0
+func (e *engine) applyLoads() {
+	for len(e.pendingLoads) > 0 && e.pendingLoads[0].at <= e.clock {
+		e.version = e.pendingLoads[0].version
+		e.pendingLoads = e.pendingLoads[1:]
+		e.clock += e.spec.LoadTime
+		e.cache, e.cachedTokens = map[uint64]*cachedPart{}, 0
 	}
 }
 
 // admit takes waiting requests in, the most urgent first.
 func (e *engine) admit() {
 	slices.SortStableFunc(e.waiting, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.readyAt, b.readyAt))
+		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.readyAt, b.readyAt))
 	})
 	left := e.waiting[:0]
 	for _, r := range e.waiting {
-		if r.leaves(e.now) {
-			r.request.finish(r)
+		if r.timedOut(e.clock) {
+			r.request.onFinish(r)
 			continue
 		}
-		if r.readyAt > e.now || len(e.running) >= e.spec.Slots || !e.makeRoom(r.request.prompt()+r.request.answer) {
+		if r.readyAt > e.clock || len(e.running) >= e.spec.Slots || !e.evictFor(r.request.promptTokens()+r.request.outputTokens) {
 			left = append(left, r)
 			continue
 		}
-		e.begin(r)
+		e.start(r)
 	}
 	e.waiting = left
 }
 
-func (e *engine) begin(r *run) {
-	held := e.held(r.request)
-	r.heldParts = 0
-	for n := 0; n < held; r.heldParts++ {
-		n += r.request.shared[r.heldParts].tokens
+func (e *engine) start(r *run) {
+	held := e.cachedPrefix(r.request)
+	r.cachedParts = 0
+	for n := 0; n < held; r.cachedParts++ {
+		n += r.request.sharedParts[r.cachedParts].tokens
 	}
-	r.toRead = r.request.prompt() - held
-	r.holds = r.request.prompt() - held + r.request.answer
+	r.prefillLeft = r.request.promptTokens() - held
+	r.memory = r.request.promptTokens() - held + r.request.outputTokens
 	e.running = append(e.running, r)
-	for _, p := range r.request.shared {
-		if c := e.cache[p.key(e.version)]; c != nil {
-			c.used = e.now
+	for _, p := range r.request.sharedParts {
+		if c := e.cache[p.cacheKey(e.version)]; c != nil {
+			c.lastUsed = e.clock
 		}
 	}
 }
 
 // held is how many of a request's shared tokens are cached, from the first on.
-func (e *engine) held(q *request) int {
+func (e *engine) cachedPrefix(q *request) int {
 	n := 0
-	for _, p := range q.shared {
-		if e.cache[p.key(e.version)] == nil {
+	for _, p := range q.sharedParts {
+		if e.cache[p.cacheKey(e.version)] == nil {
 			break
 		}
 		n += p.tokens
@@ -170,32 +170,32 @@
 	return n
 }
 
-func (e *engine) used() int {
-	n := e.cached
+func (e *engine) usedMemory() int {
+	n := e.cachedTokens
 	for _, r := range e.running {
-		n += r.holds
+		n += r.memory
 	}
 	return n
 }
 
 // makeRoom drops cached parts until so many tokens fit.
-func (e *engine) makeRoom(tokens int) bool {
-	for e.used()+tokens > e.spec.MemoryTokens {
-		key, found := e.oldest()
+func (e *engine) evictFor(tokens int) bool {
+	for e.usedMemory()+tokens > e.spec.MemoryTokens {
+		key, found := e.leastRecentlyUsed()
 		if !found {
 			return false
 		}
-		e.cached -= e.cache[key].tokens
+		e.cachedTokens -= e.cache[key].tokens
 		delete(e.cache, key)
 	}
 	return true
 }
 
-func (e *engine) oldest() (uint64, bool) {
+func (e *engine) leastRecentlyUsed() (uint64, bool) {
 	var oldest uint64
 	found := false
 	for key, p := range e.cache {
-		if !found || p.used < e.cache[oldest].used || p.used == e.cache[oldest].used && key < oldest {
+		if !found || p.lastUsed < e.cache[oldest].lastUsed || p.lastUsed == e.cache[oldest].lastUsed && key < oldest {
 			oldest, found = key, true
 		}
 	}
@@ -206,88 +206,88 @@
 func (e *engine) step() {
 	budget := e.spec.PrefillChunk
 	pairs := 0.0
-	slices.SortStableFunc(e.running, func(a, b *run) int { return cmp.Compare(a.urgency, b.urgency) })
+	slices.SortStableFunc(e.running, func(a, b *run) int { return cmp.Compare(a.priority, b.priority) })
 	for _, r := range e.running {
-		n := min(budget, r.toRead)
+		n := min(budget, r.prefillLeft)
 		if n == 0 {
 			continue
 		}
-		before := r.request.prompt() - r.toRead
+		before := r.request.promptTokens() - r.prefillLeft
 		pairs += float64(n) * float64(before+n/2)
-		r.toRead -= n
+		r.prefillLeft -= n
 		budget -= n
-		if r.toRead == 0 {
-			e.keep(r)
+		if r.prefillLeft == 0 {
+			e.cacheParts(r)
 		}
 	}
 	took := e.spec.Step + time.Duration(len(e.running))*e.spec.StepPerRequest
 	took += fromMs(float64(e.spec.PrefillChunk-budget)/e.spec.PrefillTokensPerMs + pairs/1e6*e.spec.AttentionMs)
-	e.now += took
-	e.makeTokens()
+	e.clock += took
+	e.decode()
 }
 
 // keep caches the shared parts of a prompt that was read.
-func (e *engine) keep(r *run) {
-	for _, p := range r.request.shared[r.heldParts:] {
-		key := p.key(e.version)
+func (e *engine) cacheParts(r *run) {
+	for _, p := range r.request.sharedParts[r.cachedParts:] {
+		key := p.cacheKey(e.version)
 		if e.cache[key] != nil {
 			continue
 		}
 		// The run has held the part's memory so far.
-		r.holds -= p.tokens
-		e.cache[key] = &part{tokens: p.tokens, used: e.now}
-		e.cached += p.tokens
+		r.memory -= p.tokens
+		e.cache[key] = &cachedPart{tokens: p.tokens, lastUsed: e.clock}
+		e.cachedTokens += p.tokens
 	}
 }
 
-func (e *engine) makeTokens() {
+func (e *engine) decode() {
 	left := e.running[:0]
 	for _, r := range e.running {
-		if r.leaves(e.now) {
-			r.request.finish(r)
+		if r.timedOut(e.clock) {
+			r.request.onFinish(r)
 			continue
 		}
-		if r.toRead > 0 {
+		if r.prefillLeft > 0 {
 			left = append(left, r)
 			continue
 		}
-		r.token(e.now)
-		if r.made < r.request.answer {
+		r.addToken(e.clock)
+		if r.generated < r.request.outputTokens {
 			left = append(left, r)
 			continue
 		}
-		r.request.finish(r)
+		r.request.onFinish(r)
 	}
 	e.running = left
 }
 
 // leaves reports whether the caller has left before the first token.
-func (r *run) leaves(now time.Duration) bool {
-	return r.made == 0 && now-r.request.at > r.request.class.MaxWait
+func (r *run) timedOut(now time.Duration) bool {
+	return r.generated == 0 && now-r.request.arrival > r.request.class.MaxWait
 }
 
-func (r *run) token(now time.Duration) {
-	if r.made == 0 {
-		r.onFirst(now)
+func (r *run) addToken(now time.Duration) {
+	if r.generated == 0 {
+		r.onFirstToken(now)
 	} else {
-		r.longest = max(r.longest, now-r.lastToken)
+		r.maxGap = max(r.maxGap, now-r.lastToken)
 	}
-	r.made++
+	r.generated++
 	r.lastToken = now
 }
 
 // waitingTokens is how many prompt tokens are to be read before one of an urgency
 // that comes now.
-func (e *engine) waitingTokens(urgency int) int {
+func (e *engine) queuedPrefillTokens(urgency int) int {
 	n := 0
 	for _, r := range e.running {
-		if r.urgency <= urgency {
-			n += r.toRead
+		if r.priority <= urgency {
+			n += r.prefillLeft
 		}
 	}
 	for _, r := range e.waiting {
-		if r.urgency <= urgency {
-			n += r.request.prompt() - e.held(r.request)
+		if r.priority <= urgency {
+			n += r.request.promptTokens() - e.cachedPrefix(r.request)
 		}
 	}
 	return n
--- a/internal/batchmodel/model_test.go
+++ b/internal/batchmodel/model_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func play(t *testing.T, shape, policy string, change func(*Spec)) *Result {
+func mustRun(t *testing.T, shape, policy string, change func(*Spec)) *Result {
 	t.Helper()
 	spec := Shapes[shape]
 	spec.Duration = 12 * time.Second
@@ -22,7 +22,7 @@
 
 // A model that does not repeat is of no use for comparing.
 func TestRunsRepeat(t *testing.T) {
-	if a, b := play(t, "desk", "toucanwell", nil), play(t, "desk", "toucanwell", nil); !reflect.DeepEqual(a, b) {
+	if a, b := mustRun(t, "desk", "toucanwell", nil), mustRun(t, "desk", "toucanwell", nil); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v, then %+v", a, b)
 	}
 }
@@ -31,11 +31,11 @@
 func TestLonePromptTakesItsTime(t *testing.T) {
 	spec := EngineSpec{Slots: 4, MemoryTokens: 10_000, Step: 4 * time.Millisecond, PrefillTokensPerMs: 100, PrefillChunk: 2000, AdmissionDelay: 10 * time.Millisecond}
 	e := newEngine(spec, 0, 0)
-	q := &request{class: &Class{MaxWait: time.Minute}, own: 4000, answer: 3}
+	q := &request{class: &Class{MaxWait: time.Minute}, ownTokens: 4000, outputTokens: 3}
 	ended := time.Duration(0)
-	q.finish = func(r *run) { ended = r.lastToken }
+	q.onFinish = func(r *run) { ended = r.lastToken }
 	var first time.Duration
-	e.waiting = []*run{{request: q, engine: e, readyAt: spec.AdmissionDelay, onFirst: func(at time.Duration) { first = at }}}
+	e.waiting = []*run{{request: q, engine: e, readyAt: spec.AdmissionDelay, onFirstToken: func(at time.Duration) { first = at }}}
 	e.advance(time.Second)
 	if first != 58*time.Millisecond || ended != 66*time.Millisecond {
 		t.Errorf("first token at %s, end at %s", first, ended)
@@ -46,10 +46,10 @@
 func TestPartsAreCached(t *testing.T) {
 	e := newEngine(EngineSpec{Slots: 4, MemoryTokens: 5000, Step: time.Millisecond, PrefillTokensPerMs: 100, PrefillChunk: 1000, LoadTime: 10 * time.Millisecond}, 0, 0)
 	ask := func(name uint64) int {
-		q := &request{class: &Class{MaxWait: time.Minute}, shared: []shared{{name, 2000}}, own: 100, answer: 1, finish: func(*run) {}}
-		held := e.held(q)
-		e.waiting = []*run{{request: q, engine: e, onFirst: func(time.Duration) {}}}
-		e.advance(e.now + time.Second)
+		q := &request{class: &Class{MaxWait: time.Minute}, sharedParts: []sharedPart{{name, 2000}}, ownTokens: 100, outputTokens: 1, onFinish: func(*run) {}}
+		held := e.cachedPrefix(q)
+		e.waiting = []*run{{request: q, engine: e, onFirstToken: func(time.Duration) {}}}
+		e.advance(e.clock + time.Second)
 		return held
 	}
 	for i, step := range []struct {
@@ -60,12 +60,12 @@
 			t.Errorf("step %d: %d tokens held", i, got)
 		}
 	}
-	e.loads = []load{{at: e.now, version: 1}}
+	e.pendingLoads = []weightLoad{{at: e.clock, version: 1}}
 	if ask(1) != 2000 {
 		t.Error("the part is gone before the load")
 	}
-	if e.cached > e.spec.MemoryTokens || e.version != 1 {
-		t.Errorf("%d tokens cached, version %d", e.cached, e.version)
+	if e.cachedTokens > e.spec.MemoryTokens || e.version != 1 {
+		t.Errorf("%d tokens cached, version %d", e.cachedTokens, e.version)
 	}
 }
 
@@ -75,7 +75,7 @@
 	for _, load := range []float64{1, 1.6} {
 		worth := map[string]float64{}
 		for _, policy := range Policies {
-			worth[policy] = play(t, "desk", policy, func(s *Spec) { s.LoadFactor = load }).Worth
+			worth[policy] = mustRun(t, "desk", policy, func(s *Spec) { s.LoadFactor = load }).Worth
 		}
 		for _, simple := range Policies[:3] {
 			if worth["toucanwell"] <= worth[simple] {
--- a/internal/batchmodel/shapes.go
+++ b/internal/batchmodel/shapes.go
@@ -4,14 +4,14 @@
 
 // largeModel is an engine of eight accelerators with a dense model of 70 billion
 // parameters in 8 bits.
-var largeModel = EngineSpec{
+var eightAccelerators70B = EngineSpec{
 	Slots: 64, MemoryTokens: 250_000, Step: 3900 * time.Microsecond, StepPerRequest: 28 * time.Microsecond,
 	PrefillTokensPerMs: 66, PrefillChunk: 2048, AttentionMs: 0.28, AdmissionDelay: 12 * time.Millisecond,
 	FetchTokensPerMs: 280, FetchLatency: 5 * time.Millisecond, LoadTime: 430 * time.Millisecond,
 }
 
 // desk has long reviews whose prompts share a case file, and short questions.
-func desk(perSecond float64, cases, places int) []Class {
+func deskClasses(perSecond float64, cases, places int) []Class {
 	return []Class{
 		{
 			Name: "review", PerSecond: perSecond / 5, OwnTokens: 6600, OwnSigma: 1.0, OutputTokens: 76, OutputSigma: 0.44,
@@ -29,11 +29,11 @@
 // Shapes are the deployments that can be played by name.
 var Shapes = map[string]Spec{
 	"desk": {
-		Engine: largeModel, Engines: 9, Zones: 3, Entries: 4, Classes: desk(71, 120, 215), LoadFactor: 1, Duration: 34 * time.Second,
+		Engine: eightAccelerators70B, Engines: 9, Zones: 3, Entries: 4, Classes: deskClasses(71, 120, 215), LoadFactor: 1, Duration: 34 * time.Second,
 		CacheViewLag: 100 * time.Millisecond, WeightUpdates: []time.Duration{6 * time.Second, 20 * time.Second}, Seed: 1,
 	},
 	"swell": {
-		Engine: largeModel, Engines: 18, Zones: 3, Entries: 4, Classes: desk(142, 160, 430), LoadFactor: 1, Duration: 34 * time.Second,
+		Engine: eightAccelerators70B, Engines: 18, Zones: 3, Entries: 4, Classes: deskClasses(142, 160, 430), LoadFactor: 1, Duration: 34 * time.Second,
 		CacheViewLag: 100 * time.Millisecond, WeightUpdates: []time.Duration{6 * time.Second, 20 * time.Second}, Seed: 1,
 	},
 }
--- a/internal/batchmodel/traffic.go
+++ b/internal/batchmodel/traffic.go
@@ -36,41 +36,41 @@
 }
 
 // shared is one shared part of a request.
-type shared struct {
-	name   uint64
+type sharedPart struct {
+	id     uint64
 	tokens int
 }
 
 // key names a part as read under a version of the weights.
-func (s shared) key(version int) uint64 { return placement.Mix(s.name + uint64(version)) }
+func (s sharedPart) cacheKey(version int) uint64 { return placement.Mix(s.id + uint64(version)) }
 
 // request is one request of the traffic.
 type request struct {
-	class  *Class
-	at     time.Duration
-	entry  int
-	shared []shared
-	own    int
-	answer int
-	finish func(*run)
+	class        *Class
+	arrival      time.Duration
+	entry        int
+	sharedParts  []sharedPart
+	ownTokens    int
+	outputTokens int
+	onFinish     func(*run)
 }
 
 func (q *request) sharedTokens() int {
 	n := 0
-	for _, p := range q.shared {
+	for _, p := range q.sharedParts {
 		n += p.tokens
 	}
 	return n
 }
 
-func (q *request) prompt() int { return q.sharedTokens() + q.own }
+func (q *request) promptTokens() int { return q.sharedTokens() + q.ownTokens }
 
 // family names the innermost shared part.
 func (q *request) family() uint64 {
-	if len(q.shared) == 0 {
+	if len(q.sharedParts) == 0 {
 		return 0
 	}
-	return q.shared[len(q.shared)-1].name
+	return q.sharedParts[len(q.sharedParts)-1].id
 }
 
 // lognormal draws with a mean and a deviation of the logarithm.
@@ -79,7 +79,7 @@
 }
 
 // generate draws the requests of a length of time, in the order of arrival.
-func generate(classes []Class, entries int, length time.Duration, load float64, r *rand.Rand) []*request {
+func generateRequests(classes []Class, entries int, length time.Duration, load float64, r *rand.Rand) []*request {
 	var all []*request
 	total := 0.0
 	for _, c := range classes {
@@ -90,11 +90,11 @@
 		if at > length {
 			return all
 		}
-		all = append(all, draw(pick(classes, r), at, r.IntN(entries), r))
+		all = append(all, drawRequest(drawClass(classes, r), at, r.IntN(entries), r))
 	}
 }
 
-func pick(classes []Class, r *rand.Rand) *Class {
+func drawClass(classes []Class, r *rand.Rand) *Class {
 	sum := 0.0
 	for _, c := range classes {
 		sum += c.PerSecond
@@ -108,19 +108,19 @@
 	return &classes[len(classes)-1]
 }
 
-func draw(c *Class, at time.Duration, entry int, r *rand.Rand) *request {
-	q := &request{class: c, at: at, entry: entry, own: lognormal(r, c.OwnTokens, c.OwnSigma), answer: lognormal(r, c.OutputTokens, c.OutputSigma)}
+func drawRequest(c *Class, at time.Duration, entry int, r *rand.Rand) *request {
+	q := &request{class: c, arrival: at, entry: entry, ownTokens: lognormal(r, c.OwnTokens, c.OwnSigma), outputTokens: lognormal(r, c.OutputTokens, c.OutputSigma)}
 	name := placement.Mix(uint64(len(c.Name))<<32 + uint64(c.Name[0]))
 	for _, l := range c.PrefixLevels {
-		thing := popular(r, l)
+		thing := drawPart(r, l)
 		name = placement.Mix(name + uint64(thing) + 1)
-		q.shared = append(q.shared, shared{name: name, tokens: sized(name, l.Tokens)})
+		q.sharedParts = append(q.sharedParts, sharedPart{id: name, tokens: partTokens(name, l.Tokens)})
 	}
 	return q
 }
 
 // popular draws a thing by its popularity.
-func popular(r *rand.Rand, l PrefixLevel) int {
+func drawPart(r *rand.Rand, l PrefixLevel) int {
 	sum := 0.0
 	for i := range l.Count {
 		sum += math.Pow(float64(i+1), -l.Skew)
@@ -135,6 +135,6 @@
 }
 
 // sized gives each part a length of its own, from a half to three halves of the mean.
-func sized(name uint64, mean int) int {
+func partTokens(name uint64, mean int) int {
 	return mean/2 + int(placement.Mix(name^0xABCD)%uint64(mean))
 }
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -40,7 +40,7 @@
 )
 
 // heapOf is the heap that the made object keeps.
-func heapOf(make func() any) float64 {
+func retainedHeap(make func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -54,7 +54,7 @@
 }
 
 // text returns a configuration of a size.
-func text(targets, workspaces int) string {
+func configText(targets, workspaces int) string {
 	var b strings.Builder
 	b.WriteString("schema = 1\n[[region]]\nname = \"r1\"\navailability_zones = [\"a\", \"b\", \"c\"]\n[[region]]\nname = \"r2\"\navailability_zones = [\"d\", \"e\"]\n")
 	const services = 5
@@ -83,7 +83,7 @@
 // BenchmarkConfig is one change of the configuration at a process.
 func BenchmarkConfig(b *testing.B) {
 	for _, n := range []int{500, 2000, 5900} {
-		t := text(600, n)
+		t := configText(600, n)
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			for b.Loop() {
 				mustParse(b, t)
@@ -93,12 +93,12 @@
 			_, _ = w.Write([]byte(t))
 			_ = w.Close()
 			b.ReportMetric(float64(zipped.Len()), "wire-B")
-			b.ReportMetric(heapOf(func() any { return []any{mustParse(b, t), strings.Clone(t)} }), "heap-B")
+			b.ReportMetric(retainedHeap(func() any { return []any{mustParse(b, t), strings.Clone(t)} }), "heap-B")
 		})
 	}
 }
 
-func fleet(n int) []routing.Target {
+func makeTargets(n int) []routing.Target {
 	targets := make([]routing.Target, 0, n)
 	for i := range n {
 		targets = append(targets, routing.NewTarget("s", fmt.Sprintf("engine-%d", i), fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250), "a", "r"))
@@ -109,7 +109,7 @@
 // BenchmarkRank is the ranking of one request's targets at an entry.
 func BenchmarkRank(b *testing.B) {
 	for _, n := range []int{18, 72, 288, 600} {
-		targets := fleet(n)
+		targets := makeTargets(n)
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			key := uint64(1)
@@ -117,7 +117,7 @@
 				key++
 				routing.Rank(targets, routing.Place{Zone: "a", Region: "r"}, []uint64{1, key, key * 3})
 			}
-			b.ReportMetric(heapOf(func() any { return fleet(n) }), "heap-B")
+			b.ReportMetric(retainedHeap(func() any { return makeTargets(n) }), "heap-B")
 		})
 	}
 }
@@ -139,14 +139,14 @@
 				seq++
 				x.Apply(&external.EventPage{Incarnation: "a", First: 1, Events: []external.CacheEvent{{Seq: seq, Kind: external.EventStored, Blocks: []uint64{seq + 1<<40}}}})
 			}
-			b.ReportMetric(heapOf(func() any { return fill() }), "heap-B")
+			b.ReportMetric(retainedHeap(func() any { return fill() }), "heap-B")
 			event, _ := json.Marshal(external.CacheEvent{Seq: 1 << 30, Kind: external.EventStored, Blocks: []uint64{1 << 60}})
 			b.ReportMetric(float64(len(event)), "wire-B")
 		})
 	}
 }
 
-func newGate(queued int) *sidecar.Gate {
+func filledGate(queued int) *sidecar.Gate {
 	start := time.Now()
 	g := sidecar.NewGate(admission.Limits{MaxRunning: 4, MaxPrefilling: 1, MaxQueued: 1000}, 57_000, 10_000, func() time.Duration { return time.Since(start) })
 	for i := range queued + 1 {
@@ -159,7 +159,7 @@
 func BenchmarkQuote(b *testing.B) {
 	for _, n := range []int{0, 8, 64, 256} {
 		b.Run(fmt.Sprintf("queued=%d", n), func(b *testing.B) {
-			g := newGate(n)
+			g := filledGate(n)
 			q := sidecar.Question{Workspace: 3, Class: config.ClassInteractive, PromptTokens: 11_000, Points: []prefix.Point{{Block: 1, Tokens: 6144}, {Block: 2, Tokens: 9216}, {Block: 3, Tokens: 10_240}}}
 			for b.Loop() {
 				if _, refusal := g.Quote(q); refusal != nil {
@@ -188,17 +188,17 @@
 	return n, err
 }
 
-func plainHTTP2() *http.Protocols {
+func unencryptedHTTP2() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetUnencryptedHTTP2(true)
 	return p
 }
 
-func peerServer(fact *blackboard.Fact[configlog.Snapshot]) *httptest.Server {
+func startPeerServer(fact *blackboard.Fact[configlog.Snapshot]) *httptest.Server {
 	mux := http.NewServeMux()
 	mux.Handle(peerv1.NewPeerHandler(configlog.NewPeerServer(fact, func(uint64, string) {})))
 	server := httptest.NewUnstartedServer(mux)
-	server.Config.Protocols = plainHTTP2()
+	server.Config.Protocols = unencryptedHTTP2()
 	server.Start()
 	return server
 }
@@ -211,14 +211,14 @@
 			fact := &blackboard.Fact[configlog.Snapshot]{}
 			fact.Post(configlog.Snapshot{Version: 100_000, AsOf: 100_200, Text: "-"}, time.Now())
 			var total int64
-			client := &http.Client{Transport: &http.Transport{Protocols: plainHTTP2(), DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+			client := &http.Client{Transport: &http.Transport{Protocols: unencryptedHTTP2(), DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				return countingConn{conn, &total}, err
 			}}}
 			defer client.CloseIdleConnections()
 			var peers []peerv1.PeerClient
 			for range n {
-				server := peerServer(fact)
+				server := startPeerServer(fact)
 				defer server.Close()
 				peers = append(peers, peerv1.NewPeerClient(client, server.URL))
 			}
@@ -246,12 +246,12 @@
 	fact := &blackboard.Fact[configlog.Snapshot]{}
 	for _, n := range []int{10, 40, 120} {
 		b.Run(fmt.Sprintf("connections=%d", n), func(b *testing.B) {
-			client := &http.Client{Transport: &http.Transport{Protocols: plainHTTP2()}}
+			client := &http.Client{Transport: &http.Transport{Protocols: unencryptedHTTP2()}}
 			var servers []*httptest.Server
 			for range n {
-				servers = append(servers, peerServer(fact))
+				servers = append(servers, startPeerServer(fact))
 			}
-			kept := heapOf(func() any {
+			kept := retainedHeap(func() any {
 				for _, s := range servers {
 					p := peerv1.NewPeerClient(client, s.URL)
 					if _, err := p.Sync(context.Background(), connect.NewRequest(&peerv1.SyncRequest{})); err != nil {
@@ -318,7 +318,7 @@
 				once.NewKeyTable().Apply(p)
 			}
 			b.ReportMetric(float64(len(p.Records[0].Data)), "wire-B")
-			b.ReportMetric(heapOf(func() any {
+			b.ReportMetric(retainedHeap(func() any {
 				book := once.NewKeyTable()
 				book.Apply(p)
 				return book
@@ -344,7 +344,7 @@
 			for b.Loop() {
 				c.Add(key, true)
 			}
-			b.ReportMetric(heapOf(func() any { return fill() }), "heap-B")
+			b.ReportMetric(retainedHeap(func() any { return fill() }), "heap-B")
 		})
 	}
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	if c.ConfigText, err = freshAddresses(c.options.ConfigText, parsed); err != nil {
+	if c.ConfigText, err = assignAddresses(c.options.ConfigText, parsed); err != nil {
 		return err
 	}
 	if parsed, err = config.Parse("configuration", c.ConfigText); err != nil {
@@ -149,7 +149,7 @@
 }
 
 // freshAddresses gives each target a free address.
-func freshAddresses(text string, c *config.Config) (string, error) {
+func assignAddresses(text string, c *config.Config) (string, error) {
 	for i := range c.Services {
 		for _, t := range c.Services[i].Targets {
 			address, err := FreeAddress()
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -18,17 +18,17 @@
 // wakes, the entry takes the newest and is never seen to go back.
 func TestFrozenProcessNeverGoesBack(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
-	frozen := proc(c.Entries[0])
+	frozen := asProcess(c.Entries[0])
 	second := publish(t, c, 1, "retry_share = 0.1", "retry_share = 0.2")
-	eventually(t, "the second version is in force", func() bool { return versionAt(c.EntrySettings[0].AdminListen) == second })
+	eventually(t, "the second version is in force", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == second })
 	frozen.signal(syscall.SIGSTOP)
 	third := publish(t, c, second, "retry_share = 0.2", "retry_share = 0.3")
 	fourth := publish(t, c, third, "retry_share = 0.3", "retry_share = 0.4")
-	eventually(t, "the fourth version is in force at the other entry", func() bool { return versionAt(c.EntrySettings[1].AdminListen) == fourth })
+	eventually(t, "the fourth version is in force at the other entry", func() bool { return activeVersion(c.EntrySettings[1].AdminListen) == fourth })
 	frozen.signal(syscall.SIGCONT)
 	seen := second
 	eventually(t, "the fourth version is in force at the woken entry", func() bool {
-		v := versionAt(c.EntrySettings[0].AdminListen)
+		v := activeVersion(c.EntrySettings[0].AdminListen)
 		if v < seen {
 			t.Fatalf("version %d in force after %d", v, seen)
 		}
@@ -41,7 +41,7 @@
 // configuration is dropped, a process carries it forward; then every process
 // dies at once. The first one to come back finds the text in the log.
 func TestConfigurationOutlivesTheLogsRetention(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{
 		ConfigText: examples.Marktlizenz, Entries: 1, EngineCosts: slowCosts, LogOutput: io.Discard,
@@ -68,5 +68,5 @@
 	if err := c.StartEntry(0); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the entry has the first version in force", func() bool { return versionAt(c.EntrySettings[0].AdminListen) == 1 })
+	eventually(t, "the entry has the first version in force", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == 1 })
 }
--- a/internal/cluster/failure_test.go
+++ b/internal/cluster/failure_test.go
@@ -21,9 +21,9 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-func startSlow(t *testing.T, text string, entries int) *cluster.Cluster {
+func startInProcess(t *testing.T, text string, entries int) *cluster.Cluster {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{ConfigText: text, Entries: entries, EngineCosts: slowCosts, LogOutput: io.Discard})
 	if err != nil {
@@ -45,8 +45,8 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			b := completionBody{Model: "pruefer-lm", Messages: nested(i, i), MaxTokens: 20, Stream: i%2 == 0}
-			if err := answerTo(c, i%2, b); err != nil {
+			b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(i, i), MaxTokens: 20, Stream: i%2 == 0}
+			if err := checkCompletion(c, i%2, b); err != nil {
 				t.Errorf("request %d: %v", i, err)
 			}
 		}()
@@ -58,18 +58,18 @@
 // be told that it was not run, and asking again must not bill the trader twice.
 func TestLostAnswerOfAPlainCallIsUnknown(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, p := range c.PlainTargets {
 		p.SetFaults(standin.PlainFaults{LoseAnswers: true})
 	}
 	key := uuid.Must(uuid.NewV7()).String()
 	for try := range 4 {
-		if status, kind := callOnce(ctx, c.EntryURL(try%2), key, "renew"); kind != "outcome_unknown" {
+		if status, kind := callWithKey(ctx, c.EntryURL(try%2), key, "renew"); kind != "outcome_unknown" {
 			t.Errorf("try %d: %d %s", try, status, kind)
 		}
 	}
-	if n := runsOf(c, key); n != 1 {
+	if n := countRuns(c, key); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
 }
@@ -78,22 +78,22 @@
 // are answered as ever. When the log is back, the same key files.
 func TestLogOutageStopsFilingsOnly(t *testing.T) {
 	c := startCluster(t, examples.Marktlizenz, 1)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c.Log.SetFaults(standin.LogFaults{Down: true})
 	key := uuid.Must(uuid.NewV7()).String()
-	if status, kind := callOnce(ctx, c.EntryURL(0), key, "renew"); kind != "outcome_unknown" {
+	if status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew"); kind != "outcome_unknown" {
 		t.Errorf("filing: %d %s", status, kind)
 	}
-	if err := answerTo(c, 0, completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 3}); err != nil {
+	if err := checkCompletion(c, 0, completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 3}); err != nil {
 		t.Error(err)
 	}
 	c.Log.SetFaults(standin.LogFaults{})
 	eventually(t, "the same key files", func() bool {
-		status, _ := callOnce(ctx, c.EntryURL(0), key, "renew")
+		status, _ := callWithKey(ctx, c.EntryURL(0), key, "renew")
 		return status == http.StatusOK
 	})
-	if n := runsOf(c, key); n != 1 {
+	if n := countRuns(c, key); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
 }
@@ -138,7 +138,7 @@
 // The fleet's engines load the new weights no more than two at a time.
 func TestCacheIsNotSharedOverWorkspacesOrWeights(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, cluster.DefaultEngineCosts)
-	b := completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 2}
+	b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 2}
 	if cold := cachedTokens(t, c, "muenchen-token", b); cold != 0 {
 		t.Errorf("first request found %d tokens", cold)
 	}
@@ -149,7 +149,7 @@
 		t.Errorf("another workspace found %d tokens", other)
 	}
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
-	allEnginesGet(t, c, "2026-12")
+	waitForWeights(t, c, "2026-12")
 	if peak, total := c.WeightStore.Peak(); peak > 2 || total != len(c.Engines) {
 		t.Errorf("%d of %d loads ran at once", peak, total)
 	}
@@ -166,12 +166,12 @@
 	version := publish(t, c, 1, "retry_share = 0.1", "retry_share = 0.2")
 	eventually(t, "the version is in force everywhere", func() bool {
 		for _, s := range c.EntrySettings {
-			if versionAt(s.AdminListen) < version {
+			if activeVersion(s.AdminListen) < version {
 				return false
 			}
 		}
 		for _, s := range c.SidecarSettings {
-			if versionAt(s.AdminListen) < version {
+			if activeVersion(s.AdminListen) < version {
 				return false
 			}
 		}
@@ -185,7 +185,7 @@
 }
 
 // versionAt reads a process's version in force from its metrics.
-func versionAt(admin string) uint64 {
+func activeVersion(admin string) uint64 {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
 		return 0
@@ -207,15 +207,15 @@
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
-	go func() { done <- answerTo(c, 0, review) }()
-	name := busyEngine(t, c, 3)
+	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
+	name := waitForGenerating(t, c, 3)
 	c.Hosts.Set([]external.Host{{Name: name, State: external.HostLeaving}})
 	reads := c.Hosts.Reads()
 	eventually(t, "the entry has read the list and built on it", func() bool { return c.Hosts.Reads() >= reads+2 })
 	started := c.Engines[name].Stats().Started
 	for i := range 12 {
-		b := completionBody{Model: "pruefer-lm", Messages: nested(1, i), MaxTokens: 1}
-		if err := answerTo(c, 0, b); err != nil {
+		b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, i), MaxTokens: 1}
+		if err := checkCompletion(c, 0, b); err != nil {
 			t.Error(err)
 		}
 	}
@@ -231,14 +231,14 @@
 // nothing is left behind.
 func TestCallerHangsUpMidStream(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	c := startSlow(t, examples.Marktlizenz, 1)
+	c := startInProcess(t, examples.Marktlizenz, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
-		_, _ = complete(ctx, c.EntryURL(0), "muenchen-token", completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 3000, Stream: true})
+		_, _ = complete(ctx, c.EntryURL(0), "muenchen-token", completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 3000, Stream: true})
 	}()
-	name := busyEngine(t, c, 5)
+	name := waitForGenerating(t, c, 5)
 	cancel()
 	<-gone
 	eventually(t, "the engine's run is cancelled", func() bool { return c.Engines[name].Stats().Cancelled == 1 })
@@ -294,7 +294,7 @@
 				t.Fatal(err)
 			}
 			defer resp.Body.Close()
-			if kind := problemKind(resp); kind != x.kind {
+			if kind := errorKind(resp); kind != x.kind {
 				t.Errorf("got status %d, kind %q; want %q", resp.StatusCode, kind, x.kind)
 			}
 		})
@@ -311,10 +311,10 @@
 // same key: another gate owns it now, and must answer from the record.
 func TestTargetSetChangesBetweenTwoTries(t *testing.T) {
 	c := startCluster(t, examples.Marktlizenz, 1)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	key := uuid.Must(uuid.NewV7()).String()
-	if status, kind := callOnce(ctx, c.EntryURL(0), key, "renew"); status != http.StatusOK {
+	if status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew"); status != http.StatusOK {
 		t.Fatalf("first try: %d %s", status, kind)
 	}
 	owner := ""
@@ -326,15 +326,15 @@
 	start := strings.LastIndex(c.ConfigText[:strings.Index(c.ConfigText, `"`+owner+`"`)], "[[service.target]]")
 	end := start + strings.Index(c.ConfigText[start:], "\n\n")
 	version := publish(t, c, 1, c.ConfigText[start:end], "")
-	eventually(t, "the new set is in force", func() bool { return versionAt(c.EntrySettings[0].AdminListen) == version })
+	eventually(t, "the new set is in force", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == version })
 	eventually(t, "another gate answers from the record", func() bool {
-		status, kind := callOnce(ctx, c.EntryURL(0), key, "renew")
+		status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew")
 		if status != http.StatusOK && kind != "outcome_unknown" {
 			t.Fatalf("second try: %d %s", status, kind)
 		}
 		return status == http.StatusOK
 	})
-	if n := runsOf(c, key); n != 1 {
+	if n := countRuns(c, key); n != 1 {
 		t.Errorf("the renewal ran %d times", n)
 	}
 }
@@ -343,7 +343,7 @@
 // have begun end on the weights they began with, requests that wait are answered
 // with the new ones, and nobody is refused.
 func TestWeightsRollCutsNothing(t *testing.T) {
-	c := startSlow(t, examples.Marktlizenz, 2)
+	c := startInProcess(t, examples.Marktlizenz, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i := range 6 {
@@ -351,8 +351,8 @@
 		go func() {
 			defer wg.Done()
 			for n := 0; ctx.Err() == nil; n++ {
-				b := completionBody{Model: "pruefer-lm", Messages: nested(i, n), MaxTokens: 100, Stream: n%2 == 0}
-				if err := answerTo(c, (i+n)%2, b); err != nil {
+				b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(i, n), MaxTokens: 100, Stream: n%2 == 0}
+				if err := checkCompletion(c, (i+n)%2, b); err != nil {
 					t.Errorf("caller %d, request %d: %v", i, n, err)
 				}
 			}
@@ -360,7 +360,7 @@
 	}
 	eventually(t, "engines generate", func() bool { return c.PrefilledTokens() > 0 })
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
-	allEnginesGet(t, c, "2026-12")
+	waitForWeights(t, c, "2026-12")
 	cancel()
 	wg.Wait()
 	for name, e := range c.Engines {
--- a/internal/cluster/orders_test.go
+++ b/internal/cluster/orders_test.go
@@ -11,7 +11,7 @@
 )
 
 // allEnginesGet waits until every engine has weights.
-func allEnginesGet(t *testing.T, c *cluster.Cluster, weights string) {
+func waitForWeights(t *testing.T, c *cluster.Cluster, weights string) {
 	t.Helper()
 	eventually(t, "all engines have the weights", func() bool {
 		for _, e := range c.Engines {
@@ -25,7 +25,7 @@
 
 // loadingEngine waits for an engine that has been told to load, other than the
 // given one.
-func loadingEngine(t *testing.T, c *cluster.Cluster, not string) string {
+func waitForLoading(t *testing.T, c *cluster.Cluster, not string) string {
 	t.Helper()
 	name := ""
 	eventually(t, "an engine loads", func() bool {
@@ -53,15 +53,15 @@
 		e.SetFaults(standin.EngineFaults{IgnoreFence: true})
 	}
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
-	frozen := loadingEngine(t, c, "")
-	proc(c.Sidecars[frozen]).signal(syscall.SIGSTOP)
-	killed := loadingEngine(t, c, frozen)
+	frozen := waitForLoading(t, c, "")
+	asProcess(c.Sidecars[frozen]).signal(syscall.SIGSTOP)
+	killed := waitForLoading(t, c, frozen)
 	c.Sidecars[killed].Close()
 	if err := c.StartSidecar(killed); err != nil {
 		t.Fatal(err)
 	}
-	allEnginesGet(t, c, "2026-12")
-	proc(c.Sidecars[frozen]).signal(syscall.SIGCONT)
+	waitForWeights(t, c, "2026-12")
+	asProcess(c.Sidecars[frozen]).signal(syscall.SIGCONT)
 	eventually(t, "the woken sidecar answers", func() bool { return isReady(c.SidecarSettings[frozen].AdminListen) })
 	if peak, total := c.WeightStore.Peak(); peak > 2 || total != len(c.Engines) {
 		t.Errorf("%d loads ran at once, %d in all for %d engines", peak, total, len(c.Engines))
--- a/internal/cluster/path_bench_test.go
+++ b/internal/cluster/path_bench_test.go
@@ -20,7 +20,7 @@
 // same request to an engine directly and through the path, in turn. All ends
 // run in this process.
 func BenchmarkPath(b *testing.B) {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	costs := standin.EngineCosts{PrefillTokensPerSecond: 1e9, MaxBatch: 64, CacheBlocks: 10_000}
 	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Marktlizenz, Entries: 1, EngineCosts: costs, LogOutput: io.Discard})
@@ -29,7 +29,7 @@
 	}
 	defer c.Close()
 	engine := external.NewHTTPEngine(c.SidecarSettings["pruefer-1"].Target.URL, external.NewHTTPClient())
-	body := completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 1}
+	body := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 1}
 	data, _ := json.Marshal(body)
 	var direct, through []time.Duration
 	b.ReportAllocs()
--- a/internal/cluster/path_test.go
+++ b/internal/cluster/path_test.go
@@ -51,7 +51,7 @@
 	return text.String()
 }
 
-func nested(town, question int) []message {
+func nestedPrompt(town, question int) []message {
 	return []message{
 		{"system", strings.Repeat("The rulebook says that each stall needs a permit. ", 60)},
 		{"system", strings.Repeat(fmt.Sprintf("Town %d has its own pitches and hours. ", town), 40)},
@@ -140,7 +140,7 @@
 				go func() {
 					defer wg.Done()
 					defer func() { <-slots }()
-					b := completionBody{Model: d.model, Messages: nested(i%5, i), MaxTokens: 5 + i%11, Stream: i%2 == 0}
+					b := completionBody{Model: d.model, Messages: nestedPrompt(i%5, i), MaxTokens: 5 + i%11, Stream: i%2 == 0}
 					text, err := complete(ctx, c.EntryURL(i%2), d.token, b)
 					if want := standin.Transcript(b.prompt(), b.MaxTokens); err != nil || text != want {
 						t.Errorf("request %d: %v: got %q, want %q", i, err, text, want)
@@ -182,7 +182,7 @@
 }
 
 // problemKind is the kind that a refusal names, or "" for another answer.
-func problemKind(resp *http.Response) string {
+func errorKind(resp *http.Response) string {
 	if resp.Header.Get("Content-Type") != "application/problem+json" {
 		return ""
 	}
--- a/internal/cluster/process_bench_test.go
+++ b/internal/cluster/process_bench_test.go
@@ -22,7 +22,7 @@
 
 func usageOf(b *testing.B, p cluster.Process) usage {
 	const tick = 10 * time.Millisecond
-	pid := proc(p).cmd.Process.Pid
+	pid := asProcess(p).cmd.Process.Pid
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Fatal(err)
@@ -38,9 +38,9 @@
 // in real processes without traffic: 2 entries and 12 sidecars for 15 s.
 func BenchmarkIdleProcesses(b *testing.B) {
 	const length = 15 * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Marktlizenz, Entries: 2, EngineCosts: slowCosts, LogOutput: io.Discard, Launch: launcher(b)})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Marktlizenz, Entries: 2, EngineCosts: slowCosts, LogOutput: io.Discard, Launch: processLauncher(b)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/cluster/process_test.go
+++ b/internal/cluster/process_test.go
@@ -23,7 +23,7 @@
 )
 
 // bound is far above any expected time; tests wait on conditions up to it.
-const bound = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 var (
 	buildOnce sync.Once
@@ -76,14 +76,14 @@
 }
 
 // stop asks for a planned stop and waits for its end.
-func (p *process) stop() {
+func (p *process) shutDown() {
 	p.once.Do(func() {
 		p.signal(syscall.SIGTERM)
 		_ = p.cmd.Wait()
 	})
 }
 
-func launcher(t testing.TB) func(*settings.Settings) (cluster.Process, error) {
+func processLauncher(t testing.TB) func(*settings.Settings) (cluster.Process, error) {
 	bin := buildDaemon(t)
 	dir := t.TempDir()
 	return func(s *settings.Settings) (cluster.Process, error) {
@@ -114,9 +114,9 @@
 
 func startProcesses(t *testing.T, text string, entries int, costs standin.EngineCosts) *cluster.Cluster {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	c, err := cluster.Start(ctx, cluster.Options{ConfigText: text, Entries: entries, EngineCosts: costs, LogOutput: io.Discard, Launch: launcher(t)})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: text, Entries: entries, EngineCosts: costs, LogOutput: io.Discard, Launch: processLauncher(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,11 +124,11 @@
 	return c
 }
 
-func proc(p cluster.Process) *process { return p.(*process) }
+func asProcess(p cluster.Process) *process { return p.(*process) }
 
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(bound)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatalf("never: %s", what)
@@ -138,8 +138,8 @@
 }
 
 // answerTo checks that one completion is whole and in order.
-func answerTo(c *cluster.Cluster, entry int, b completionBody) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+func checkCompletion(c *cluster.Cluster, entry int, b completionBody) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	text, err := complete(ctx, c.EntryURL(entry), "muenchen-token", b)
 	if err != nil {
@@ -152,7 +152,7 @@
 }
 
 // busyEngine waits for the engine that runs the one request there is.
-func busyEngine(t *testing.T, c *cluster.Cluster, tokens int) string {
+func waitForGenerating(t *testing.T, c *cluster.Cluster, tokens int) string {
 	t.Helper()
 	name := ""
 	eventually(t, "an engine generates", func() bool {
@@ -167,7 +167,7 @@
 	return name
 }
 
-var review = completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 40, Stream: true}
+var reviewRequest = completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 40, Stream: true}
 
 // A trader reads an answer when the sidecar beside the engine is killed. The
 // engine lives on. A new sidecar starts on the same address and takes the run
@@ -175,8 +175,8 @@
 func TestSidecarKilledMidStream(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
-	go func() { done <- answerTo(c, 0, review) }()
-	name := busyEngine(t, c, 5)
+	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
+	name := waitForGenerating(t, c, 5)
 	c.Sidecars[name].Close()
 	if err := c.StartSidecar(name); err != nil {
 		t.Fatal(err)
@@ -198,8 +198,8 @@
 func TestEngineCrashMidStream(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
-	go func() { done <- answerTo(c, 0, review) }()
-	c.Engines[busyEngine(t, c, 5)].Crash()
+	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
+	c.Engines[waitForGenerating(t, c, 5)].Crash()
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -211,9 +211,9 @@
 func TestFrozenSidecarWakesLate(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
-	go func() { done <- answerTo(c, 0, review) }()
-	name := busyEngine(t, c, 5)
-	proc(c.Sidecars[name]).signal(syscall.SIGSTOP)
+	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
+	name := waitForGenerating(t, c, 5)
+	asProcess(c.Sidecars[name]).signal(syscall.SIGSTOP)
 	eventually(t, "a second engine takes the rest", func() bool {
 		for n, e := range c.Engines {
 			if n != name && e.Generated() > 0 {
@@ -222,7 +222,7 @@
 		}
 		return false
 	})
-	proc(c.Sidecars[name]).signal(syscall.SIGCONT)
+	asProcess(c.Sidecars[name]).signal(syscall.SIGCONT)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -246,8 +246,8 @@
 
 func killAllEntries(t *testing.T, faults standin.LogFaults) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
-	warm := completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 2}
-	if err := answerTo(c, 0, warm); err != nil {
+	warm := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 2}
+	if err := checkCompletion(c, 0, warm); err != nil {
 		t.Fatal(err)
 	}
 	c.Log.SetFaults(faults)
@@ -261,13 +261,13 @@
 			t.Fatal(err)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := c.WaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
 	for i := range c.Entries {
-		if err := answerTo(c, i, warm); err != nil {
+		if err := checkCompletion(c, i, warm); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -277,17 +277,17 @@
 	}
 }
 
-func callOnce(ctx context.Context, base, key string, body string) (status int, kind string) {
+func callWithKey(ctx context.Context, base, key string, body string) (status int, kind string) {
 	resp, err := post(ctx, base+"/v1/services/marktportal/call?path=/renewals", "muenchen-token",
 		map[string]string{"Idempotency-Key": key, "Content-Type": "application/octet-stream"}, []byte(body))
 	if err != nil {
 		return 0, err.Error()
 	}
 	defer resp.Body.Close()
-	return resp.StatusCode, problemKind(resp)
+	return resp.StatusCode, errorKind(resp)
 }
 
-func runsOf(c *cluster.Cluster, key string) int {
+func countRuns(c *cluster.Cluster, key string) int {
 	runs := 0
 	for _, p := range c.PlainTargets {
 		runs += p.Runs()[key]
@@ -300,7 +300,7 @@
 // renewal must have run once, and neither answer may say that it was not run.
 func TestGateKilledDuringACall(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, p := range c.PlainTargets {
 		p.SetFaults(standin.PlainFaults{Delay: 500 * time.Millisecond})
@@ -312,7 +312,7 @@
 	}
 	first := make(chan result, 1)
 	go func() {
-		status, kind := callOnce(ctx, c.EntryURL(0), key, "renew")
+		status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew")
 		first <- result{status, kind}
 	}()
 	owner := ""
@@ -330,7 +330,7 @@
 		t.Errorf("first try: %d %s", r.status, r.kind)
 	}
 	for entry := range 2 {
-		if status, kind := callOnce(ctx, c.EntryURL(entry), key, "renew"); kind != "outcome_unknown" {
+		if status, kind := callWithKey(ctx, c.EntryURL(entry), key, "renew"); kind != "outcome_unknown" {
 			t.Errorf("again through entry %d: %d %s", entry, status, kind)
 		}
 	}
@@ -340,10 +340,10 @@
 	if err := c.WaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if status, kind := callOnce(ctx, c.EntryURL(0), key, "renew"); kind != "outcome_unknown" {
+	if status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew"); kind != "outcome_unknown" {
 		t.Errorf("at the gate that restarted empty: %d %s", status, kind)
 	}
-	if n := runsOf(c, key); n != 1 {
+	if n := countRuns(c, key); n != 1 {
 		t.Errorf("the renewal ran %d times", n)
 	}
 }
@@ -366,8 +366,8 @@
 					// The balancer turns away from an entry that is not ready.
 					entry = 1 - entry
 				}
-				b := completionBody{Model: "pruefer-lm", Messages: nested(i, n), MaxTokens: 15, Stream: n%2 == 0}
-				if err := answerTo(c, entry, b); err != nil {
+				b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(i, n), MaxTokens: 15, Stream: n%2 == 0}
+				if err := checkCompletion(c, entry, b); err != nil {
 					t.Errorf("caller %d, request %d at entry %d: %v", i, n, entry, err)
 				}
 				mu.Lock()
@@ -376,7 +376,7 @@
 			}
 		}()
 	}
-	rollAll(t, c)
+	restartAll(t, c)
 	cancel()
 	wg.Wait()
 	t.Logf("%d requests answered during the roll", answered)
@@ -391,12 +391,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func rollAll(t *testing.T, c *cluster.Cluster) {
+func restartAll(t *testing.T, c *cluster.Cluster) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*bound)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
 	for i := range c.Entries {
-		proc(c.Entries[i]).stop()
+		asProcess(c.Entries[i]).shutDown()
 		if err := c.StartEntry(i); err != nil {
 			t.Fatal(err)
 		}
@@ -405,7 +405,7 @@
 		}
 	}
 	for _, name := range []string{"pruefer-1", "pruefer-2", "pruefer-3"} {
-		proc(c.Sidecars[name]).stop()
+		asProcess(c.Sidecars[name]).shutDown()
 		if err := c.StartSidecar(name); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cluster/restart_bench_test.go
+++ b/internal/cluster/restart_bench_test.go
@@ -19,10 +19,10 @@
 // log is down, and compares the hit rates of the thousand before and after.
 func BenchmarkRestart(b *testing.B) {
 	const half = 1000
-	ctx, cancel := context.WithTimeout(context.Background(), 5*bound)
+	ctx, cancel := context.WithTimeout(context.Background(), 5*testTimeout)
 	defer cancel()
 	costs := standin.EngineCosts{PrefillTokensPerSecond: 40_000, DecodeStep: time.Millisecond, MaxBatch: 16, CacheBlocks: 4000, LoadTime: time.Second}
-	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Olaje, Entries: 3, EngineCosts: costs, LogOutput: io.Discard, Launch: launcher(b)})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Olaje, Entries: 3, EngineCosts: costs, LogOutput: io.Discard, Launch: processLauncher(b)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/cluster/spread_bench_test.go
+++ b/internal/cluster/spread_bench_test.go
@@ -14,7 +14,7 @@
 )
 
 // manyPlain is a configuration of n plain targets.
-func manyPlain(n int) string {
+func plainTargetsConfig(n int) string {
 	var b strings.Builder
 	b.WriteString("schema = 1\n[[region]]\nname = \"r\"\navailability_zones = [\"z\"]\n[[service]]\nname = \"s\"\nkind = \"plain\"\n")
 	for i := range n {
@@ -28,10 +28,10 @@
 func BenchmarkConfigSpread(b *testing.B) {
 	for _, n := range []int{25, 50, 100, 200} {
 		b.Run(fmt.Sprintf("processes=%d", n), func(b *testing.B) {
-			ctx, cancel := context.WithTimeout(context.Background(), 2*bound)
+			ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 			defer cancel()
 			c, err := cluster.Start(ctx, cluster.Options{
-				ConfigText: manyPlain(n), EngineCosts: slowCosts, LogOutput: io.Discard,
+				ConfigText: plainTargetsConfig(n), EngineCosts: slowCosts, LogOutput: io.Discard,
 				AdjustSettings: func(s *settings.Settings) { s.Timing.SyncPeriod.Duration = 2 * time.Second },
 			})
 			if err != nil {
@@ -48,7 +48,7 @@
 				start := time.Now()
 				version = c.Log.AppendNow(configlog.Stream, data)
 				for _, s := range c.SidecarSettings {
-					for versionAt(s.AdminListen) < version {
+					for activeVersion(s.AdminListen) < version {
 						<-time.After(2 * time.Millisecond)
 					}
 				}
--- a/internal/cluster/tls_test.go
+++ b/internal/cluster/tls_test.go
@@ -62,7 +62,7 @@
 	dir := t.TempDir()
 	certFile, keyFile := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	var pool *x509.CertPool
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{
 		ConfigText: examples.Marktlizenz, Entries: 1, EngineCosts: slowCosts, LogOutput: io.Discard,
--- a/internal/loadslot/loadslot.go
+++ b/internal/loadslot/loadslot.go
@@ -37,36 +37,36 @@
 
 // Line is the fold. It is used by one goroutine at a time.
 type Queue struct {
-	next     uint64
-	tickets  []ticket
-	released map[string]bool
+	nextOffset uint64
+	tickets    []ticket
+	released   map[string]bool
 }
 
 // NewLine returns the fold of nothing.
-func NewQueue() *Queue { return &Queue{next: 1, released: map[string]bool{}} }
+func NewQueue() *Queue { return &Queue{nextOffset: 1, released: map[string]bool{}} }
 
 // Next is the first offset not read yet.
-func (l *Queue) NextOffset() uint64 { return l.next }
+func (l *Queue) NextOffset() uint64 { return l.nextOffset }
 
 // Read folds a page. A ticket counts once, at its first offset; a ticket that
 // was released never counts again, so that a late copy of its acquire record
 // cannot take a place.
 func (l *Queue) Apply(page *external.Page) {
-	l.next = max(l.next, page.First)
+	l.nextOffset = max(l.nextOffset, page.First)
 	for _, r := range page.Records {
-		if r.Offset < l.next {
+		if r.Offset < l.nextOffset {
 			continue
 		}
-		l.next = r.Offset + 1
+		l.nextOffset = r.Offset + 1
 		var record Record
 		if err := json.Unmarshal(r.Data, &record); err != nil {
 			continue
 		}
-		l.fold(r.Offset, record)
+		l.applyRecord(r.Offset, record)
 	}
 }
 
-func (l *Queue) fold(offset uint64, r Record) {
+func (l *Queue) applyRecord(offset uint64, r Record) {
 	at := slices.IndexFunc(l.tickets, func(t ticket) bool { return t.nonce == r.Nonce })
 	switch r.Type {
 	case TypeAcquire:
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -12,37 +12,37 @@
 	"github.com/toucanwell/toucanwell/internal/errkind"
 )
 
-// Slots is the number of claim streams. A key belongs to one of them by its
-// digest. The number is part of the stream format.
+// Slots is the number of claim streams of a service. A key's digest selects its stream, so the
+// number must not change.
 const Slots = 16
 
 const (
 	digestBytes = 16
-	// ClockBound is how far two clocks of the system may stand apart.
+	// MaxClockSkew is the largest tolerated difference between two clocks of the system.
 	MaxClockSkew = 30 * time.Second
-	// keepShare is the part of the log's retention for which a key is taken.
-	// The rest covers the clock bound and the longest wait before a claim.
-	keepShare = 0.75
+	// maxAgeShare is the share of the log's retention for which a key is accepted. The rest
+	// covers clock skew and the longest wait before a claim.
+	maxAgeShare = 0.75
 )
 
-// Key is an idempotency key as the system uses it.
+// Key identifies a call that may run only once.
 type Key struct {
-	// Digest names it in the log and tells nothing of the workspace.
+	// Digest is the hash of workspace, service and idempotency key.
 	Digest string
-	// Slot is its claim stream.
+	// Slot is the index of the claim stream.
 	Slot int
-	// IssuedMs is when it was made; 0 when it tells none.
+	// IssuedMs is when the idempotency key was issued; 0 if unknown.
 	IssuedMs int64
-	// Request is the digest of the request it was first used for.
+	// RequestDigest is the digest of the request.
 	RequestDigest uint64
 }
 
-// SlotKey is what the targets of a service are ranked by for a slot.
+// SlotHash returns the hash by which a service's targets are ranked for a slot.
 func SlotHash(service string, slot int) uint64 {
 	return xxhash.Sum64String(StreamName(service, slot))
 }
 
-// NewKey returns the key of a workspace's call.
+// NewKey returns the key of a workspace's call to a service.
 func NewKey(workspace, service, key string, issuedMs int64, request uint64) Key {
 	sum := sha256.New()
 	var size [8]byte
@@ -60,11 +60,11 @@
 	}
 }
 
-// IssueTime returns when a caller's key was made: what the caller says beside
-// it, or else the time in a UUID of version 7. It returns 0 for another key.
-func IssueTime(key string, stated int64) int64 {
-	if stated > 0 {
-		return stated
+// IssueTime returns when an idempotency key was issued, in Unix milliseconds: the time that the
+// caller states, or else the timestamp of a version 7 UUID, or else 0.
+func IssueTime(key string, statedMs int64) int64 {
+	if statedMs > 0 {
+		return statedMs
 	}
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
@@ -75,38 +75,38 @@
 	return int64(binary.BigEndian.Uint64(ms[:]))
 }
 
-// Terms are what a service lets its keys be.
+// KeyPolicy is a service's policy for idempotency keys.
 type KeyPolicy struct {
-	// Opaque takes keys without an issue time.
+	// AllowOpaque accepts keys without an issue time.
 	AllowOpaque bool
-	// Lifetime is how long a key is taken; 0 means as long as the log allows.
+	// Lifetime is how long a key is accepted; 0 means as long as the log's retention allows.
 	Lifetime time.Duration
 }
 
-// keep is how long a key is taken beside a log with a retention.
-func (t KeyPolicy) keep(retention time.Duration) time.Duration {
-	longest := time.Duration(keepShare * float64(retention))
-	if t.Lifetime <= 0 {
+// maxAge returns the age up to which keys are accepted.
+func (p KeyPolicy) maxAge(retention time.Duration) time.Duration {
+	longest := time.Duration(maxAgeShare * float64(retention))
+	if p.Lifetime <= 0 {
 		return longest
 	}
-	return min(t.Lifetime, longest)
+	return min(p.Lifetime, longest)
 }
 
-// CheckAge refuses a key that tells no time (unless opaque ones are taken),
-// one from the future, and one older than the record of calls.
-func CheckAge(issuedMs int64, terms KeyPolicy, now time.Time, retention time.Duration) *errkind.Error {
-	if issuedMs == 0 && terms.AllowOpaque {
+// CheckAge refuses a key without an issue time (unless the policy allows it), one issued in the
+// future, and one that is too old.
+func CheckAge(issuedMs int64, policy KeyPolicy, now time.Time, retention time.Duration) *errkind.Error {
+	if issuedMs == 0 && policy.AllowOpaque {
 		return nil
 	}
 	if issuedMs == 0 {
-		return errkind.New(errkind.KeyInvalid, "send a UUID of version 7, or Idempotency-Key-Issued beside the key")
+		return errkind.New(errkind.KeyInvalid, "the key has no issue time: use a version 7 UUID or set Idempotency-Key-Issued")
 	}
 	age := now.Sub(time.UnixMilli(issuedMs))
 	if age < -MaxClockSkew {
-		return errkind.New(errkind.KeyInvalid, "the key was made %v in the future; allowed is %v", -age.Round(time.Second), MaxClockSkew)
+		return errkind.New(errkind.KeyInvalid, "the key's issue time is %v in the future; at most %v is allowed", -age.Round(time.Second), MaxClockSkew)
 	}
-	if keep := terms.keep(retention); age > keep {
-		return errkind.New(errkind.KeyExpired, "the key is %v old; calls are kept for %v", age.Round(time.Second), keep)
+	if maxAge := policy.maxAge(retention); age > maxAge {
+		return errkind.New(errkind.KeyExpired, "the key is %v old; keys are accepted for %v", age.Round(time.Second), maxAge)
 	}
 	return nil
 }
--- a/internal/once/ledger_test.go
+++ b/internal/once/ledger_test.go
@@ -18,79 +18,80 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// flakyLog loses answers, refuses calls and delays appends past their answer.
+// flakyLog refuses requests, loses responses and delays appends.
 type flakyLog struct {
 	mu     sync.Mutex
 	log    *standin.Log
 	random *rand.Rand
-	// loss is the share of calls that go wrong; 1 is an outage.
-	loss float64
+	// failureRate is the share of requests that fail; 1 is an outage.
+	failureRate float64
 }
 
-func (f *flakyLog) draw() (lost float64, delay time.Duration) {
+func (f *flakyLog) drawFault() (fault float64, delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.Float64(), time.Duration(f.random.IntN(50)) * time.Millisecond
 }
 
 func (f *flakyLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
-	lost, delay := f.draw()
+	fault, delay := f.drawFault()
 	time.Sleep(delay)
-	if lost >= f.loss {
+	if fault >= f.failureRate {
 		return f.log.AppendNow(stream, data), nil
 	}
-	if lost < f.loss/3 {
-		return 0, errors.New("refused")
+	if fault < f.failureRate/3 {
+		return 0, errors.New("append refused")
 	}
-	if lost < f.loss*2/3 {
+	if fault < f.failureRate*2/3 {
 		f.log.AppendNow(stream, data)
-		return 0, errors.New("answer lost")
+		return 0, errors.New("response lost")
 	}
 	time.AfterFunc(3*time.Second, func() { f.log.AppendNow(stream, data) })
-	return 0, errors.New("answer lost, append still on its way")
+	return 0, errors.New("response lost, append delayed")
 }
 
 func (f *flakyLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
-	lost, delay := f.draw()
+	fault, delay := f.drawFault()
 	time.Sleep(delay)
-	if lost < f.loss {
-		return nil, errors.New("read lost")
+	if fault < f.failureRate {
+		return nil, errors.New("read failed")
 	}
 	return f.log.ReadNow(stream, from), nil
 }
 
 const (
-	outRan     = "ran"
-	outNotRun  = "not run"
-	outUnknown = "unknown"
+	outcomeRan     = "ran"
+	outcomeNotRun  = "not run"
+	outcomeUnknown = "unknown"
 )
 
-// call is one try of a key at a gate.
+// call is one attempt with a key at a sidecar.
 type call struct {
 	key     int
-	gate    int
-	at      time.Duration
+	sidecar int
+	delay   time.Duration
 	restart bool
-	// ending is what happens after the claim: 0 done, 1 the gate dies while
-	// the call runs, 2 the call could not be sent, 3 frozen before the run.
-	ending int
-	// close refuses for overload instead of claiming.
-	close bool
+	// outcome is what happens after the claim: 0 the call completes, 1 the sidecar crashes while
+	// the call runs, 2 the call cannot be sent, 3 the call completes after a suspension.
+	outcome int
+	// void closes the key because of overload instead of claiming it.
+	void bool
 }
 
+// history records the calls and their runs by key.
 type history struct {
-	mu      sync.Mutex
-	effects map[int]int
-	ops     []porcupine.Operation
-	start   time.Time
+	mu    sync.Mutex
+	runs  map[int]int
+	ops   []porcupine.Operation
+	start time.Time
 }
 
-func (h *history) run(ctx context.Context, l *Ledger, client int, c call) {
-	time.Sleep(c.at)
-	issued := h.start.UnixMilli()
-	key := NewKey("w", "s", fmt.Sprintf("key-%d", c.key), issued, 1)
+func (h *history) record(ctx context.Context, l *Ledger, client int, c call) {
+	time.Sleep(c.delay)
+	issuedMs := h.start.UnixMilli()
+	key := NewKey("w", "s", fmt.Sprintf("key-%d", c.key), issuedMs, 1)
 	begin := time.Since(h.start)
-	out := h.try(ctx, l, key, c)
+	out := h.execute(ctx, l, key, c)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{
@@ -98,60 +99,59 @@
 	})
 }
 
-func (h *history) try(ctx context.Context, l *Ledger, key Key, c call) string {
-	if c.close {
-		answer, refusal := l.VoidKey(ctx, key, KeyPolicy{}, time.Second, "overloaded")
-		return outcomeOf(answer, refusal)
+func (h *history) execute(ctx context.Context, l *Ledger, key Key, c call) string {
+	if c.void {
+		response, refusal := l.VoidKey(ctx, key, KeyPolicy{}, time.Second, "overloaded")
+		return outcomeOf(response, refusal)
 	}
-	ticket, answer, refusal := l.Claim(ctx, key, KeyPolicy{})
+	ticket, response, refusal := l.Claim(ctx, key, KeyPolicy{})
 	if ticket == nil {
-		return outcomeOf(answer, refusal)
+		return outcomeOf(response, refusal)
 	}
-	if c.ending == 2 {
+	if c.outcome == 2 {
 		return outcomeOf(nil, ticket.Void(ctx, 0, "not sent"))
 	}
-	if c.ending == 3 {
+	if c.outcome == 3 {
 		time.Sleep(10 * time.Second)
 	}
 	h.mu.Lock()
-	h.effects[c.key]++
+	h.runs[c.key]++
 	h.mu.Unlock()
-	if c.ending == 1 {
+	if c.outcome == 1 {
 		ticket.Abandon()
-		return outUnknown
+		return outcomeUnknown
 	}
 	ticket.Complete(Response{Status: 200})
-	return outRan
+	return outcomeRan
 }
 
-func outcomeOf(answer *Response, refusal *errkind.Error) string {
+func outcomeOf(response *Response, refusal *errkind.Error) string {
 	switch {
-	case answer != nil:
-		return outRan
+	case response != nil:
+		return outcomeRan
 	case refusal.Kind == errkind.NotRun:
-		return outNotRun
+		return outcomeNotRun
 	default:
-		return outUnknown
+		return outcomeUnknown
 	}
 }
 
-// keyModel says what one key may look like from outside: it runs once at the
-// most, and "not run" holds for ever.
+// keyModel specifies one key as callers see it: it runs at most once, and "not run" is final.
 var keyModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{"open"} },
 	Step: func(state, _, output any) []any {
 		switch output {
-		case outRan:
-			if state == "open" || state == outRan {
-				return []any{outRan}
+		case outcomeRan:
+			if state == "open" || state == outcomeRan {
+				return []any{outcomeRan}
 			}
-		case outNotRun:
-			if state == "open" || state == outNotRun {
-				return []any{outNotRun}
+		case outcomeNotRun:
+			if state == "open" || state == outcomeNotRun {
+				return []any{outcomeNotRun}
 			}
-		case outUnknown:
+		case outcomeUnknown:
 			if state == "open" {
-				return []any{"open", outRan, outNotRun}
+				return []any{"open", outcomeRan, outcomeNotRun}
 			}
 			return []any{state}
 		}
@@ -162,28 +162,26 @@
 func drawCalls(t *rapid.T) []call {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) call {
 		return call{
-			key: rapid.IntRange(0, 2).Draw(t, "key"), gate: rapid.IntRange(0, 2).Draw(t, "gate"),
-			at:      time.Duration(rapid.IntRange(0, 400).Draw(t, "at")) * 10 * time.Millisecond,
-			restart: rapid.Bool().Draw(t, "restart"), ending: rapid.IntRange(0, 3).Draw(t, "ending"),
-			close: rapid.IntRange(0, 3).Draw(t, "close") == 0,
+			key: rapid.IntRange(0, 2).Draw(t, "key"), sidecar: rapid.IntRange(0, 2).Draw(t, "sidecar"),
+			delay:   time.Duration(rapid.IntRange(0, 400).Draw(t, "delay")) * 10 * time.Millisecond,
+			restart: rapid.Bool().Draw(t, "restart"), outcome: rapid.IntRange(0, 3).Draw(t, "outcome"),
+			void: rapid.IntRange(0, 3).Draw(t, "void") == 0,
 		}
 	}), 1, 14).Draw(t, "calls")
 }
 
-// A clerk files a renewal and, unsure of the answer, files it again through
-// another entry with the same key. Meanwhile gates restart empty, freeze, die
-// after the call, and the log loses answers or takes an append late. The trader
-// must not be billed twice, and "not run" must stay true.
+// Retries with the same key at several sidecars must not run a call twice, and a call reported as
+// not run must never run, while sidecars restart, are suspended or crash and the log is unreliable.
 func TestCallsRunAtMostOnceAndNotRunIsTrue(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		calls := drawCalls(rt)
-		loss := rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(rt, "loss")
+		failureRate := rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(rt, "failureRate")
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var h *history
 		synctest.Test(t, func(*testing.T) {
-			h = replayCalls(calls, loss, seed)
+			h = simulateCalls(calls, failureRate, seed)
 		})
-		for key, n := range h.effects {
+		for key, n := range h.runs {
 			if n > 1 {
 				rt.Fatalf("key %d ran %d times", key, n)
 			}
@@ -197,16 +195,16 @@
 			}
 			model := keyModel.ToModel()
 			if !porcupine.CheckOperations(model, ops) {
-				rt.Fatalf("key %d: no order of the calls explains %+v (effects %d)", key, ops, h.effects[key])
+				rt.Fatalf("key %d: no order of the calls explains %+v (runs %d)", key, ops, h.runs[key])
 			}
-			if h.effects[key] > 0 && hasOutput(ops, outNotRun) {
-				rt.Fatalf("key %d ran and was called not run: %+v", key, ops)
+			if h.runs[key] > 0 && containsOutput(ops, outcomeNotRun) {
+				rt.Fatalf("key %d ran but was reported as not run: %+v", key, ops)
 			}
 		}
 	})
 }
 
-func hasOutput(ops []porcupine.Operation, out string) bool {
+func containsOutput(ops []porcupine.Operation, out string) bool {
 	for _, op := range ops {
 		if op.Output == out {
 			return true
@@ -215,21 +213,21 @@
 	return false
 }
 
-func replayCalls(calls []call, loss float64, seed uint64) *history {
-	h := &history{effects: map[int]int{}, start: time.Now()}
-	log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(seed, 1)), loss: loss}
-	fresh := func() *Ledger { return NewLedger(log, "s", 24*time.Hour, 10*time.Millisecond, time.Now) }
-	gates := []*Ledger{fresh(), fresh(), fresh()}
+func simulateCalls(calls []call, failureRate float64, seed uint64) *history {
+	h := &history{runs: map[int]int{}, start: time.Now()}
+	log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(seed, 1)), failureRate: failureRate}
+	newLedger := func() *Ledger { return NewLedger(log, "s", 24*time.Hour, 10*time.Millisecond, time.Now) }
+	ledgers := []*Ledger{newLedger(), newLedger(), newLedger()}
 	var wg sync.WaitGroup
 	for i, c := range calls {
 		if c.restart {
-			gates[c.gate] = fresh()
+			ledgers[c.sidecar] = newLedger()
 		}
-		l := gates[c.gate]
+		l := ledgers[c.sidecar]
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			h.run(context.Background(), l, i, c)
+			h.record(context.Background(), l, i, c)
 		}()
 	}
 	wg.Wait()
@@ -237,95 +235,89 @@
 	return h
 }
 
-// The log's answer to a claim is lost, the caller is told that the outcome is
-// unknown and asks again with the same key at the same gate: the call must run
-// then and not be blocked for ever by its own first claim.
+// A claim whose acknowledgement was lost must not block retries with its key at the same sidecar.
 func TestClaimWithLostAnswerIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1))}
-		l := NewLedger(&lostOnce{Log: log}, "s", time.Hour, time.Millisecond, time.Now)
+		l := NewLedger(&firstResponsesLost{Log: log}, "s", time.Hour, time.Millisecond, time.Now)
 		key := NewKey("w", "s", "key-long-enough", time.Now().UnixMilli(), 1)
 		if _, _, refusal := l.Claim(context.Background(), key, KeyPolicy{}); refusal == nil || refusal.Kind != errkind.OutcomeUnknown {
-			t.Fatalf("first try: %v", refusal)
+			t.Fatalf("first attempt: %v", refusal)
 		}
 		ticket, _, refusal := l.Claim(context.Background(), key, KeyPolicy{})
 		if ticket == nil {
-			t.Fatalf("second try: %v", refusal)
+			t.Fatalf("second attempt: %v", refusal)
 		}
 		ticket.Complete(Response{Status: 200})
 		time.Sleep(time.Second)
 	})
 }
 
-// lostOnce loses the answers to the first batch's appends, after the effect.
-type lostOnce struct {
+// firstResponsesLost loses the responses to the first batch's appends, which take effect.
+type firstResponsesLost struct {
 	external.Log
 	appends int
 }
 
-func (l *lostOnce) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
+func (l *firstResponsesLost) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	l.appends++
 	offset, err := l.Log.Append(ctx, stream, data)
-	if l.appends <= appendTries {
-		return 0, errors.New("answer lost")
+	if l.appends <= appendAttempts {
+		return 0, errors.New("response lost")
 	}
 	return offset, err
 }
 
-// While the log is down no call that may not be repeated starts, and none is
-// called not run.
+// While the log is down, calls with a key must neither start nor be reported as not run.
 func TestLogOutageLeavesOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1)), loss: 1}
+		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1)), failureRate: 1}
 		l := NewLedger(log, "s", time.Hour, time.Millisecond, time.Now)
 		key := NewKey("w", "s", "key-long-enough", time.Now().UnixMilli(), 1)
 		ticket, _, refusal := l.Claim(context.Background(), key, KeyPolicy{})
 		if ticket != nil || refusal.Kind != errkind.OutcomeUnknown || refusal.RetryAfter == 0 {
-			t.Fatalf("claim: %v %v", ticket, refusal)
+			t.Fatalf("claim: ticket %v, error %v", ticket, refusal)
 		}
 		if _, refusal := l.VoidKey(context.Background(), key, KeyPolicy{}, time.Second, ""); refusal.Kind != errkind.OutcomeUnknown {
-			t.Fatalf("close: %v", refusal)
+			t.Fatalf("void: %v", refusal)
 		}
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// A key is repeated after the log has dropped its claim. The record of calls
-// knows nothing of it, so that a guess would run it twice; it is refused by its
-// age. Clocks that stand apart by the stated bound change nothing.
+// Keys whose claim the log may have dropped must be refused, or their call could run twice.
+// Clock skew up to MaxClockSkew is tolerated.
 func TestKeyOlderThanRetentionIsRefused(t *testing.T) {
 	const retention = time.Hour
 	now := time.Unix(1_000_000, 0)
 	for _, c := range []struct {
-		name   string
-		issued int64
-		opaque bool
-		want   errkind.Kind
+		name        string
+		issuedMs    int64
+		allowOpaque bool
+		want        errkind.Kind
 	}{
-		{"fresh", now.Add(-time.Minute).UnixMilli(), false, errkind.None},
-		{"just within", now.Add(-44 * time.Minute).UnixMilli(), false, errkind.None},
-		{"beyond", now.Add(-46 * time.Minute).UnixMilli(), false, errkind.KeyExpired},
-		{"no time", 0, false, errkind.KeyInvalid},
-		{"no time, opaque taken", 0, true, errkind.None},
-		{"from a clock ahead", now.Add(MaxClockSkew - time.Second).UnixMilli(), false, errkind.None},
-		{"from the future", now.Add(MaxClockSkew + time.Second).UnixMilli(), false, errkind.KeyInvalid},
+		{"new", now.Add(-time.Minute).UnixMilli(), false, errkind.None},
+		{"within limit", now.Add(-44 * time.Minute).UnixMilli(), false, errkind.None},
+		{"beyond limit", now.Add(-46 * time.Minute).UnixMilli(), false, errkind.KeyExpired},
+		{"no issue time", 0, false, errkind.KeyInvalid},
+		{"no issue time, opaque keys allowed", 0, true, errkind.None},
+		{"tolerated clock skew", now.Add(MaxClockSkew - time.Second).UnixMilli(), false, errkind.None},
+		{"in the future", now.Add(MaxClockSkew + time.Second).UnixMilli(), false, errkind.KeyInvalid},
 	} {
 		got := errkind.None
-		if refusal := CheckAge(c.issued, KeyPolicy{AllowOpaque: c.opaque}, now, retention); refusal != nil {
+		if refusal := CheckAge(c.issuedMs, KeyPolicy{AllowOpaque: c.allowOpaque}, now, retention); refusal != nil {
 			got = refusal.Kind
 		}
 		if got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
-	if (KeyPolicy{}).keep(retention)+MaxClockSkew >= retention {
-		t.Error("a key may be taken that the log has dropped")
+	if (KeyPolicy{}).maxAge(retention)+MaxClockSkew >= retention {
+		t.Error("keys that the log has dropped are accepted")
 	}
 }
 
-// An operator shortens a service's key lifetime, and the record forgets old
-// calls. When the lifetime is lengthened again, a key from before must not be
-// taken for new: it would run twice.
+// Keys dropped after the key lifetime was decreased must stay refused when it is increased again.
 func TestLengthenedLifetimeRevivesNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1))}
@@ -339,11 +331,11 @@
 		time.Sleep(2 * time.Hour)
 		l.DropExpired(KeyPolicy{Lifetime: time.Hour})
 		if n := l.Len(); n != 0 {
-			t.Fatalf("%d keys are held", n)
+			t.Fatalf("%d keys after DropExpired, want 0", n)
 		}
 		ticket, _, refusal = l.Claim(context.Background(), key, KeyPolicy{Lifetime: 10 * time.Hour})
 		if ticket != nil || refusal.Kind != errkind.KeyExpired {
-			t.Fatalf("the key was taken again: %v", refusal)
+			t.Fatalf("a dropped key was accepted: %v", refusal)
 		}
 	})
 }
