--- a/internal/batchmodel/engine.go
+++ b/internal/batchmodel/engine.go
@@ -1,10 +1,9 @@
-// Package batchmodel is a model of engines that batch requests continuously, for
-// choosing routing policies in seconds: steps that read prompts in chunks between
-// the tokens of running requests, a memory that cached parts and running requests
-// share, loads of weights, and transfers of cached parts over links. Unlike engines that
-// preempt, the model admits a request only when the memory for its whole answer is free.
+// Package batchmodel simulates engines with continuous batching, to compare routing policies.
 //
-// Time is virtual; a run repeats to the digit from its seed.
+// It models chunked prefill, memory shared by cached parts and running requests, weight loads,
+// and transfers of cached parts between engines. It does not model preemption: a request is
+// admitted only if its whole output fits into memory. Time is virtual and runs are
+// deterministic.
 package batchmodel
 
 import (
@@ -13,37 +12,36 @@
 	"time"
 )
 
-// EngineSpec are the figures of one kind of engine.
+// EngineSpec describes the performance of an engine.
 type EngineSpec struct {
-	// Slots is how many requests run at once, Memory the tokens that running
-	// requests and cached parts share.
+	// Slots is the maximum number of running requests, MemoryTokens the size of the memory that
+	// running requests and cached parts share.
 	Slots, MemoryTokens int
-	// Step is the time of one step, StepPerRun what each running request adds.
+	// Step is the base duration of a step, StepPerRequest what each running request adds.
 	Step, StepPerRequest time.Duration
-	// ReadPerMs is how many prompt tokens are read in a millisecond, Chunk how many
-	// at most in one step.
+	// PrefillTokensPerMs is the prefill rate, PrefillChunk the maximum number of prefill tokens
+	// in one step.
 	PrefillTokensPerMs float64
 	PrefillChunk       int
-	// PairsMs is what a million pairs of a chunk's tokens with those before them
-	// add to a step, in milliseconds.
+	// AttentionMs is the time of attention over a million token pairs, in milliseconds.
 	AttentionMs float64
-	// First is the fixed time from a request's arrival to its admission.
+	// AdmissionDelay is the minimum time from a request's arrival to its admission.
 	AdmissionDelay time.Duration
-	// FetchPerMs is how many cached tokens a link carries in a millisecond,
-	// FetchSetup the time before it begins.
+	// FetchTokensPerMs is the rate at which cached tokens are transferred over a link,
+	// FetchLatency the delay before a transfer.
 	FetchTokensPerMs float64
 	FetchLatency     time.Duration
-	// Load is how long weights take to load.
+	// LoadTime is how long loading weights takes.
 	LoadTime time.Duration
 }
 
-// part is one cached part.
+// cachedPart is a cached part of a prompt.
 type cachedPart struct {
 	tokens   int
 	lastUsed time.Duration
 }
 
-// engine is one engine's state. Times are since the run's beginning.
+// engine is the state of one engine. Times are relative to the start of the simulation.
 type engine struct {
 	spec         EngineSpec
 	index        int
@@ -54,8 +52,9 @@
 	running      []*run
 	cache        map[uint64]*cachedPart
 	cachedTokens int
-	linkFreeAt   time.Duration
-	// loads holds the versions that are to be loaded, with their times.
+	// linkFreeAt is when the link has finished its transfers.
+	linkFreeAt time.Duration
+	// pendingLoads holds the scheduled weight loads by time.
 	pendingLoads []weightLoad
 }
 
@@ -64,17 +63,17 @@
 	version int
 }
 
-// run is one request at an engine.
+// run is the execution of a request at an engine.
 type run struct {
 	request *request
 	engine  *engine
-	// readyAt is when it may be admitted: its fetch has ended by then.
+	// readyAt is the earliest admission, when cached parts have been fetched.
 	readyAt time.Duration
-	// urgency ranks runs that wait; 0 is first.
+	// priority orders waiting runs and prefill; 0 is first.
 	priority int
-	// toRead and made count tokens; holds is the memory that it takes.
+	// prefillLeft and generated are token counts; memory is the memory in use, in tokens.
 	prefillLeft, generated, memory int
-	// heldParts is how many of the shared parts were cached at the admission.
+	// cachedParts is the number of shared parts that were cached at admission.
 	cachedParts  int
 	lastToken    time.Duration
 	maxGap       time.Duration
@@ -86,7 +85,7 @@
 	return &engine{spec: spec, index: index, zone: zone, cache: map[uint64]*cachedPart{}}
 }
 
-// advance runs steps until a time.
+// advance runs the engine until a time.
 func (e *engine) advance(until time.Duration) {
 	for e.clock < until {
 		e.applyLoads()
@@ -99,7 +98,7 @@
 	}
 }
 
-// nextEvent is when an idle engine has something to do.
+// nextEvent returns when an idle engine has to act next, at most until.
 func (e *engine) nextEvent(until time.Duration) time.Duration {
 	next := until
 	for _, r := range e.waiting {
@@ -111,8 +110,7 @@
 	return next
 }
 
-// beginLoads loads weights that are due: everything stands still, and the cache is
-// of no use any more.
+// applyLoads loads the weights that are due. Loading blocks the engine and clears the cache.
 func (e *engine) applyLoads() {
 	for len(e.pendingLoads) > 0 && e.pendingLoads[0].at <= e.clock {
 		e.version = e.pendingLoads[0].version
@@ -122,34 +120,34 @@
 	}
 }
 
-// admit takes waiting requests in, the most urgent first.
+// admit admits waiting requests in the order of their priorities.
 func (e *engine) admit() {
 	slices.SortStableFunc(e.waiting, func(a, b *run) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.readyAt, b.readyAt))
 	})
-	left := e.waiting[:0]
+	remaining := e.waiting[:0]
 	for _, r := range e.waiting {
 		if r.timedOut(e.clock) {
 			r.request.onFinish(r)
 			continue
 		}
 		if r.readyAt > e.clock || len(e.running) >= e.spec.Slots || !e.evictFor(r.request.promptTokens()+r.request.outputTokens) {
-			left = append(left, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		e.start(r)
 	}
-	e.waiting = left
+	e.waiting = remaining
 }
 
 func (e *engine) start(r *run) {
-	held := e.cachedPrefix(r.request)
+	cached := e.cachedPrefix(r.request)
 	r.cachedParts = 0
-	for n := 0; n < held; r.cachedParts++ {
+	for n := 0; n < cached; r.cachedParts++ {
 		n += r.request.sharedParts[r.cachedParts].tokens
 	}
-	r.prefillLeft = r.request.promptTokens() - held
-	r.memory = r.request.promptTokens() - held + r.request.outputTokens
+	r.prefillLeft = r.request.promptTokens() - cached
+	r.memory = r.request.promptTokens() - cached + r.request.outputTokens
 	e.running = append(e.running, r)
 	for _, p := range r.request.sharedParts {
 		if c := e.cache[p.cacheKey(e.version)]; c != nil {
@@ -158,7 +156,7 @@
 	}
 }
 
-// held is how many of a request's shared tokens are cached, from the first on.
+// cachedPrefix returns the length of the longest cached prefix of a request's shared parts.
 func (e *engine) cachedPrefix(q *request) int {
 	n := 0
 	for _, p := range q.sharedParts {
@@ -178,7 +176,7 @@
 	return n
 }
 
-// makeRoom drops cached parts until so many tokens fit.
+// evictFor evicts cached parts until the tokens fit into memory, and reports whether they do.
 func (e *engine) evictFor(tokens int) bool {
 	for e.usedMemory()+tokens > e.spec.MemoryTokens {
 		key, found := e.leastRecentlyUsed()
@@ -202,10 +200,11 @@
 	return oldest, found
 }
 
-// step reads one chunk, of the most urgent prompts first, and makes one token for each request that is read.
+// step prefills one chunk in the order of priorities, and generates one token for each request
+// whose prefill is done.
 func (e *engine) step() {
 	budget := e.spec.PrefillChunk
-	pairs := 0.0
+	attentionPairs := 0.0
 	slices.SortStableFunc(e.running, func(a, b *run) int { return cmp.Compare(a.priority, b.priority) })
 	for _, r := range e.running {
 		n := min(budget, r.prefillLeft)
@@ -213,27 +212,27 @@
 			continue
 		}
 		before := r.request.promptTokens() - r.prefillLeft
-		pairs += float64(n) * float64(before+n/2)
+		attentionPairs += float64(n) * float64(before+n/2)
 		r.prefillLeft -= n
 		budget -= n
 		if r.prefillLeft == 0 {
 			e.cacheParts(r)
 		}
 	}
-	took := e.spec.Step + time.Duration(len(e.running))*e.spec.StepPerRequest
-	took += fromMs(float64(e.spec.PrefillChunk-budget)/e.spec.PrefillTokensPerMs + pairs/1e6*e.spec.AttentionMs)
-	e.clock += took
+	duration := e.spec.Step + time.Duration(len(e.running))*e.spec.StepPerRequest
+	duration += fromMs(float64(e.spec.PrefillChunk-budget)/e.spec.PrefillTokensPerMs + attentionPairs/1e6*e.spec.AttentionMs)
+	e.clock += duration
 	e.decode()
 }
 
-// keep caches the shared parts of a prompt that was read.
+// cacheParts caches the shared parts of a prompt after its prefill.
 func (e *engine) cacheParts(r *run) {
 	for _, p := range r.request.sharedParts[r.cachedParts:] {
 		key := p.cacheKey(e.version)
 		if e.cache[key] != nil {
 			continue
 		}
-		// The run has held the part's memory so far.
+		// The part's memory was counted for the run.
 		r.memory -= p.tokens
 		e.cache[key] = &cachedPart{tokens: p.tokens, lastUsed: e.clock}
 		e.cachedTokens += p.tokens
@@ -241,27 +240,27 @@
 }
 
 func (e *engine) decode() {
-	left := e.running[:0]
+	remaining := e.running[:0]
 	for _, r := range e.running {
 		if r.timedOut(e.clock) {
 			r.request.onFinish(r)
 			continue
 		}
 		if r.prefillLeft > 0 {
-			left = append(left, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		r.addToken(e.clock)
 		if r.generated < r.request.outputTokens {
-			left = append(left, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		r.request.onFinish(r)
 	}
-	e.running = left
+	e.running = remaining
 }
 
-// leaves reports whether the caller has left before the first token.
+// timedOut reports whether the caller has given up waiting for the first token.
 func (r *run) timedOut(now time.Duration) bool {
 	return r.generated == 0 && now-r.request.arrival > r.request.class.MaxWait
 }
@@ -276,17 +275,17 @@
 	r.lastToken = now
 }
 
-// waitingTokens is how many prompt tokens are to be read before one of an urgency
-// that comes now.
-func (e *engine) queuedPrefillTokens(urgency int) int {
+// queuedPrefillTokens returns the number of prompt tokens that would be prefilled before a new
+// request of the priority.
+func (e *engine) queuedPrefillTokens(priority int) int {
 	n := 0
 	for _, r := range e.running {
-		if r.priority <= urgency {
+		if r.priority <= priority {
 			n += r.prefillLeft
 		}
 	}
 	for _, r := range e.waiting {
-		if r.priority <= urgency {
+		if r.priority <= priority {
 			n += r.request.promptTokens() - e.cachedPrefix(r.request)
 		}
 	}
--- a/internal/batchmodel/model.go
+++ b/internal/batchmodel/model.go
@@ -14,48 +14,49 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/weights"
 )
 
-// Spec is a deployment with its traffic.
+// Spec describes a deployment and its traffic.
 type Spec struct {
 	Engine         EngineSpec
 	Engines, Zones int
 	Entries        int
 	Classes        []Class
-	// Load multiplies the rates of the classes.
+	// LoadFactor multiplies the request rates of the classes.
 	LoadFactor float64
 	Duration   time.Duration
-	// Versions are the times at which new weights are named.
+	// WeightUpdates are the times at which rollouts of new weights start.
 	WeightUpdates []time.Duration
-	// Lag is how old the policies' knowledge of caches is.
+	// CacheViewLag is the interval at which the policies' view of the caches is refreshed.
 	CacheViewLag time.Duration
 	Seed         uint64
 }
 
-// Policies are the names of the policies, in the order of the table.
+// Policies lists the names of the policies in the order of output.
 var Policies = []string{"random", "least work", "hash of the family", "toucanwell", "oracle"}
 
-// Result is what one policy made of the traffic.
+// Result is the result of one policy.
 type Result struct {
 	Policy string
-	// Worth is the share of what callers were owed.
+	// Worth is the achieved share of the worth of all requests.
 	Worth float64
-	// Hit is the share of shared tokens that were cached or fetched; Again the share
-	// of all tokens that were read although an engine held them.
+	// Hit is the share of shared tokens that were cached or fetched, Again the share of all
+	// prompt tokens that were prefilled although another engine had them cached.
 	Hit, Again float64
-	// Refused and Left are shares of requests: refused at once, and left by their
-	// callers before the first token.
+	// Refused is the share of requests that were refused, Left the share whose callers gave up
+	// before the first token.
 	Refused, Left float64
-	// Classes in the order of the spec.
+	// Classes are in the order of [Spec.Classes].
 	Classes []ClassResult
 }
 
-// ClassResult is one class's.
+// ClassResult is the result of one class: percentiles of the time to first token, and the share of
+// requests served within their objectives.
 type ClassResult struct {
 	Name     string
 	P50, P99 time.Duration
 	InTime   float64
 }
 
-// model is one run.
+// simulation is the state of one simulation.
 type simulation struct {
 	spec        Spec
 	policy      string
@@ -69,12 +70,13 @@
 	epoch       time.Time
 }
 
-// snapshot is what is known of an engine's cache.
+// cacheSnapshot is a copy of an engine's cache state.
 type cacheSnapshot struct {
 	version int
 	parts   map[uint64]bool
 }
 
+// stats accumulates the figures of a [Result].
 type stats struct {
 	maxWorth, worth                                         float64
 	sharedTokens, hitTokens, recomputedTokens, promptTokens int
@@ -83,10 +85,10 @@
 	inTime, byClass                                         map[string]int
 }
 
-// Run plays the traffic under a policy.
+// Run simulates the traffic under a policy.
 func Run(spec Spec, policy string) (*Result, error) {
 	if !slices.Contains(Policies, policy) {
-		return nil, fmt.Errorf("policy %q; there are %v", policy, Policies)
+		return nil, fmt.Errorf("unknown policy %q; known policies: %v", policy, Policies)
 	}
 	m := &simulation{
 		spec: spec, policy: policy, random: rand.New(rand.NewPCG(spec.Seed, 1)), ledger: ledger.New(), predictor: readtime.NewPredictor(),
@@ -96,7 +98,7 @@
 		m.engines = append(m.engines, newEngine(spec.Engine, i, i%spec.Zones))
 	}
 	m.scheduleLoads()
-	// All policies meet the same traffic.
+	// The traffic has its own random source, so that it is the same for all policies.
 	for _, q := range generateRequests(spec.Classes, spec.Entries, spec.Duration, spec.LoadFactor, rand.New(rand.NewPCG(spec.Seed, 2))) {
 		m.advance(q.arrival)
 		m.place(q)
@@ -105,18 +107,18 @@
 	return m.result(), nil
 }
 
-// scheduleLoads lets each named version roll a few engines at a time, in the order
-// of turns that sidecars go by.
+// scheduleLoads schedules the rollout of each weight version in the order and the waves that
+// sidecars use.
 func (m *simulation) scheduleLoads() {
-	for v, at := range m.spec.WeightUpdates {
+	for update, at := range m.spec.WeightUpdates {
 		views := make([]weights.EngineView, len(m.engines))
 		for i := range views {
 			views[i] = weights.EngineView{Incarnation: fleet.Incarnation{Instance: strconv.Itoa(i)}}
 		}
-		for place, turn := range weights.Turns(views, int64(v+1)) {
-			i, _ := strconv.Atoi(turn.Instance) // it was made from a number above
-			round := place / weights.Parallel(len(views))
-			m.engines[i].pendingLoads = append(m.engines[i].pendingLoads, weightLoad{at: at + time.Duration(round)*m.spec.Engine.LoadTime, version: v + 1})
+		for position, view := range weights.Turns(views, int64(update+1)) {
+			i, _ := strconv.Atoi(view.Instance) // set from an index above
+			wave := position / weights.Parallel(len(views))
+			m.engines[i].pendingLoads = append(m.engines[i].pendingLoads, weightLoad{at: at + time.Duration(wave)*m.spec.Engine.LoadTime, version: update + 1})
 		}
 	}
 }
@@ -129,7 +131,8 @@
 
 func (m *simulation) wallTime(at time.Duration) time.Time { return m.epoch.Add(at) }
 
-// look renews what is known of the caches, once in each lag.
+// currentCacheView returns the policies' view of the caches, refreshed once per lag. The oracle's
+// is always current.
 func (m *simulation) currentCacheView(now time.Duration) []cacheSnapshot {
 	if m.policy != "oracle" && m.cacheView != nil && now-m.cacheViewAt < m.spec.CacheViewLag {
 		return m.cacheView
@@ -156,12 +159,12 @@
 	return n
 }
 
-// place decides on a request and hands it to an engine.
+// place chooses an engine for a request and sends it there, or refuses it.
 func (m *simulation) place(q *request) {
 	m.stats.requests++
 	m.stats.byClass[q.class.Name]++
 	m.stats.maxWorth += q.class.Worth
-	seen := m.currentCacheView(q.arrival)
+	view := m.currentCacheView(q.arrival)
 	switch m.policy {
 	case "random":
 		m.send(q, m.engines[m.random.IntN(len(m.engines))], placement.Choice{Priority: q.class.Priority})
@@ -170,7 +173,7 @@
 	case "hash of the family":
 		m.send(q, m.engines[q.family()%uint64(len(m.engines))], placement.Choice{Priority: q.class.Priority})
 	default:
-		m.placeByProduct(q, seen)
+		m.placeByProduct(q, view)
 	}
 }
 
@@ -184,9 +187,9 @@
 	return best
 }
 
-// decide asks the product's own placement.
-func (m *simulation) placeByProduct(q *request, seen []cacheSnapshot) {
-	question := &placement.Input{
+// placeByProduct uses package placement.
+func (m *simulation) placeByProduct(q *request, view []cacheSnapshot) {
+	input := &placement.Input{
 		Family: q.family(), SharedTokens: q.sharedTokens(), OwnTokens: q.ownTokens, MaxTokens: q.outputTokens, Objective: q.class.TTFTObjective, Priority: q.class.Priority, LatePriority: ledger.Priorities/2 + q.class.Priority,
 		MaxStaleness: time.Hour, PrefillTime: m.prefillTime,
 	}
@@ -196,15 +199,15 @@
 		c := &candidates[i]
 		*c = placement.Candidate{
 			Hash: placement.Mix(uint64(i) + 1), SameZone: e.zone == q.entry%m.spec.Zones, Slots: e.spec.Slots, Memory: e.spec.MemoryTokens,
-			Work: totals[fleet.ID(i)], CachedTokens: seen[i].cachedPrefix(q),
+			Work: totals[fleet.ID(i)], CachedTokens: view[i].cachedPrefix(q),
 		}
 		if m.policy == "oracle" {
 			c.Work.Prefill = ledger.AtPriority(0, m.prefillTime(e.queuedPrefillTokens(q.class.Priority)))
 		}
-		c.FetchableTokens, c.Source.TokensPerMs = m.fetchable(q, i, seen), m.spec.Engine.FetchTokensPerMs
+		c.FetchableTokens, c.Source.TokensPerMs = m.fetchable(q, i, view), m.spec.Engine.FetchTokensPerMs
 		c.Source.SameZone = true
 	}
-	choice := placement.Pick(question, candidates)
+	choice := placement.Pick(input, candidates)
 	if choice.Estimate > q.class.MaxWait {
 		m.stats.refused++
 		return
@@ -212,12 +215,12 @@
 	m.send(q, m.engines[choice.Index], choice)
 }
 
-// fetchable is the most of a prompt that another engine with the same weights holds.
-func (m *simulation) fetchable(q *request, to int, seen []cacheSnapshot) int {
+// fetchable returns the longest prefix that another engine with the same weights has cached.
+func (m *simulation) fetchable(q *request, destination int, view []cacheSnapshot) int {
 	most := 0
-	for i := range seen {
-		if i != to && seen[i].version == seen[to].version {
-			most = max(most, seen[i].cachedPrefix(q))
+	for i := range view {
+		if i != destination && view[i].version == view[destination].version {
+			most = max(most, view[i].cachedPrefix(q))
 		}
 	}
 	return most
@@ -225,15 +228,15 @@
 
 func (m *simulation) prefillTime(tokens int) time.Duration { return m.predictor.PrefillTime(tokens) }
 
-// send hands a request to an engine.
+// send queues a request at an engine.
 func (m *simulation) send(q *request, e *engine, choice placement.Choice) {
-	held := e.cachedPrefix(q)
+	cached := e.cachedPrefix(q)
 	m.stats.sharedTokens += q.sharedTokens()
 	r := &run{request: q, engine: e, readyAt: q.arrival + e.spec.AdmissionDelay, priority: choice.Priority}
 	if choice.FetchedTokens > 0 {
-		m.fetch(r, held+choice.FetchedTokens)
+		m.fetch(r, cached+choice.FetchedTokens)
 	}
-	m.countHits(q, e, held)
+	m.countHits(q, e, cached)
 	work := ledger.Work{Running: 1, Prefill: ledger.AtPriority(choice.Priority, choice.Prefill), Memory: ledger.AtPriority(choice.Priority, choice.PrefillTokens+choice.FetchedTokens+q.outputTokens)}
 	item := m.ledger.Begin(fleet.ID(e.index), work, choice.Wait+choice.Fetch, m.wallTime(q.arrival))
 	q.onFinish = func(r *run) { item.End(); m.recordFinish(r) }
@@ -241,7 +244,7 @@
 	e.waiting = append(e.waiting, r)
 }
 
-// fetch brings the parts of a prompt over the engine's link, one after the other.
+// fetch transfers the parts of a prefix to the engine. Transfers over a link run one at a time.
 func (m *simulation) fetch(r *run, upTo int) {
 	e := r.engine
 	tokens, n := 0, 0
@@ -265,37 +268,36 @@
 	m.stats.hitTokens += tokens
 }
 
-// count adds to the hit rate and to what is read again.
-func (m *simulation) countHits(q *request, e *engine, held int) {
-	m.stats.hitTokens += held
+// countHits counts the cached tokens and those that are prefilled again.
+func (m *simulation) countHits(q *request, e *engine, cached int) {
+	m.stats.hitTokens += cached
 	m.stats.promptTokens += q.promptTokens()
-	now := e.cachedPrefix(q)
-	for _, o := range m.engines {
-		if o != e && o.version == e.version {
-			if elsewhere := o.cachedPrefix(q); elsewhere > now {
-				m.stats.recomputedTokens += elsewhere - now
+	local := e.cachedPrefix(q)
+	for _, other := range m.engines {
+		if other != e && other.version == e.version {
+			if elsewhere := other.cachedPrefix(q); elsewhere > local {
+				m.stats.recomputedTokens += elsewhere - local
 				return
 			}
 		}
 	}
 }
 
-// firstToken learns from the first token, as an entry does.
+// recordFirstToken records the time to first token and trains the predictor, as an entry does.
 func (m *simulation) recordFirstToken(r *run, choice placement.Choice, at time.Duration) {
-	took := at - r.request.arrival
+	ttft := at - r.request.arrival
 	if choice.PrefillTokens > 0 && choice.Wait < maxUncontendedWait {
-		m.predictor.Record(choice.PrefillTokens, took-choice.Fetch)
+		m.predictor.Record(choice.PrefillTokens, ttft-choice.Fetch)
 	}
 	c := r.request.class
-	r.firstInTime = took <= c.TTFTObjective
-	m.stats.ttft[c.Name] = append(m.stats.ttft[c.Name], took)
+	r.firstInTime = ttft <= c.TTFTObjective
+	m.stats.ttft[c.Name] = append(m.stats.ttft[c.Name], ttft)
 }
 
-// unhindered is the expected wait up to which a prompt counts as having met no
-// others.
+// maxUncontendedWait is the expected wait up to which a prefill time is used for training.
 const maxUncontendedWait = 3 * time.Millisecond
 
-// finished counts a run that ended, or whose caller left before its first token.
+// recordFinish records a run that ended or whose caller gave up.
 func (m *simulation) recordFinish(r *run) {
 	c := r.request.class
 	switch {
--- a/internal/batchmodel/model_test.go
+++ b/internal/batchmodel/model_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func mustRun(t *testing.T, shape, policy string, change func(*Spec)) *Result {
+func mustRun(t *testing.T, shape, policy string, modify func(*Spec)) *Result {
 	t.Helper()
 	spec := Shapes[shape]
 	spec.Duration = 12 * time.Second
-	if change != nil {
-		change(&spec)
+	if modify != nil {
+		modify(&spec)
 	}
 	r, err := Run(spec, policy)
 	if err != nil {
@@ -20,15 +20,15 @@
 	return r
 }
 
-// A model that does not repeat is of no use for comparing.
-func TestRunsRepeat(t *testing.T) {
+// Runs with the same seed must have the same result.
+func TestRunIsDeterministic(t *testing.T) {
 	if a, b := mustRun(t, "desk", "toucanwell", nil), mustRun(t, "desk", "toucanwell", nil); !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v, then %+v", a, b)
+		t.Errorf("results differ: %+v and %+v", a, b)
 	}
 }
 
-// A lone prompt takes the fixed time, its reading in chunks, and a step a token.
-func TestLonePromptTakesItsTime(t *testing.T) {
+// A single request takes the admission delay, its prefill in chunks, and a step per token.
+func TestSingleRequestLatency(t *testing.T) {
 	spec := EngineSpec{Slots: 4, MemoryTokens: 10_000, Step: 4 * time.Millisecond, PrefillTokensPerMs: 100, PrefillChunk: 2000, AdmissionDelay: 10 * time.Millisecond}
 	e := newEngine(spec, 0, 0)
 	q := &request{class: &Class{MaxWait: time.Minute}, ownTokens: 4000, outputTokens: 3}
@@ -38,39 +38,39 @@
 	e.waiting = []*run{{request: q, engine: e, readyAt: spec.AdmissionDelay, onFirstToken: func(at time.Duration) { first = at }}}
 	e.advance(time.Second)
 	if first != 58*time.Millisecond || ended != 66*time.Millisecond {
-		t.Errorf("first token at %s, end at %s", first, ended)
+		t.Errorf("first token at %s, last token at %s; want 58ms and 66ms", first, ended)
 	}
 }
 
-// A cached part is not read again, until memory is short or weights are loaded.
+// Parts stay cached until they are evicted or weights are loaded.
 func TestPartsAreCached(t *testing.T) {
 	e := newEngine(EngineSpec{Slots: 4, MemoryTokens: 5000, Step: time.Millisecond, PrefillTokensPerMs: 100, PrefillChunk: 1000, LoadTime: 10 * time.Millisecond}, 0, 0)
-	ask := func(name uint64) int {
-		q := &request{class: &Class{MaxWait: time.Minute}, sharedParts: []sharedPart{{name, 2000}}, ownTokens: 100, outputTokens: 1, onFinish: func(*run) {}}
-		held := e.cachedPrefix(q)
+	cachedAtRequest := func(id uint64) int {
+		q := &request{class: &Class{MaxWait: time.Minute}, sharedParts: []sharedPart{{id, 2000}}, ownTokens: 100, outputTokens: 1, onFinish: func(*run) {}}
+		cached := e.cachedPrefix(q)
 		e.waiting = []*run{{request: q, engine: e, onFirstToken: func(time.Duration) {}}}
 		e.advance(e.clock + time.Second)
-		return held
+		return cached
 	}
 	for i, step := range []struct {
-		name uint64
-		held int
+		id     uint64
+		cached int
 	}{{1, 0}, {1, 2000}, {2, 0}, {3, 0}, {1, 0}} {
-		if got := ask(step.name); got != step.held {
-			t.Errorf("step %d: %d tokens held", i, got)
+		if got := cachedAtRequest(step.id); got != step.cached {
+			t.Errorf("step %d: %d cached tokens", i, got)
 		}
 	}
 	e.pendingLoads = []weightLoad{{at: e.clock, version: 1}}
-	if ask(1) != 2000 {
-		t.Error("the part is gone before the load")
+	if cachedAtRequest(1) != 2000 {
+		t.Error("the part was evicted before the load")
 	}
 	if e.cachedTokens > e.spec.MemoryTokens || e.version != 1 {
-		t.Errorf("%d tokens cached, version %d", e.cachedTokens, e.version)
+		t.Errorf("%d tokens cached, weight version %d", e.cachedTokens, e.version)
 	}
 }
 
-// The product's placement does better than policies that know less, and not much
-// worse than one that knows everything, at an ordinary load and in an overload.
+// Package placement must beat the simple policies and come close to the oracle, at normal load and
+// under overload.
 func TestPlacementBeatsSimplePolicies(t *testing.T) {
 	for _, load := range []float64{1, 1.6} {
 		worth := map[string]float64{}
@@ -79,17 +79,17 @@
 		}
 		for _, simple := range Policies[:3] {
 			if worth["toucanwell"] <= worth[simple] {
-				t.Errorf("load %.1f: %s has %.3f, toucanwell %.3f", load, simple, worth[simple], worth["toucanwell"])
+				t.Errorf("load factor %.1f: worth of %s is %.3f, of toucanwell %.3f", load, simple, worth[simple], worth["toucanwell"])
 			}
 		}
 		if worth["toucanwell"] < 0.85*worth["oracle"] {
-			t.Errorf("load %.1f: toucanwell has %.3f, the oracle %.3f", load, worth["toucanwell"], worth["oracle"])
+			t.Errorf("load factor %.1f: worth of toucanwell is %.3f, of the oracle %.3f", load, worth["toucanwell"], worth["oracle"])
 		}
 	}
 }
 
 func TestUnknownPolicyIsRefused(t *testing.T) {
 	if _, err := Run(Shapes["desk"], "none"); err == nil {
-		t.Error("taken")
+		t.Error("an unknown policy was accepted")
 	}
 }
--- a/internal/batchmodel/shapes.go
+++ b/internal/batchmodel/shapes.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// largeModel is an engine of eight accelerators with a dense model of 70 billion
-// parameters in 8 bits.
+// eightAccelerators70B is an engine with eight accelerators that serves a dense model of 70 billion
+// parameters with 8-bit weights.
 var eightAccelerators70B = EngineSpec{
 	Slots: 64, MemoryTokens: 250_000, Step: 3900 * time.Microsecond, StepPerRequest: 28 * time.Microsecond,
 	PrefillTokensPerMs: 66, PrefillChunk: 2048, AttentionMs: 0.28, AdmissionDelay: 12 * time.Millisecond,
 	FetchTokensPerMs: 280, FetchLatency: 5 * time.Millisecond, LoadTime: 430 * time.Millisecond,
 }
 
-// desk has long reviews whose prompts share a case file, and short questions.
+// deskClasses returns long reviews whose prompts share a case file, and short questions.
 func deskClasses(perSecond float64, cases, places int) []Class {
 	return []Class{
 		{
@@ -26,7 +26,7 @@
 	}
 }
 
-// Shapes are the deployments that can be played by name.
+// Shapes are the predefined deployments by name.
 var Shapes = map[string]Spec{
 	"desk": {
 		Engine: eightAccelerators70B, Engines: 9, Zones: 3, Entries: 4, Classes: deskClasses(71, 120, 215), LoadFactor: 1, Duration: 34 * time.Second,
--- a/internal/batchmodel/traffic.go
+++ b/internal/batchmodel/traffic.go
@@ -8,43 +8,43 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/placement"
 )
 
-// Level is one level of a class's shared parts.
+// PrefixLevel describes the shared parts at one position of a class's prompts.
 type PrefixLevel struct {
-	// Tokens is the mean length of a part, Things how many there are; Skew is the
+	// Tokens is the mean length of a part, Count the number of distinct parts; Skew is the Zipf
 	// exponent of their popularity.
 	Tokens, Count int
 	Skew          float64
 }
 
-// Class is one kind of request.
+// Class describes one class of requests.
 type Class struct {
 	Name string
-	// PerSecond is the rate of the whole deployment.
+	// PerSecond is the request rate of the whole deployment.
 	PerSecond    float64
 	PrefixLevels []PrefixLevel
-	// Own and Answer are the mean tokens of a request's own part and of its answer;
-	// OwnSpread and AnswerSpread are the deviations of their logarithms.
+	// OwnTokens and OutputTokens are the mean lengths of the unshared part of the prompt and of
+	// the output; the sigmas are the standard deviations of their logarithms.
 	OwnTokens, OutputTokens int
 	OwnSigma, OutputSigma   float64
-	// Aim is the time to the first token that is of full use, Patience the time
-	// after which callers leave, Gap the longest pause that is of full use.
+	// TTFTObjective is the objective for the time to first token, MaxWait the time after which
+	// callers give up, MaxTokenGap the objective for the longest time between tokens.
 	TTFTObjective, MaxWait, MaxTokenGap time.Duration
-	// Urgency ranks classes at an engine; 0 is the most urgent.
+	// Priority is the priority at an engine; 0 is first.
 	Priority int
-	// Worth in time, and late.
+	// Worth is the worth of a request that meets its objectives, LateWorth of another.
 	Worth, LateWorth float64
 }
 
-// shared is one shared part of a request.
+// sharedPart is a part of a prompt that other requests share.
 type sharedPart struct {
 	id     uint64
 	tokens int
 }
 
-// key names a part as read under a version of the weights.
+// cacheKey returns the cache key of the part under a weight version.
 func (s sharedPart) cacheKey(version int) uint64 { return placement.Mix(s.id + uint64(version)) }
 
-// request is one request of the traffic.
+// request is one generated request.
 type request struct {
 	class        *Class
 	arrival      time.Duration
@@ -65,7 +65,7 @@
 
 func (q *request) promptTokens() int { return q.sharedTokens() + q.ownTokens }
 
-// family names the innermost shared part.
+// family returns the ID of the last shared part.
 func (q *request) family() uint64 {
 	if len(q.sharedParts) == 0 {
 		return 0
@@ -73,21 +73,21 @@
 	return q.sharedParts[len(q.sharedParts)-1].id
 }
 
-// lognormal draws with a mean and a deviation of the logarithm.
-func lognormal(r *rand.Rand, mean int, spread float64) int {
-	return max(1, int(float64(mean)*math.Exp(r.NormFloat64()*spread-spread*spread/2)))
+// lognormal draws from a log-normal distribution, at least 1.
+func lognormal(r *rand.Rand, mean int, sigma float64) int {
+	return max(1, int(float64(mean)*math.Exp(r.NormFloat64()*sigma-sigma*sigma/2)))
 }
 
-// generate draws the requests of a length of time, in the order of arrival.
-func generateRequests(classes []Class, entries int, length time.Duration, load float64, r *rand.Rand) []*request {
+// generateRequests draws the requests of a time span as a Poisson process, in the order of arrival.
+func generateRequests(classes []Class, entries int, duration time.Duration, loadFactor float64, r *rand.Rand) []*request {
 	var all []*request
 	total := 0.0
 	for _, c := range classes {
-		total += c.PerSecond * load
+		total += c.PerSecond * loadFactor
 	}
 	for at := time.Duration(0); ; {
 		at += time.Duration(r.ExpFloat64() / total * float64(time.Second))
-		if at > length {
+		if at > duration {
 			return all
 		}
 		all = append(all, drawRequest(drawClass(classes, r), at, r.IntN(entries), r))
@@ -110,16 +110,16 @@
 
 func drawRequest(c *Class, at time.Duration, entry int, r *rand.Rand) *request {
 	q := &request{class: c, arrival: at, entry: entry, ownTokens: lognormal(r, c.OwnTokens, c.OwnSigma), outputTokens: lognormal(r, c.OutputTokens, c.OutputSigma)}
-	name := placement.Mix(uint64(len(c.Name))<<32 + uint64(c.Name[0]))
+	id := placement.Mix(uint64(len(c.Name))<<32 + uint64(c.Name[0]))
 	for _, l := range c.PrefixLevels {
-		thing := drawPart(r, l)
-		name = placement.Mix(name + uint64(thing) + 1)
-		q.sharedParts = append(q.sharedParts, sharedPart{id: name, tokens: partTokens(name, l.Tokens)})
+		part := drawPart(r, l)
+		id = placement.Mix(id + uint64(part) + 1)
+		q.sharedParts = append(q.sharedParts, sharedPart{id: id, tokens: partTokens(id, l.Tokens)})
 	}
 	return q
 }
 
-// popular draws a thing by its popularity.
+// drawPart draws the index of a part by popularity.
 func drawPart(r *rand.Rand, l PrefixLevel) int {
 	sum := 0.0
 	for i := range l.Count {
@@ -134,7 +134,7 @@
 	return l.Count - 1
 }
 
-// sized gives each part a length of its own, from a half to three halves of the mean.
-func partTokens(name uint64, mean int) int {
-	return mean/2 + int(placement.Mix(name^0xABCD)%uint64(mean))
+// partTokens derives the length of a part from its ID, between half and one and a half of the mean.
+func partTokens(id uint64, mean int) int {
+	return mean/2 + int(placement.Mix(id^0xABCD)%uint64(mean))
 }
