--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -1,9 +1,8 @@
-// Package capacity_test holds the benchmarks from whose slopes
-// docs/CAPACITY.md is worked out. Each has three sizes or more; the tool
-// tools/capacity fits a line through them and prints the page's tables.
+// Package capacity_test holds the benchmarks behind docs/CAPACITY.md. Each runs with several sizes;
+// the tool tools/capacity fits a line through them and prints the page's tables.
 //
-// Metrics besides ns/op: heap-B is the heap that one object of the size keeps,
-// wire-B the bytes of a message as encoded by the real codec.
+// The metric heap-B is the heap retained by an object of the given size, wire-B the encoded size of
+// a message.
 package capacity_test
 
 import (
@@ -39,13 +38,13 @@
 	"github.com/toucanwell/toucanwell/internal/sidecar"
 )
 
-// heapOf is the heap that the made object keeps.
-func retainedHeap(make func() any) float64 {
+// retainedHeap returns the size of the heap that an object retains.
+func retainedHeap(create func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	object := make()
+	object := create()
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -53,7 +52,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// text returns a configuration of a size.
+// configText returns a configuration with the given numbers of targets and workspaces.
 func configText(targets, workspaces int) string {
 	var b strings.Builder
 	b.WriteString("schema = 1\n[[region]]\nname = \"r1\"\navailability_zones = [\"a\", \"b\", \"c\"]\n[[region]]\nname = \"r2\"\navailability_zones = [\"d\", \"e\"]\n")
@@ -73,14 +72,14 @@
 }
 
 func mustParse(b *testing.B, text string) *config.Config {
-	c, err := config.Parse("text", text)
+	c, err := config.Parse("configuration", text)
 	if err != nil {
 		b.Fatal(err)
 	}
 	return c
 }
 
-// BenchmarkConfig is one change of the configuration at a process.
+// BenchmarkConfig measures parsing a changed configuration.
 func BenchmarkConfig(b *testing.B) {
 	for _, n := range []int{500, 2000, 5900} {
 		t := configText(600, n)
@@ -88,11 +87,11 @@
 			for b.Loop() {
 				mustParse(b, t)
 			}
-			var zipped bytes.Buffer
-			w := gzip.NewWriter(&zipped)
+			var compressed bytes.Buffer
+			w := gzip.NewWriter(&compressed)
 			_, _ = w.Write([]byte(t))
 			_ = w.Close()
-			b.ReportMetric(float64(zipped.Len()), "wire-B")
+			b.ReportMetric(float64(compressed.Len()), "wire-B")
 			b.ReportMetric(retainedHeap(func() any { return []any{mustParse(b, t), strings.Clone(t)} }), "heap-B")
 		})
 	}
@@ -106,7 +105,7 @@
 	return targets
 }
 
-// BenchmarkRank is the ranking of one request's targets at an entry.
+// BenchmarkRank measures ranking the targets of a request at an entry.
 func BenchmarkRank(b *testing.B) {
 	for _, n := range []int{18, 72, 288, 600} {
 		targets := makeTargets(n)
@@ -122,7 +121,7 @@
 	}
 }
 
-// BenchmarkIndexEvent is one cache event at a sidecar.
+// BenchmarkIndexEvent measures applying a cache event at a sidecar.
 func BenchmarkIndexEvent(b *testing.B) {
 	for _, n := range []int{10_000, 57_000, 200_000} {
 		fill := func() *prefix.Index {
@@ -155,7 +154,7 @@
 	return g
 }
 
-// BenchmarkQuote is one probe's answer at a gate.
+// BenchmarkQuote measures answering a probe at a sidecar.
 func BenchmarkQuote(b *testing.B) {
 	for _, n := range []int{0, 8, 64, 256} {
 		b.Run(fmt.Sprintf("queued=%d", n), func(b *testing.B) {
@@ -170,7 +169,7 @@
 	}
 }
 
-// countingConn counts the bytes of a connection in both directions.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	n *int64
@@ -203,8 +202,7 @@
 	return server
 }
 
-// BenchmarkSync is one question between peers whose versions are equal, on a
-// standing connection. Its size is the same at every size of the fleet.
+// BenchmarkSync measures a sync request between peers with equal versions over an open connection.
 func BenchmarkSync(b *testing.B) {
 	for _, n := range []int{1, 2, 3} {
 		b.Run(fmt.Sprintf("peers=%d", n), func(b *testing.B) {
@@ -222,26 +220,26 @@
 				defer server.Close()
 				peers = append(peers, peerv1.NewPeerClient(client, server.URL))
 			}
-			ask := func() {
+			syncAll := func() {
 				for _, p := range peers {
 					if _, err := p.Sync(context.Background(), connect.NewRequest(&peerv1.SyncRequest{ConfigVersion: 100_000, Address: "10.0.0.1:7000"})); err != nil {
 						b.Fatal(err)
 					}
 				}
 			}
-			ask()
-			ask()
-			before, asked := total, int64(0)
+			syncAll()
+			syncAll()
+			before, rounds := total, int64(0)
 			for b.Loop() {
-				ask()
-				asked++
+				syncAll()
+				rounds++
 			}
-			b.ReportMetric(float64(total-before)/float64(asked), "wire-B")
+			b.ReportMetric(float64(total-before)/float64(rounds), "wire-B")
 		})
 	}
 }
 
-// BenchmarkPeerConnection is what a standing connection keeps at both its ends.
+// BenchmarkPeerConnection measures the heap that an idle connection retains at both ends.
 func BenchmarkPeerConnection(b *testing.B) {
 	fact := &blackboard.Fact[configlog.Snapshot]{}
 	for _, n := range []int{10, 40, 120} {
@@ -251,7 +249,7 @@
 			for range n {
 				servers = append(servers, startPeerServer(fact))
 			}
-			kept := retainedHeap(func() any {
+			retained := retainedHeap(func() any {
 				for _, s := range servers {
 					p := peerv1.NewPeerClient(client, s.URL)
 					if _, err := p.Sync(context.Background(), connect.NewRequest(&peerv1.SyncRequest{})); err != nil {
@@ -267,37 +265,37 @@
 			for b.Loop() {
 				runtime.KeepAlive(client)
 			}
-			b.ReportMetric(kept, "heap-B")
+			b.ReportMetric(retained, "heap-B")
 		})
 	}
 }
 
-// BenchmarkProbeMessage is the encoding of a probe and its answer; wire-B has
-// both with their IP and UDP headers.
+// BenchmarkProbeMessage measures encoding and decoding a probe and its response; wire-B includes the
+// IP and UDP headers.
 func BenchmarkProbeMessage(b *testing.B) {
 	for _, n := range []int{1, 3, 6} {
 		b.Run(fmt.Sprintf("points=%d", n), func(b *testing.B) {
-			const headers = 28
+			const headerBytes = 28
 			request := &peerv1.ProbeRequest{Id: 1 << 30, Workspace: probe.WorkspaceHash("w"), Class: 1, PromptTokens: 11_000}
 			for i := range n {
 				request.Points = append(request.Points, uint32(i+1)<<28)
 				request.PointTokens = append(request.PointTokens, uint32(3000*(i+1)))
 			}
 			response := &peerv1.ProbeResponse{Id: 1 << 30, ConfigVersion: 100_000, WaitMs: 200, MatchedTokens: 9000, PrefillMs: 300, BusyPermille: 600}
-			var in, out []byte
+			var requestData, responseData []byte
 			for b.Loop() {
-				in, _ = proto.Marshal(request)
-				out, _ = proto.Marshal(response)
-				_ = proto.Unmarshal(in, &peerv1.ProbeRequest{})
-				_ = proto.Unmarshal(out, &peerv1.ProbeResponse{})
+				requestData, _ = proto.Marshal(request)
+				responseData, _ = proto.Marshal(response)
+				_ = proto.Unmarshal(requestData, &peerv1.ProbeRequest{})
+				_ = proto.Unmarshal(responseData, &peerv1.ProbeResponse{})
 			}
-			b.ReportMetric(float64(len(in)+len(out)+2*headers), "wire-B")
+			b.ReportMetric(float64(len(requestData)+len(responseData)+2*headerBytes), "wire-B")
 		})
 	}
 }
 
-// BenchmarkClaim is one key in the record of calls; wire-B is its claim and its
-// end with an answer of 200 bytes.
+// BenchmarkClaim measures reading the claims of completed calls; wire-B is the size of a claim and
+// its done record with a response of 200 bytes.
 func BenchmarkClaim(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 50_000} {
 		page := func() *external.Page {
@@ -319,16 +317,16 @@
 			}
 			b.ReportMetric(float64(len(p.Records[0].Data)), "wire-B")
 			b.ReportMetric(retainedHeap(func() any {
-				book := once.NewKeyTable()
-				book.Apply(p)
-				return book
+				table := once.NewKeyTable()
+				table.Apply(p)
+				return table
 			}), "heap-B")
 			runtime.KeepAlive(p)
 		})
 	}
 }
 
-// BenchmarkBurn is one counted request, and the rows that are kept.
+// BenchmarkBurn measures counting a request, and the heap of the counters.
 func BenchmarkBurn(b *testing.B) {
 	for _, n := range []int{100, 500, 2000} {
 		fill := func() *burn.Counter {
@@ -349,19 +347,19 @@
 	}
 }
 
-// BenchmarkFrame is one token's frame between sidecar and entry: encoding and
-// decoding, and its bytes with the envelope.
+// BenchmarkFrame measures encoding and decoding the frame of one token between sidecar and entry;
+// wire-B includes the envelope.
 func BenchmarkFrame(b *testing.B) {
 	for _, n := range []int{4, 16, 64} {
 		b.Run(fmt.Sprintf("text=%d", n), func(b *testing.B) {
-			const envelope = 5 + 9
+			const envelopeBytes = 5 + 9
 			frame := &peerv1.Frame{Seq: 120, Text: strings.Repeat("x", n)}
 			var data []byte
 			for b.Loop() {
 				data, _ = proto.Marshal(frame)
 				_ = proto.Unmarshal(data, &peerv1.Frame{})
 			}
-			b.ReportMetric(float64(len(data)+envelope), "wire-B")
+			b.ReportMetric(float64(len(data)+envelopeBytes), "wire-B")
 		})
 	}
 }
