--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,7 @@
-// Package cluster runs a deployment's processes and stand-ins for its platform
-// inside one process, on loopback. The demo and the tests use it; the daemons
-// in it are the real ones.
+// Package cluster runs a whole deployment on loopback addresses, for the demo and for tests.
+//
+// The entries and sidecars are real daemons, in this process or in processes of their own. The
+// platform, the engines and the plain targets are stand-ins.
 package cluster
 
 import (
@@ -23,28 +24,28 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// Options shape a cluster.
+// Options configures a cluster.
 type Options struct {
-	// Text is the configuration; target addresses are replaced by free ones.
+	// ConfigText is the configuration. Its target addresses are replaced by free ones.
 	ConfigText string
 	// Entries is the number of entry processes.
-	Entries int
-	// Costs of the engines.
+	Entries     int
 	EngineCosts standin.EngineCosts
-	// Adjust may change the settings of each process before it starts.
+	// AdjustSettings, if set, modifies the settings of each process before its first start.
 	AdjustSettings func(*settings.Settings)
-	// LogOutput takes the processes' logs.
+	// LogOutput receives the logs of daemons in this process.
 	LogOutput io.Writer
-	// Launch starts a process; nil starts the daemon inside this one.
+	// Launch starts a daemon; nil runs it in this process.
 	Launch func(*settings.Settings) (Process, error)
-	// MaxLoads is what the weight store bears at once. Default 2.
+	// MaxWeightLoads is the number of concurrent loads that the weight store supports, at least
+	// and by default 2.
 	MaxWeightLoads int
 }
 
-// Process is a started process. Close ends it at once.
+// Process is a running daemon. Close ends it at once.
 type Process interface{ Close() }
 
-// Cluster is a running deployment.
+// Cluster is a running deployment. Engines, PlainTargets and Sidecars are by target name.
 type Cluster struct {
 	options      Options
 	Log          *standin.Log
@@ -54,14 +55,14 @@
 	WeightStore  *standin.WeightStore
 	Entries      []Process
 	Sidecars     map[string]Process
-	// EntrySettings and SidecarSettings allow to start a process again.
+	// EntrySettings and SidecarSettings are the settings for restarts.
 	EntrySettings   []*settings.Settings
 	SidecarSettings map[string]*settings.Settings
 	ConfigText      string
 	servers         []*http.Server
 }
 
-// DefaultCosts are an engine's costs in real time, small enough for a demo.
+// DefaultEngineCosts are engine costs for demos and tests.
 var DefaultEngineCosts = standin.EngineCosts{
 	PrefillTokensPerSecond: 20_000,
 	DecodeStep:             2 * time.Millisecond,
@@ -71,10 +72,10 @@
 	LoadTime:               500 * time.Millisecond,
 }
 
-const defaultMaxLoads = 2
+const defaultMaxWeightLoads = 2
 
-// Ports handed out lie below those that the system gives to outgoing
-// connections, so that a process which starts again finds its port free.
+// The ports are below the usual ephemeral range, so that a process finds its port free when it
+// restarts.
 const (
 	firstPort = 10_000
 	portRange = 20_000
@@ -82,15 +83,14 @@
 
 var nextPort atomic.Int64
 
-// host is this process's own loopback address. Two test processes at once so
-// never take each other's ports.
-var host = fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
+// loopbackHost is a random loopback address, so that concurrent test processes don't compete for
+// ports.
+var loopbackHost = fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
 
-// FreeAddress returns a loopback address that was free a moment ago and that
-// this process has not handed out before.
+// FreeAddress returns a loopback address that is not in use and that was not returned before.
 func FreeAddress() (string, error) {
 	for range portRange {
-		address := fmt.Sprintf("%s:%d", host, firstPort+nextPort.Add(1)%portRange)
+		address := fmt.Sprintf("%s:%d", loopbackHost, firstPort+nextPort.Add(1)%portRange)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
@@ -101,12 +101,12 @@
 	return "", errors.New("no free port")
 }
 
-// Start runs a cluster and waits until every process has the configuration.
+// Start starts a cluster and waits until all its processes are ready.
 func Start(ctx context.Context, o Options) (*Cluster, error) {
 	c := &Cluster{
 		options: o, Log: standin.NewLog(), Hosts: standin.NewHosts(),
 		Engines: map[string]*standin.Engine{}, PlainTargets: map[string]*standin.Plain{},
-		WeightStore: standin.NewWeightStore(max(o.MaxWeightLoads, defaultMaxLoads)), Sidecars: map[string]Process{}, SidecarSettings: map[string]*settings.Settings{},
+		WeightStore: standin.NewWeightStore(max(o.MaxWeightLoads, defaultMaxWeightLoads)), Sidecars: map[string]Process{}, SidecarSettings: map[string]*settings.Settings{},
 	}
 	if err := c.start(ctx); err != nil {
 		c.Close()
@@ -148,7 +148,7 @@
 	return c.WaitReady(ctx)
 }
 
-// freshAddresses gives each target a free address.
+// assignAddresses replaces the address of each target in a configuration by a free one.
 func assignAddresses(text string, c *config.Config) (string, error) {
 	for i := range c.Services {
 		for _, t := range c.Services[i].Targets {
@@ -162,7 +162,7 @@
 	return text, nil
 }
 
-// Serve runs a handler on a free address and returns its base URL.
+// Serve serves a handler on a free address until Close, and returns its base URL.
 func (c *Cluster) Serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// newTarget makes the stand-in of a target.
+// newTarget returns the stand-in for a target.
 func (c *Cluster) newTarget(service *config.Service, model *config.Model, name string) http.Handler {
 	if service.Kind == config.KindEngine {
 		e := standin.NewEngine(c.options.EngineCosts, model.Weights, c.WeightStore)
@@ -278,7 +278,7 @@
 	return daemon.New(s, c.options.LogOutput)
 }
 
-// StartSidecar starts the sidecar of a target, also again.
+// StartSidecar starts or restarts the sidecar of a target.
 func (c *Cluster) StartSidecar(name string) error {
 	d, err := c.launch(c.SidecarSettings[name])
 	if err != nil {
@@ -288,7 +288,7 @@
 	return nil
 }
 
-// StartEntry starts an entry, also again.
+// StartEntry starts or restarts an entry.
 func (c *Cluster) StartEntry(i int) error {
 	d, err := c.launch(c.EntrySettings[i])
 	if err != nil {
@@ -298,10 +298,10 @@
 	return nil
 }
 
-// EntryURL is where callers reach an entry.
+// EntryURL returns the base URL of an entry.
 func (c *Cluster) EntryURL(i int) string { return "http://" + c.EntrySettings[i].Listen }
 
-// Computed is the number of prompt tokens that the engines computed.
+// PrefilledTokens returns the number of prompt tokens that the engines prefilled.
 func (c *Cluster) PrefilledTokens() int {
 	n := 0
 	for _, e := range c.Engines {
@@ -310,7 +310,7 @@
 	return n
 }
 
-// WaitReady waits until every process is ready.
+// WaitReady waits until all processes are ready.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	for _, s := range c.EntrySettings {
 		if err := WaitReady(ctx, s.AdminListen); err != nil {
@@ -325,9 +325,9 @@
 	return nil
 }
 
-// WaitReady polls a process until it is ready.
+// WaitReady waits until a process is ready.
 func WaitReady(ctx context.Context, adminAddress string) error {
-	const poll = 10 * time.Millisecond
+	const pollInterval = 10 * time.Millisecond
 	for {
 		resp, err := http.Get("http://" + adminAddress + "/readyz")
 		if err == nil {
@@ -337,14 +337,14 @@
 			}
 		}
 		select {
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "%s is not ready", adminAddress)
 		}
 	}
 }
 
-// Close ends everything at once.
+// Close ends all processes and servers at once.
 func (c *Cluster) Close() {
 	for _, d := range c.Entries {
 		if d != nil {
--- a/internal/cluster/path_test.go
+++ b/internal/cluster/completion_test.go
@@ -51,10 +51,10 @@
 	return text.String()
 }
 
-func nestedPrompt(town, question int) []message {
+func nestedPrompt(prefix, question int) []message {
 	return []message{
 		{"system", strings.Repeat("The rulebook says that each stall needs a permit. ", 60)},
-		{"system", strings.Repeat(fmt.Sprintf("Town %d has its own pitches and hours. ", town), 40)},
+		{"system", strings.Repeat(fmt.Sprintf("Town %d has its own pitches and hours. ", prefix), 40)},
 		{"user", fmt.Sprintf("Question %d: may the stall stay open?", question)},
 	}
 }
@@ -72,8 +72,7 @@
 	return http.DefaultClient.Do(req)
 }
 
-// complete returns the text of a completion, whole or streamed. A stream
-// without its end mark is an error.
+// complete returns the text of a completion, streamed or not.
 func complete(ctx context.Context, base, token string, b completionBody) (string, error) {
 	data, _ := json.Marshal(b)
 	resp, err := post(ctx, base+"/v1/chat/completions", token, nil, data)
@@ -91,18 +90,18 @@
 	if b.Stream {
 		return streamText(string(body))
 	}
-	var whole struct {
+	var completion struct {
 		Choices []struct{ Message message }
 	}
-	if err := json.Unmarshal(body, &whole); err != nil {
+	if err := json.Unmarshal(body, &completion); err != nil {
 		return "", err
 	}
-	return whole.Choices[0].Message.Content, nil
+	return completion.Choices[0].Message.Content, nil
 }
 
 func streamText(body string) (string, error) {
 	if !strings.HasSuffix(body, "data: [DONE]\n\n") {
-		return "", fmt.Errorf("stream without its end mark: %q", body)
+		return "", fmt.Errorf("stream without [DONE]: %q", body)
 	}
 	var text strings.Builder
 	for _, line := range strings.Split(body, "\n") {
@@ -110,20 +109,19 @@
 		if !ok {
 			continue
 		}
-		var ev struct {
+		var event struct {
 			Choices []struct{ Delta message }
 		}
-		if err := json.Unmarshal([]byte("{"+data), &ev); err != nil {
+		if err := json.Unmarshal([]byte("{"+data), &event); err != nil {
 			return "", err
 		}
-		text.WriteString(ev.Choices[0].Delta.Content)
+		text.WriteString(event.Choices[0].Delta.Content)
 	}
 	return text.String(), nil
 }
 
-// Two hundred requests of both deployments' shapes go through two entries;
-// every answer is compared with the engine's own transcript.
-func TestPathAnswersWholeAndInOrder(t *testing.T) {
+// Concurrent requests through two entries must get complete outputs in order.
+func TestCompletionsAreCompleteAndInOrder(t *testing.T) {
 	for _, d := range []struct{ name, text, model, token string }{
 		{"marktlizenz", examples.Marktlizenz, "pruefer-lm", "muenchen-token"},
 		{"olaje", examples.Olaje, "oleaje-lm", "escuela-norte-token"},
@@ -133,13 +131,13 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
 			var wg sync.WaitGroup
-			slots := make(chan struct{}, 16)
+			semaphore := make(chan struct{}, 16)
 			for i := range 100 {
 				wg.Add(1)
-				slots <- struct{}{}
+				semaphore <- struct{}{}
 				go func() {
 					defer wg.Done()
-					defer func() { <-slots }()
+					defer func() { <-semaphore }()
 					b := completionBody{Model: d.model, Messages: nestedPrompt(i%5, i), MaxTokens: 5 + i%11, Stream: i%2 == 0}
 					text, err := complete(ctx, c.EntryURL(i%2), d.token, b)
 					if want := standin.Transcript(b.prompt(), b.MaxTokens); err != nil || text != want {
@@ -152,13 +150,14 @@
 	}
 }
 
-func TestPathPlainCallRunsOnceAndReplays(t *testing.T) {
+// Retries with the same key must get the response of the first attempt.
+func TestPlainCallRunsOnceAndReplays(t *testing.T) {
 	c := startCluster(t, examples.Marktlizenz, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	key := uuid.Must(uuid.NewV7()).String()
-	for try := range 3 {
-		resp, err := post(ctx, c.EntryURL(try%2)+"/v1/services/marktportal/call?path=/renewals", "muenchen-token",
+	for attempt := range 3 {
+		resp, err := post(ctx, c.EntryURL(attempt%2)+"/v1/services/marktportal/call?path=/renewals", "muenchen-token",
 			map[string]string{"Idempotency-Key": key, "Content-Type": "application/octet-stream"}, []byte("renew pitch 7"))
 		if err != nil {
 			t.Fatal(err)
@@ -166,10 +165,10 @@
 		body, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusOK || string(body) != "done: renew pitch 7" {
-			t.Fatalf("try %d: status %d, body %q", try, resp.StatusCode, body)
+			t.Fatalf("attempt %d: status %d, body %q", attempt, resp.StatusCode, body)
 		}
-		if replayed := resp.Header.Get("Toucanwell-Replayed") == "true"; replayed != (try > 0) {
-			t.Errorf("try %d: replayed %v", try, replayed)
+		if replayed := resp.Header.Get("Toucanwell-Replayed") == "true"; replayed != (attempt > 0) {
+			t.Errorf("attempt %d: replayed %v", attempt, replayed)
 		}
 	}
 	runs := 0
@@ -177,11 +176,11 @@
 		runs += p.Runs()[key]
 	}
 	if runs != 1 {
-		t.Fatalf("ran %d times", runs)
+		t.Fatalf("the call ran %d times", runs)
 	}
 }
 
-// problemKind is the kind that a refusal names, or "" for another answer.
+// errorKind returns the error kind of a problem response, or "" for another response.
 func errorKind(resp *http.Response) string {
 	if resp.Header.Get("Content-Type") != "application/problem+json" {
 		return ""
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -14,33 +14,32 @@
 	"github.com/toucanwell/toucanwell/internal/settings"
 )
 
-// An entry's host freezes. Meanwhile two versions are published. When the host
-// wakes, the entry takes the newest and is never seen to go back.
-func TestFrozenProcessNeverGoesBack(t *testing.T) {
+// An entry that is suspended while versions are published must apply the newest one when it resumes,
+// and never go back to an older one.
+func TestSuspendedEntryNeverGoesBack(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
-	frozen := asProcess(c.Entries[0])
+	suspended := asProcess(c.Entries[0])
 	second := publish(t, c, 1, "retry_share = 0.1", "retry_share = 0.2")
-	eventually(t, "the second version is in force", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == second })
-	frozen.signal(syscall.SIGSTOP)
+	eventually(t, "the second version is active", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == second })
+	suspended.signal(syscall.SIGSTOP)
 	third := publish(t, c, second, "retry_share = 0.2", "retry_share = 0.3")
 	fourth := publish(t, c, third, "retry_share = 0.3", "retry_share = 0.4")
-	eventually(t, "the fourth version is in force at the other entry", func() bool { return activeVersion(c.EntrySettings[1].AdminListen) == fourth })
-	frozen.signal(syscall.SIGCONT)
-	seen := second
-	eventually(t, "the fourth version is in force at the woken entry", func() bool {
+	eventually(t, "the fourth version is active at the other entry", func() bool { return activeVersion(c.EntrySettings[1].AdminListen) == fourth })
+	suspended.signal(syscall.SIGCONT)
+	last := second
+	eventually(t, "the fourth version is active at the resumed entry", func() bool {
 		v := activeVersion(c.EntrySettings[0].AdminListen)
-		if v < seen {
-			t.Fatalf("version %d in force after %d", v, seen)
+		if v < last {
+			t.Fatalf("version %d is active after %d", v, last)
 		}
-		seen = v
+		last = v
 		return v == fourth
 	})
 }
 
-// The log keeps records for a short time. Before the only copy of the
-// configuration is dropped, a process carries it forward; then every process
-// dies at once. The first one to come back finds the text in the log.
-func TestConfigurationOutlivesTheLogsRetention(t *testing.T) {
+// The configuration must be republished before the log drops its record, so that it survives a
+// restart of all processes.
+func TestConfigurationOutlivesLogRetention(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{
@@ -51,22 +50,22 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	carried := uint64(0)
-	eventually(t, "the configuration is carried forward", func() bool {
+	republished := uint64(0)
+	eventually(t, "the configuration is republished", func() bool {
 		for _, r := range c.Log.ReadNow(configlog.Stream, 2).Records {
 			if strings.Contains(string(r.Data), `"type":"carry"`) {
-				carried = r.Offset
+				republished = r.Offset
 			}
 		}
-		return carried > 0
+		return republished > 0
 	})
 	c.Entries[0].Close()
 	for _, p := range c.Sidecars {
 		p.Close()
 	}
-	c.Log.TrimTo(configlog.Stream, carried)
+	c.Log.TrimTo(configlog.Stream, republished)
 	if err := c.StartEntry(0); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the entry has the first version in force", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == 1 })
+	eventually(t, "the first version is active at the entry", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == 1 })
 }
--- a/internal/cluster/failure_test.go
+++ b/internal/cluster/failure_test.go
@@ -33,9 +33,8 @@
 	return c
 }
 
-// Engines break every connection after three tokens and send each frame twice.
-// Traders still read whole answers in order.
-func TestStreamsSurviveCutsAndRepeats(t *testing.T) {
+// Streams must be complete and in order when engines break connections and send duplicate frames.
+func TestStreamsSurviveDisconnectsAndDuplicates(t *testing.T) {
 	c := startCluster(t, examples.Marktlizenz, 2)
 	for _, e := range c.Engines {
 		e.SetFaults(standin.EngineFaults{CutAfter: 3, Duplicate: true})
@@ -54,9 +53,9 @@
 	wg.Wait()
 }
 
-// A renewal takes effect and the service's answer is lost. The clerk must not
-// be told that it was not run, and asking again must not bill the trader twice.
-func TestLostAnswerOfAPlainCallIsUnknown(t *testing.T) {
+// When the response to a call with a key is lost, retries must neither run the call again nor report
+// that it did not run.
+func TestLostResponseOfPlainCallIsUnknown(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -64,41 +63,41 @@
 		p.SetFaults(standin.PlainFaults{LoseAnswers: true})
 	}
 	key := uuid.Must(uuid.NewV7()).String()
-	for try := range 4 {
-		if status, kind := callWithKey(ctx, c.EntryURL(try%2), key, "renew"); kind != "outcome_unknown" {
-			t.Errorf("try %d: %d %s", try, status, kind)
+	for attempt := range 4 {
+		if status, kind := callWithKey(ctx, c.EntryURL(attempt%2), key, "renew"); kind != "outcome_unknown" {
+			t.Errorf("attempt %d: %d %s", attempt, status, kind)
 		}
 	}
 	if n := countRuns(c, key); n != 1 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("the call ran %d times", n)
 	}
 }
 
-// The log is down. Filings are refused as unknown, to be asked again; prompts
-// are answered as ever. When the log is back, the same key files.
-func TestLogOutageStopsFilingsOnly(t *testing.T) {
+// While the log is down, calls with a key must be refused with outcome_unknown and completions must
+// succeed. When the log is up again, a retry with the same key must succeed.
+func TestLogOutageStopsKeyedCallsOnly(t *testing.T) {
 	c := startCluster(t, examples.Marktlizenz, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c.Log.SetFaults(standin.LogFaults{Down: true})
 	key := uuid.Must(uuid.NewV7()).String()
 	if status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew"); kind != "outcome_unknown" {
-		t.Errorf("filing: %d %s", status, kind)
+		t.Errorf("call during the outage: %d %s", status, kind)
 	}
 	if err := checkCompletion(c, 0, completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 3}); err != nil {
 		t.Error(err)
 	}
 	c.Log.SetFaults(standin.LogFaults{})
-	eventually(t, "the same key files", func() bool {
+	eventually(t, "a retry with the same key succeeds", func() bool {
 		status, _ := callWithKey(ctx, c.EntryURL(0), key, "renew")
 		return status == http.StatusOK
 	})
 	if n := countRuns(c, key); n != 1 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("the call ran %d times", n)
 	}
 }
 
-// cachedTokens asks once and returns how many tokens the engine had cached.
+// cachedTokens sends a request and returns how many of its prompt tokens were cached.
 func cachedTokens(t *testing.T, c *cluster.Cluster, token string, b completionBody) int {
 	t.Helper()
 	data, _ := json.Marshal(b)
@@ -107,23 +106,23 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var whole struct {
+	var completion struct {
 		Usage struct {
 			CachedTokens int `json:"cached_tokens"`
 		}
 	}
-	if err := json.NewDecoder(resp.Body).Decode(&whole); err != nil || resp.StatusCode != http.StatusOK {
+	if err := json.NewDecoder(resp.Body).Decode(&completion); err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d: %v", resp.StatusCode, err)
 	}
-	return whole.Usage.CachedTokens
+	return completion.Usage.CachedTokens
 }
 
-// publish publishes a changed text and returns its version.
+// publish publishes the configuration with a replacement and returns its version.
 func publish(t *testing.T, c *cluster.Cluster, base uint64, old, new string) uint64 {
 	t.Helper()
 	text := strings.Replace(c.ConfigText, old, new, 1)
 	if text == c.ConfigText {
-		t.Fatalf("%q is not in the text", old)
+		t.Fatalf("%q is not in the configuration", old)
 	}
 	c.ConfigText = text
 	data, err := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: uuid.NewString(), Base: base, Text: text})
@@ -133,38 +132,36 @@
 	return c.Log.AppendNow(configlog.Stream, data)
 }
 
-// Two workspaces send the same text, and new weights are put in force between
-// two requests of one. Neither may find the other's blocks or the older ones.
-// The fleet's engines load the new weights no more than two at a time.
-func TestCacheIsNotSharedOverWorkspacesOrWeights(t *testing.T) {
+// Cached prompts must not be shared between workspaces or weight versions, and at most two engines
+// may load weights at a time.
+func TestCacheIsNotSharedBetweenWorkspacesOrWeights(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, cluster.DefaultEngineCosts)
 	b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 2}
 	if cold := cachedTokens(t, c, "muenchen-token", b); cold != 0 {
-		t.Errorf("first request found %d tokens", cold)
+		t.Errorf("%d cached tokens at the first request", cold)
 	}
 	if warm := cachedTokens(t, c, "muenchen-token", b); warm == 0 {
-		t.Error("second request found nothing")
+		t.Error("no cached tokens at the second request")
 	}
 	if other := cachedTokens(t, c, "augsburg-token", b); other != 0 {
-		t.Errorf("another workspace found %d tokens", other)
+		t.Errorf("%d cached tokens in another workspace", other)
 	}
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
 	waitForWeights(t, c, "2026-12")
 	if peak, total := c.WeightStore.Peak(); peak > 2 || total != len(c.Engines) {
-		t.Errorf("%d of %d loads ran at once", peak, total)
+		t.Errorf("%d of %d loads were concurrent", peak, total)
 	}
 	if after := cachedTokens(t, c, "muenchen-token", b); after != 0 {
-		t.Errorf("new weights found %d tokens of the old ones", after)
+		t.Errorf("%d cached tokens after the change of weights", after)
 	}
 }
 
-// A configuration is published. It is in force on every process within the
-// stated seconds, although each process polls the log rarely.
+// A published configuration must become active on all processes within the time limit.
 func TestConfigurationReachesAllProcesses(t *testing.T) {
 	c := startCluster(t, examples.Olaje, 2)
 	start := time.Now()
 	version := publish(t, c, 1, "retry_share = 0.1", "retry_share = 0.2")
-	eventually(t, "the version is in force everywhere", func() bool {
+	eventually(t, "the version is active on all processes", func() bool {
 		for _, s := range c.EntrySettings {
 			if activeVersion(s.AdminListen) < version {
 				return false
@@ -177,14 +174,14 @@
 		}
 		return true
 	})
-	took := time.Since(start)
-	t.Logf("in force on %d processes after %v", len(c.EntrySettings)+len(c.SidecarSettings), took)
-	if took > 17*time.Second {
-		t.Errorf("took %v", took)
+	elapsed := time.Since(start)
+	t.Logf("active on %d processes after %v", len(c.EntrySettings)+len(c.SidecarSettings), elapsed)
+	if elapsed > 17*time.Second {
+		t.Errorf("active on all processes only after %v", elapsed)
 	}
 }
 
-// versionAt reads a process's version in force from its metrics.
+// activeVersion returns a process's configuration version according to its metrics, 0 if unknown.
 func activeVersion(admin string) uint64 {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
@@ -202,16 +199,15 @@
 	return 0
 }
 
-// The platform's list calls a target leaving. It gets no new work after a few
-// seconds, while its run in flight finishes whole.
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+// A target that the platform lists as leaving must get no new requests and complete its run.
+func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
 	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
 	name := waitForGenerating(t, c, 3)
 	c.Hosts.Set([]external.Host{{Name: name, State: external.HostLeaving}})
 	reads := c.Hosts.Reads()
-	eventually(t, "the entry has read the list and built on it", func() bool { return c.Hosts.Reads() >= reads+2 })
+	eventually(t, "the entry has applied the host list", func() bool { return c.Hosts.Reads() >= reads+2 })
 	started := c.Engines[name].Stats().Started
 	for i := range 12 {
 		b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, i), MaxTokens: 1}
@@ -227,26 +223,27 @@
 	}
 }
 
-// A surfer closes the app in the middle of an answer. The engine is freed, and
-// nothing is left behind.
-func TestCallerHangsUpMidStream(t *testing.T) {
+// When a caller disconnects during a stream, the engine's run must be cancelled and no goroutine
+// may leak.
+func TestCallerDisconnectsMidStream(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	c := startInProcess(t, examples.Marktlizenz, 1)
 	ctx, cancel := context.WithCancel(context.Background())
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		_, _ = complete(ctx, c.EntryURL(0), "muenchen-token", completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 3000, Stream: true})
 	}()
 	name := waitForGenerating(t, c, 5)
 	cancel()
-	<-gone
+	<-disconnected
 	eventually(t, "the engine's run is cancelled", func() bool { return c.Engines[name].Stats().Cancelled == 1 })
 	c.Close()
 	goleak.VerifyNone(t, before, goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"), goleak.IgnoreTopFunction("net/http.(*persistConn).readLoop"))
 }
 
-func TestBadInputIsRefusedByKind(t *testing.T) {
+// Invalid requests must be refused with the right error kind before they reach an engine.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	c := startCluster(t, examples.Marktlizenz, 1)
 	completions := c.EntryURL(0) + "/v1/chat/completions"
 	call := c.EntryURL(0) + "/v1/services/marktportal/call"
@@ -257,7 +254,7 @@
 	for _, x := range []struct {
 		name, url, token, body string
 		header                 map[string]string
-		kind                   string
+		wantKind               string
 	}{
 		{"malformed JSON", completions, "muenchen-token", `{"model":`, nil, "bad_request"},
 		{"malformed stream request", completions, "muenchen-token", `{"model":"pruefer-lm","stream":true}`, nil, "bad_request"},
@@ -294,8 +291,8 @@
 				t.Fatal(err)
 			}
 			defer resp.Body.Close()
-			if kind := errorKind(resp); kind != x.kind {
-				t.Errorf("got status %d, kind %q; want %q", resp.StatusCode, kind, x.kind)
+			if kind := errorKind(resp); kind != x.wantKind {
+				t.Errorf("got status %d, kind %q; want %q", resp.StatusCode, kind, x.wantKind)
 			}
 		})
 	}
@@ -306,16 +303,14 @@
 	}
 }
 
-// A clerk files a renewal, and the operator takes the target that ran it out of
-// the text. The clerk, whose answer got lost on the way, files again with the
-// same key: another gate owns it now, and must answer from the record.
-func TestTargetSetChangesBetweenTwoTries(t *testing.T) {
+// After the target that ran a call was removed, another sidecar must replay the recorded response.
+func TestReplayAfterTargetWasRemoved(t *testing.T) {
 	c := startCluster(t, examples.Marktlizenz, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	key := uuid.Must(uuid.NewV7()).String()
 	if status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew"); status != http.StatusOK {
-		t.Fatalf("first try: %d %s", status, kind)
+		t.Fatalf("first attempt: %d %s", status, kind)
 	}
 	owner := ""
 	for name, p := range c.PlainTargets {
@@ -326,23 +321,21 @@
 	start := strings.LastIndex(c.ConfigText[:strings.Index(c.ConfigText, `"`+owner+`"`)], "[[service.target]]")
 	end := start + strings.Index(c.ConfigText[start:], "\n\n")
 	version := publish(t, c, 1, c.ConfigText[start:end], "")
-	eventually(t, "the new set is in force", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == version })
-	eventually(t, "another gate answers from the record", func() bool {
+	eventually(t, "the new configuration is active", func() bool { return activeVersion(c.EntrySettings[0].AdminListen) == version })
+	eventually(t, "another sidecar replays the response", func() bool {
 		status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew")
 		if status != http.StatusOK && kind != "outcome_unknown" {
-			t.Fatalf("second try: %d %s", status, kind)
+			t.Fatalf("retry: %d %s", status, kind)
 		}
 		return status == http.StatusOK
 	})
 	if n := countRuns(c, key); n != 1 {
-		t.Errorf("the renewal ran %d times", n)
+		t.Errorf("the call ran %d times", n)
 	}
 }
 
-// An operator puts new weights in force while traders read answers. Answers that
-// have begun end on the weights they began with, requests that wait are answered
-// with the new ones, and nobody is refused.
-func TestWeightsRollCutsNothing(t *testing.T) {
+// A rollout of new weights must not fail a request, and engines must not load during their runs.
+func TestWeightRolloutFailsNoRequest(t *testing.T) {
 	c := startInProcess(t, examples.Marktlizenz, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -358,14 +351,14 @@
 			}
 		}()
 	}
-	eventually(t, "engines generate", func() bool { return c.PrefilledTokens() > 0 })
+	eventually(t, "the engines are in use", func() bool { return c.PrefilledTokens() > 0 })
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
 	waitForWeights(t, c, "2026-12")
 	cancel()
 	wg.Wait()
 	for name, e := range c.Engines {
 		if n := e.Stats().LoadsDuringRuns; n > 0 {
-			t.Errorf("%s was told to load while %d runs were under way", name, n)
+			t.Errorf("%s was ordered to load weights during %d runs", name, n)
 		}
 	}
 }
--- a/internal/cluster/path_bench_test.go
+++ b/internal/cluster/latency_bench_test.go
@@ -16,9 +16,8 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// BenchmarkPath is what entry and sidecar add to a request of one token: the
-// same request to an engine directly and through the path, in turn. All ends
-// run in this process.
+// BenchmarkPath measures the latency that entry and sidecar add to a request of one token. It
+// alternates direct requests to an engine with requests through an entry.
 func BenchmarkPath(b *testing.B) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -31,7 +30,7 @@
 	engine := external.NewHTTPEngine(c.SidecarSettings["pruefer-1"].Target.URL, external.NewHTTPClient())
 	body := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 1}
 	data, _ := json.Marshal(body)
-	var direct, through []time.Duration
+	var direct, routed []time.Duration
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		start := time.Now()
@@ -49,18 +48,18 @@
 		if resp.StatusCode != http.StatusOK {
 			b.Fatal(resp.Status)
 		}
-		through = append(through, time.Since(start))
+		routed = append(routed, time.Since(start))
 	}
 	slices.Sort(direct)
-	slices.Sort(through)
+	slices.Sort(routed)
 	for _, q := range []struct {
-		name string
-		at   float64
+		name     string
+		quantile float64
 	}{{"p50", 0.5}, {"p99", 0.99}} {
-		i := int(q.at * float64(len(direct)-1))
-		added := through[i] - direct[i]
+		i := int(q.quantile * float64(len(direct)-1))
+		added := routed[i] - direct[i]
 		b.ReportMetric(float64(added.Microseconds()), q.name+"-added-us")
-		b.ReportMetric(float64(through[i])/float64(direct[i]), q.name+"-ratio")
+		b.ReportMetric(float64(routed[i])/float64(direct[i]), q.name+"-ratio")
 	}
 }
 
--- a/internal/cluster/process_bench_test.go
+++ b/internal/cluster/process_bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/toucanwell/toucanwell/internal/cluster"
 )
 
-// usage is a process's processor time and resident memory.
+// usage is a process's CPU time and resident set size in bytes.
 type usage struct {
 	cpu time.Duration
 	rss float64
@@ -34,10 +34,10 @@
 	return usage{time.Duration(user+system) * tick, float64(pages * os.Getpagesize())}
 }
 
-// BenchmarkIdleProcesses is what the control of an entry and of sidecars costs
-// in real processes without traffic: 2 entries and 12 sidecars for 15 s.
+// BenchmarkIdleProcesses measures the CPU time and the memory of entries and sidecars without
+// traffic.
 func BenchmarkIdleProcesses(b *testing.B) {
-	const length = 15 * time.Second
+	const duration = 15 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Marktlizenz, Entries: 2, EngineCosts: slowCosts, LogOutput: io.Discard, Launch: processLauncher(b)})
@@ -61,7 +61,7 @@
 		}
 	}
 	for b.Loop() {
-		<-time.After(length)
+		<-time.After(duration)
 	}
 	for role, list := range roles {
 		var cpu time.Duration
@@ -72,7 +72,7 @@
 			rss += u.rss
 		}
 		n := float64(len(list))
-		b.ReportMetric(100*cpu.Seconds()/length.Seconds()/n, role+"-core-%")
+		b.ReportMetric(100*cpu.Seconds()/duration.Seconds()/n, role+"-core-%")
 		b.ReportMetric(rss/n/1e6, role+"-MB")
 	}
 }
--- a/internal/cluster/process_test.go
+++ b/internal/cluster/process_test.go
@@ -22,7 +22,7 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// bound is far above any expected time; tests wait on conditions up to it.
+// testTimeout bounds the wait for each condition.
 const testTimeout = 60 * time.Second
 
 var (
@@ -59,7 +59,7 @@
 	return daemonBin
 }
 
-// process is a daemon as a process of its own.
+// process is a daemon that runs as a separate process.
 type process struct {
 	cmd  *exec.Cmd
 	once sync.Once
@@ -67,7 +67,7 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Close kills the process and waits for its end.
+// Close kills the process and waits for it.
 func (p *process) Close() {
 	p.once.Do(func() {
 		p.signal(syscall.SIGKILL)
@@ -75,7 +75,7 @@
 	})
 }
 
-// stop asks for a planned stop and waits for its end.
+// shutDown terminates the process gracefully and waits for it.
 func (p *process) shutDown() {
 	p.once.Do(func() {
 		p.signal(syscall.SIGTERM)
@@ -83,6 +83,7 @@
 	})
 }
 
+// processLauncher returns a launch function that runs each daemon as a separate process.
 func processLauncher(t testing.TB) func(*settings.Settings) (cluster.Process, error) {
 	bin := buildDaemon(t)
 	dir := t.TempDir()
@@ -106,7 +107,7 @@
 	}
 }
 
-// slowCosts make an answer of 40 tokens take about 0.8 s.
+// slowCosts make an output of 40 tokens take about 0.8 s.
 var slowCosts = standin.EngineCosts{
 	PrefillTokensPerSecond: 50_000, DecodeStep: 20 * time.Millisecond, MaxBatch: 8, CacheBlocks: 600,
 	LoadTime: 100 * time.Millisecond,
@@ -126,18 +127,18 @@
 
 func asProcess(p cluster.Process) *process { return p.(*process) }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out: %s", description)
 		}
 		<-time.After(5 * time.Millisecond)
 	}
 }
 
-// answerTo checks that one completion is whole and in order.
+// checkCompletion sends a completion request and checks its output.
 func checkCompletion(c *cluster.Cluster, entry int, b completionBody) error {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -151,11 +152,11 @@
 	return nil
 }
 
-// busyEngine waits for the engine that runs the one request there is.
+// waitForGenerating waits until an engine has generated some tokens, and returns its name.
 func waitForGenerating(t *testing.T, c *cluster.Cluster, tokens int) string {
 	t.Helper()
 	name := ""
-	eventually(t, "an engine generates", func() bool {
+	eventually(t, "an engine generates tokens", func() bool {
 		for n, e := range c.Engines {
 			if e.Generated() >= tokens {
 				name = n
@@ -169,9 +170,7 @@
 
 var reviewRequest = completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 40, Stream: true}
 
-// A trader reads an answer when the sidecar beside the engine is killed. The
-// engine lives on. A new sidecar starts on the same address and takes the run
-// over from the engine; the trader sees one whole answer.
+// A restarted sidecar must resume the stream of a run that its engine has continued.
 func TestSidecarKilledMidStream(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
@@ -189,12 +188,11 @@
 		started += e.Stats().Started
 	}
 	if started != 1 {
-		t.Errorf("%d runs were started for one answer", started)
+		t.Errorf("%d runs were started for one request", started)
 	}
 }
 
-// The engine crashes in the middle of an answer and comes back empty. The rest
-// runs elsewhere; the trader sees no gap and no repeat.
+// When an engine crashes during a stream, another one must continue it without gap or repetition.
 func TestEngineCrashMidStream(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
@@ -205,16 +203,15 @@
 	}
 }
 
-// The sidecar's host freezes in the middle of an answer. The entry finds that
-// its pings are not answered and runs the rest elsewhere. Then the host wakes
-// and sends what it still has: nothing of it may reach the trader.
-func TestFrozenSidecarWakesLate(t *testing.T) {
+// When a sidecar is suspended during a stream, another engine must continue it, and the output of
+// the resumed sidecar must not reach the caller.
+func TestSuspendedSidecarResumesLate(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
 	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
 	name := waitForGenerating(t, c, 5)
 	asProcess(c.Sidecars[name]).signal(syscall.SIGSTOP)
-	eventually(t, "a second engine takes the rest", func() bool {
+	eventually(t, "another engine continues the stream", func() bool {
 		for n, e := range c.Engines {
 			if n != name && e.Generated() > 0 {
 				return true
@@ -228,10 +225,9 @@
 	}
 }
 
-// All entries are killed at once while the platform's log is up, slow, or down.
-// New ones must serve at once: the configuration comes from the sidecars, and
-// what the engines hold is known beside them, so that there is no cold start.
-func TestEntriesKilledAtOnce(t *testing.T) {
+// Restarted entries must get the configuration from sidecars, without the log, and find the cached
+// prompts again.
+func TestAllEntriesKilled(t *testing.T) {
 	for _, log := range []struct {
 		name   string
 		faults standin.LogFaults
@@ -271,9 +267,9 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("first answers %v after the kill", time.Since(start))
-	if computed := c.PrefilledTokens() - before; computed > 200 {
-		t.Errorf("the restart made the engines compute %d tokens again", computed)
+	t.Logf("first responses %v after the restart", time.Since(start))
+	if prefilled := c.PrefilledTokens() - before; prefilled > 200 {
+		t.Errorf("%d tokens were prefilled again after the restart", prefilled)
 	}
 }
 
@@ -295,10 +291,9 @@
 	return runs
 }
 
-// A clerk files a renewal. Its gate is killed while the service works on it, so
-// that nobody knows the end; the clerk files again through another entry. The
-// renewal must have run once, and neither answer may say that it was not run.
-func TestGateKilledDuringACall(t *testing.T) {
+// When a sidecar is killed during a call with a key, retries must neither run the call again nor
+// report that it did not run.
+func TestSidecarKilledDuringCall(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -316,7 +311,7 @@
 		first <- result{status, kind}
 	}()
 	owner := ""
-	eventually(t, "the service works on the call", func() bool {
+	eventually(t, "the call is running", func() bool {
 		for name, p := range c.PlainTargets {
 			if p.Runs()[key] > 0 {
 				owner = name
@@ -327,11 +322,11 @@
 	})
 	c.Sidecars[owner].Close()
 	if r := <-first; r.kind != "outcome_unknown" {
-		t.Errorf("first try: %d %s", r.status, r.kind)
+		t.Errorf("first attempt: %d %s", r.status, r.kind)
 	}
 	for entry := range 2 {
 		if status, kind := callWithKey(ctx, c.EntryURL(entry), key, "renew"); kind != "outcome_unknown" {
-			t.Errorf("again through entry %d: %d %s", entry, status, kind)
+			t.Errorf("retry through entry %d: %d %s", entry, status, kind)
 		}
 	}
 	if err := c.StartSidecar(owner); err != nil {
@@ -341,21 +336,20 @@
 		t.Fatal(err)
 	}
 	if status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew"); kind != "outcome_unknown" {
-		t.Errorf("at the gate that restarted empty: %d %s", status, kind)
+		t.Errorf("retry at the restarted sidecar: %d %s", status, kind)
 	}
 	if n := countRuns(c, key); n != 1 {
-		t.Errorf("the renewal ran %d times", n)
+		t.Errorf("the call ran %d times", n)
 	}
 }
 
-// Every process is stopped for a planned replacement while traders read long
-// answers: entries and sidecars, one after the other. No request is cut.
-func TestPlannedStopsCutNothing(t *testing.T) {
+// Graceful restarts of all entries and sidecars must not fail a request.
+func TestGracefulRestartsFailNoRequest(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	answered := 0
+	completed := 0
 	for i := range 8 {
 		wg.Add(1)
 		go func() {
@@ -363,7 +357,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				entry := (i + n) % 2
 				if !isReady(c.EntrySettings[entry].AdminListen) {
-					// The balancer turns away from an entry that is not ready.
+					// A load balancer sends nothing to an entry that is not ready.
 					entry = 1 - entry
 				}
 				b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(i, n), MaxTokens: 15, Stream: n%2 == 0}
@@ -371,7 +365,7 @@
 					t.Errorf("caller %d, request %d at entry %d: %v", i, n, entry, err)
 				}
 				mu.Lock()
-				answered++
+				completed++
 				mu.Unlock()
 			}
 		}()
@@ -379,7 +373,7 @@
 	restartAll(t, c)
 	cancel()
 	wg.Wait()
-	t.Logf("%d requests answered during the roll", answered)
+	t.Logf("%d requests completed during the restarts", completed)
 }
 
 func isReady(admin string) bool {
--- a/internal/cluster/restart_bench_test.go
+++ b/internal/cluster/restart_bench_test.go
@@ -15,10 +15,10 @@
 	"github.com/toucanwell/toucanwell/internal/trace"
 )
 
-// BenchmarkRestart kills all entries between two thousand requests while the
-// log is down, and compares the hit rates of the thousand before and after.
+// BenchmarkRestart compares prefix hit rates before and after all entries are killed and restarted
+// while the log is down.
 func BenchmarkRestart(b *testing.B) {
-	const half = 1000
+	const batch = 1000
 	ctx, cancel := context.WithTimeout(context.Background(), 5*testTimeout)
 	defer cancel()
 	costs := standin.EngineCosts{PrefillTokensPerSecond: 40_000, DecodeStep: time.Millisecond, MaxBatch: 16, CacheBlocks: 4000, LoadTime: time.Second}
@@ -36,10 +36,10 @@
 		shape.Workspaces[i].Name = parsed.Workspaces[i].Name
 	}
 	records := slices.Collect(trace.Generate(shape, 100, time.Minute, 5))
-	send := func(part []trace.Record) float64 {
-		start := part[0].Timestamp
+	hitRate := func(requests []trace.Record) float64 {
+		start := requests[0].Timestamp
 		shifted := func(yield func(trace.Record) bool) {
-			for _, r := range part {
+			for _, r := range requests {
 				r.Timestamp -= start
 				if !yield(r) {
 					return
@@ -64,8 +64,8 @@
 	var ready time.Duration
 	var before, after float64
 	for b.Loop() {
-		send(records[:half])
-		before = send(records[half : 2*half])
+		hitRate(records[:batch])
+		before = hitRate(records[batch : 2*batch])
 		c.Log.SetFaults(standin.LogFaults{Down: true})
 		for i := range c.Entries {
 			c.Entries[i].Close()
@@ -80,7 +80,7 @@
 			b.Fatal(err)
 		}
 		ready = time.Since(start)
-		after = send(records[2*half : 3*half])
+		after = hitRate(records[2*batch : 3*batch])
 	}
 	b.ReportMetric(float64(ready.Milliseconds()), "ready-ms")
 	b.ReportMetric(before, "hit-before")
--- a/internal/cluster/spread_bench_test.go
+++ b/internal/cluster/spread_bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/toucanwell/toucanwell/internal/settings"
 )
 
-// manyPlain is a configuration of n plain targets.
+// plainTargetsConfig returns a configuration with n plain targets.
 func plainTargetsConfig(n int) string {
 	var b strings.Builder
 	b.WriteString("schema = 1\n[[region]]\nname = \"r\"\navailability_zones = [\"z\"]\n[[service]]\nname = \"s\"\nkind = \"plain\"\n")
@@ -23,8 +23,8 @@
 	return b.String()
 }
 
-// BenchmarkConfigSpread is the time from a publish until the last of n
-// processes has it in force. The fleet polls the log 20 times a second in all.
+// BenchmarkConfigSpread measures the time from the publication of a configuration until it is active
+// on all of n processes.
 func BenchmarkConfigSpread(b *testing.B) {
 	for _, n := range []int{25, 50, 100, 200} {
 		b.Run(fmt.Sprintf("processes=%d", n), func(b *testing.B) {
@@ -52,9 +52,9 @@
 						<-time.After(2 * time.Millisecond)
 					}
 				}
-				took := time.Since(start)
-				sum += took
-				worst = max(worst, took)
+				elapsed := time.Since(start)
+				sum += elapsed
+				worst = max(worst, elapsed)
 			}
 			b.ReportMetric(float64(sum.Milliseconds())/float64(rounds), "mean-ms")
 			b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
--- a/internal/cluster/tls_test.go
+++ b/internal/cluster/tls_test.go
@@ -23,8 +23,8 @@
 	"github.com/toucanwell/toucanwell/internal/settings"
 )
 
-// writeCertificate makes a certificate of its own for every loopback address
-// of the cluster and returns the pool that trusts it.
+// writeCertificate writes a self-signed certificate for the address and returns a pool that trusts
+// it.
 func writeCertificate(t *testing.T, address, certFile, keyFile string) *x509.CertPool {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/loadslot/loadslot.go
+++ b/internal/loadslot/loadslot.go
@@ -1,5 +1,5 @@
-// Package loadslot keeps the line of targets that want to load weights, as a
-// fold of a log stream. The first so many tickets in the log's order may load.
+// Package loadslot limits how many targets of a service load weights at a time. Targets append
+// tickets to a log stream; the first ones in the order of the log may load.
 package loadslot
 
 import (
@@ -12,21 +12,22 @@
 // RecordType is the type of a record.
 type RecordType string
 
-// The types of record.
+// The record types.
 const (
+	// TypeAcquire adds a ticket to the queue, TypeRelease removes it.
 	TypeAcquire RecordType = "acquire"
 	TypeRelease RecordType = "release"
 )
 
-// Record is one record of the stream.
+// Record is a record of the stream.
 type Record struct {
 	Type   RecordType `json:"type"`
 	Target string     `json:"target"`
-	// Nonce names the ticket.
+	// Nonce identifies the ticket.
 	Nonce string `json:"nonce"`
 }
 
-// StreamOf is the log stream of a service's line.
+// StreamName returns the name of a service's log stream.
 func StreamName(service string) string { return "toucanwell-loads-" + service }
 
 type ticket struct {
@@ -35,55 +36,54 @@
 	nonce  string
 }
 
-// Line is the fold. It is used by one goroutine at a time.
+// Queue holds the tickets of a stream in the order of the log. It is not safe for concurrent use.
 type Queue struct {
 	nextOffset uint64
 	tickets    []ticket
 	released   map[string]bool
 }
 
-// NewLine returns the fold of nothing.
+// NewQueue returns an empty queue.
 func NewQueue() *Queue { return &Queue{nextOffset: 1, released: map[string]bool{}} }
 
-// Next is the first offset not read yet.
-func (l *Queue) NextOffset() uint64 { return l.nextOffset }
+// NextOffset returns the offset of the next record to read.
+func (q *Queue) NextOffset() uint64 { return q.nextOffset }
 
-// Read folds a page. A ticket counts once, at its first offset; a ticket that
-// was released never counts again, so that a late copy of its acquire record
-// cannot take a place.
-func (l *Queue) Apply(page *external.Page) {
-	l.nextOffset = max(l.nextOffset, page.First)
+// Apply applies a page of the stream. Duplicate acquire records of a ticket are ignored, also after
+// its release.
+func (q *Queue) Apply(page *external.Page) {
+	q.nextOffset = max(q.nextOffset, page.First)
 	for _, r := range page.Records {
-		if r.Offset < l.nextOffset {
+		if r.Offset < q.nextOffset {
 			continue
 		}
-		l.nextOffset = r.Offset + 1
+		q.nextOffset = r.Offset + 1
 		var record Record
 		if err := json.Unmarshal(r.Data, &record); err != nil {
 			continue
 		}
-		l.applyRecord(r.Offset, record)
+		q.applyRecord(r.Offset, record)
 	}
 }
 
-func (l *Queue) applyRecord(offset uint64, r Record) {
-	at := slices.IndexFunc(l.tickets, func(t ticket) bool { return t.nonce == r.Nonce })
+func (q *Queue) applyRecord(offset uint64, r Record) {
+	index := slices.IndexFunc(q.tickets, func(t ticket) bool { return t.nonce == r.Nonce })
 	switch r.Type {
 	case TypeAcquire:
-		if at < 0 && !l.released[r.Nonce] {
-			l.tickets = append(l.tickets, ticket{offset, r.Target, r.Nonce})
+		if index < 0 && !q.released[r.Nonce] {
+			q.tickets = append(q.tickets, ticket{offset, r.Target, r.Nonce})
 		}
 	case TypeRelease:
-		l.released[r.Nonce] = true
-		if at >= 0 {
-			l.tickets = slices.Delete(l.tickets, at, at+1)
+		q.released[r.Nonce] = true
+		if index >= 0 {
+			q.tickets = slices.Delete(q.tickets, index, index+1)
 		}
 	}
 }
 
-// Ticket returns the offset of a ticket that is in line.
-func (l *Queue) TicketOffset(nonce string) (offset uint64, ok bool) {
-	for _, t := range l.tickets {
+// TicketOffset returns the offset of a ticket in the queue.
+func (q *Queue) TicketOffset(nonce string) (offset uint64, ok bool) {
+	for _, t := range q.tickets {
 		if t.nonce == nonce {
 			return t.offset, true
 		}
@@ -91,29 +91,28 @@
 	return 0, false
 }
 
-// Holds reports whether a ticket is among the first places of the listed
-// targets.
-func (l *Queue) MayLoad(nonce string, places int, listed func(target string) bool) bool {
-	for _, t := range l.tickets {
+// MayLoad reports whether a ticket is among the first slots tickets of the listed targets.
+func (q *Queue) MayLoad(nonce string, slots int, listed func(target string) bool) bool {
+	for _, t := range q.tickets {
 		if !listed(t.target) {
 			continue
 		}
-		if places == 0 {
+		if slots == 0 {
 			return false
 		}
 		if t.nonce == nonce {
 			return true
 		}
-		places--
+		slots--
 	}
 	return false
 }
 
-// StaleOf returns the nonces of a target's tickets other than the given one:
-// those of an earlier process of the target.
-func (l *Queue) StaleNonces(target, nonce string) []string {
+// StaleNonces returns the nonces of a target's tickets other than the given one. They belong to
+// earlier processes of the target.
+func (q *Queue) StaleNonces(target, nonce string) []string {
 	var stale []string
-	for _, t := range l.tickets {
+	for _, t := range q.tickets {
 		if t.target == target && t.nonce != nonce {
 			stale = append(stale, t.nonce)
 		}
--- a/internal/once/ledger_test.go
+++ b/internal/once/ledger_test.go
@@ -236,7 +236,7 @@
 }
 
 // A claim whose acknowledgement was lost must not block retries with its key at the same sidecar.
-func TestClaimWithLostAnswerIsTakenOver(t *testing.T) {
+func TestUnacknowledgedClaimIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1))}
 		l := NewLedger(&firstResponsesLost{Log: log}, "s", time.Hour, time.Millisecond, time.Now)
@@ -318,7 +318,7 @@
 }
 
 // Keys dropped after the key lifetime was decreased must stay refused when it is increased again.
-func TestLengthenedLifetimeRevivesNoKey(t *testing.T) {
+func TestIncreasedLifetimeRevivesNoKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1))}
 		l := NewLedger(log, "s", 24*time.Hour, time.Millisecond, time.Now)
