--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -114,7 +114,7 @@
 			key := uint64(1)
 			for b.Loop() {
 				key++
-				routing.Rank(targets, routing.Place{Zone: "a", Region: "r"}, []uint64{1, key, key * 3})
+				routing.Rank(targets, routing.Location{Zone: "a", Region: "r"}, []uint64{1, key, key * 3})
 			}
 			b.ReportMetric(retainedHeap(func() any { return makeTargets(n) }), "heap-B")
 		})
@@ -127,7 +127,7 @@
 		fill := func() *prefix.Index {
 			x := prefix.NewIndex(n)
 			for i := range n {
-				x.Confirm("a", []uint64{uint64(i)})
+				x.AddCached("a", []uint64{uint64(i)})
 			}
 			return x
 		}
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -160,9 +160,9 @@
 	slack := f.Bounds.RetrySlack * slackShare / float64(max(entries, 1))
 	b, ok := f.retryBudgets.Load(service)
 	if !ok {
-		b, _ = f.retryBudgets.LoadOrStore(service, retry.NewBudgetOf(slack))
+		b, _ = f.retryBudgets.LoadOrStore(service, retry.NewBudgetWithLimit(slack))
 	}
-	b.(*retry.Budget).SetMost(slack)
+	b.(*retry.Budget).SetLimit(slack)
 	return b.(*retry.Budget)
 }
 
