--- a/internal/batchmodel/engine.go
+++ b/internal/batchmodel/engine.go
@@ -1,10 +1,9 @@
-// Package batchmodel is a model of engines that batch requests continuously, for
-// choosing routing policies in seconds: steps that read prompts in chunks between
-// the tokens of running requests, a memory that cached parts and running requests
-// share, loads of weights, and transfers of cached parts over links. Unlike engines that
-// preempt, the model admits a request only when the memory for its whole answer is free.
+// Package batchmodel simulates engines with continuous batching, to compare routing policies.
 //
-// Time is virtual; a run repeats to the digit from its seed.
+// It models chunked prefill, memory shared by cached parts and running requests, weight loads,
+// and transfers of cached parts between engines. It does not model preemption: a request is
+// admitted only if its whole output fits into memory. Time is virtual and runs are
+// deterministic.
 package batchmodel
 
 import (
@@ -13,156 +12,155 @@
 	"time"
 )
 
-// EngineSpec are the figures of one kind of engine.
+// EngineSpec describes the performance of an engine.
 type EngineSpec struct {
-	// Slots is how many requests run at once, Memory the tokens that running
-	// requests and cached parts share.
-	Slots, Memory int
-	// Step is the time of one step, StepPerRun what each running request adds.
-	Step, StepPerRun time.Duration
-	// ReadPerMs is how many prompt tokens are read in a millisecond, Chunk how many
-	// at most in one step.
-	ReadPerMs float64
-	Chunk     int
-	// PairsMs is what a million pairs of a chunk's tokens with those before them
-	// add to a step, in milliseconds.
-	PairsMs float64
-	// First is the fixed time from a request's arrival to its admission.
-	First time.Duration
-	// FetchPerMs is how many cached tokens a link carries in a millisecond,
-	// FetchSetup the time before it begins.
-	FetchPerMs float64
-	FetchSetup time.Duration
-	// Load is how long weights take to load.
-	Load time.Duration
+	// Slots is the maximum number of running requests, MemoryTokens the size of the memory that
+	// running requests and cached parts share.
+	Slots, MemoryTokens int
+	// Step is the base duration of a step, StepPerRequest what each running request adds.
+	Step, StepPerRequest time.Duration
+	// PrefillTokensPerMs is the prefill rate, PrefillChunk the maximum number of prefill tokens
+	// in one step.
+	PrefillTokensPerMs float64
+	PrefillChunk       int
+	// AttentionMs is the time of attention over a million token pairs, in milliseconds.
+	AttentionMs float64
+	// AdmissionDelay is the minimum time from a request's arrival to its admission.
+	AdmissionDelay time.Duration
+	// FetchTokensPerMs is the rate at which cached tokens are transferred over a link,
+	// FetchLatency the delay before a transfer.
+	FetchTokensPerMs float64
+	FetchLatency     time.Duration
+	// LoadTime is how long loading weights takes.
+	LoadTime time.Duration
 }
 
-// part is one cached part.
-type part struct {
-	tokens int
-	used   time.Duration
+// cachedPart is a cached part of a prompt.
+type cachedPart struct {
+	tokens   int
+	lastUsed time.Duration
 }
 
-// engine is one engine's state. Times are since the run's beginning.
+// engine is the state of one engine. Times are relative to the start of the simulation.
 type engine struct {
-	spec    EngineSpec
-	index   int
-	zone    int
-	version int
-	now     time.Duration
-	waiting []*run
-	running []*run
-	cache   map[uint64]*part
-	cached  int
-	linkAt  time.Duration
-	// loads holds the versions that are to be loaded, with their times.
-	loads []load
+	spec         EngineSpec
+	index        int
+	zone         int
+	version      int
+	clock        time.Duration
+	waiting      []*run
+	running      []*run
+	cache        map[uint64]*cachedPart
+	cachedTokens int
+	// linkFreeAt is when the link has finished its transfers.
+	linkFreeAt time.Duration
+	// pendingLoads holds the scheduled weight loads by time.
+	pendingLoads []weightLoad
 }
 
-type load struct {
+type weightLoad struct {
 	at      time.Duration
 	version int
 }
 
-// run is one request at an engine.
+// run is the execution of a request at an engine.
 type run struct {
 	request *request
 	engine  *engine
-	// readyAt is when it may be admitted: its fetch has ended by then.
+	// readyAt is the earliest admission, when cached parts have been fetched.
 	readyAt time.Duration
-	// urgency ranks runs that wait; 0 is first.
-	urgency int
-	// toRead and made count tokens; holds is the memory that it takes.
-	toRead, made, holds int
-	// heldParts is how many of the shared parts were cached at the admission.
-	heldParts int
-	lastToken time.Duration
-	longest   time.Duration
-	inTime    bool
-	onFirst   func(at time.Duration)
+	// priority orders waiting runs and prefill; 0 is first.
+	priority int
+	// prefillLeft and generated are token counts; memory is the memory in use, in tokens.
+	prefillLeft, generated, memory int
+	// cachedParts is the number of shared parts that were cached at admission.
+	cachedParts  int
+	lastToken    time.Duration
+	maxGap       time.Duration
+	firstInTime  bool
+	onFirstToken func(at time.Duration)
 }
 
 func newEngine(spec EngineSpec, index, zone int) *engine {
-	return &engine{spec: spec, index: index, zone: zone, cache: map[uint64]*part{}}
+	return &engine{spec: spec, index: index, zone: zone, cache: map[uint64]*cachedPart{}}
 }
 
-// advance runs steps until a time.
+// advance runs the engine until a time.
 func (e *engine) advance(until time.Duration) {
-	for e.now < until {
-		e.beginLoads()
+	for e.clock < until {
+		e.applyLoads()
 		e.admit()
 		if len(e.running) == 0 {
-			e.now = min(until, e.nextEvent(until))
+			e.clock = min(until, e.nextEvent(until))
 			continue
 		}
 		e.step()
 	}
 }
 
-// nextEvent is when an idle engine has something to do.
+// nextEvent returns when an idle engine has to act next, at most until.
 func (e *engine) nextEvent(until time.Duration) time.Duration {
 	next := until
 	for _, r := range e.waiting {
-		next = min(next, max(r.readyAt, e.now+time.Microsecond))
+		next = min(next, max(r.readyAt, e.clock+time.Microsecond))
 	}
-	if len(e.loads) > 0 {
-		next = min(next, max(e.loads[0].at, e.now+time.Microsecond))
+	if len(e.pendingLoads) > 0 {
+		next = min(next, max(e.pendingLoads[0].at, e.clock+time.Microsecond))
 	}
 	return next
 }
 
-// beginLoads loads weights that are due: everything stands still, and the cache is
-// of no use any more.
-func (e *engine) beginLoads() {
-	for len(e.loads) > 0 && e.loads[0].at <= e.now {
-		e.version = e.loads[0].version
-		e.loads = e.loads[1:]
-		e.now += e.spec.Load
-		e.cache, e.cached = map[uint64]*part{}, 0
+// applyLoads loads the weights that are due. Loading blocks the engine and clears the cache.
+func (e *engine) applyLoads() {
+	for len(e.pendingLoads) > 0 && e.pendingLoads[0].at <= e.clock {
+		e.version = e.pendingLoads[0].version
+		e.pendingLoads = e.pendingLoads[1:]
+		e.clock += e.spec.LoadTime
+		e.cache, e.cachedTokens = map[uint64]*cachedPart{}, 0
 	}
 }
 
-// admit takes waiting requests in, the most urgent first.
+// admit admits waiting requests in the order of their priorities.
 func (e *engine) admit() {
 	slices.SortStableFunc(e.waiting, func(a, b *run) int {
-		return cmp.Or(cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.readyAt, b.readyAt))
+		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.readyAt, b.readyAt))
 	})
-	left := e.waiting[:0]
+	remaining := e.waiting[:0]
 	for _, r := range e.waiting {
-		if r.leaves(e.now) {
-			r.request.finish(r)
+		if r.timedOut(e.clock) {
+			r.request.onFinish(r)
 			continue
 		}
-		if r.readyAt > e.now || len(e.running) >= e.spec.Slots || !e.makeRoom(r.request.prompt()+r.request.answer) {
-			left = append(left, r)
+		if r.readyAt > e.clock || len(e.running) >= e.spec.Slots || !e.evictFor(r.request.promptTokens()+r.request.outputTokens) {
+			remaining = append(remaining, r)
 			continue
 		}
-		e.begin(r)
+		e.start(r)
 	}
-	e.waiting = left
+	e.waiting = remaining
 }
 
-func (e *engine) begin(r *run) {
-	held := e.held(r.request)
-	r.heldParts = 0
-	for n := 0; n < held; r.heldParts++ {
-		n += r.request.shared[r.heldParts].tokens
+func (e *engine) start(r *run) {
+	cached := e.cachedPrefix(r.request)
+	r.cachedParts = 0
+	for n := 0; n < cached; r.cachedParts++ {
+		n += r.request.sharedParts[r.cachedParts].tokens
 	}
-	r.toRead = r.request.prompt() - held
-	r.holds = r.request.prompt() - held + r.request.answer
+	r.prefillLeft = r.request.promptTokens() - cached
+	r.memory = r.request.promptTokens() - cached + r.request.outputTokens
 	e.running = append(e.running, r)
-	for _, p := range r.request.shared {
-		if c := e.cache[p.key(e.version)]; c != nil {
-			c.used = e.now
+	for _, p := range r.request.sharedParts {
+		if c := e.cache[p.cacheKey(e.version)]; c != nil {
+			c.lastUsed = e.clock
 		}
 	}
 }
 
-// held is how many of a request's shared tokens are cached, from the first on.
-func (e *engine) held(q *request) int {
+// cachedPrefix returns the length of the longest cached prefix of a request's shared parts.
+func (e *engine) cachedPrefix(q *request) int {
 	n := 0
-	for _, p := range q.shared {
-		if e.cache[p.key(e.version)] == nil {
+	for _, p := range q.sharedParts {
+		if e.cache[p.cacheKey(e.version)] == nil {
 			break
 		}
 		n += p.tokens
@@ -170,124 +168,125 @@
 	return n
 }
 
-func (e *engine) used() int {
-	n := e.cached
+func (e *engine) usedMemory() int {
+	n := e.cachedTokens
 	for _, r := range e.running {
-		n += r.holds
+		n += r.memory
 	}
 	return n
 }
 
-// makeRoom drops cached parts until so many tokens fit.
-func (e *engine) makeRoom(tokens int) bool {
-	for e.used()+tokens > e.spec.Memory {
-		key, found := e.oldest()
+// evictFor evicts cached parts until the tokens fit into memory, and reports whether they do.
+func (e *engine) evictFor(tokens int) bool {
+	for e.usedMemory()+tokens > e.spec.MemoryTokens {
+		key, found := e.leastRecentlyUsed()
 		if !found {
 			return false
 		}
-		e.cached -= e.cache[key].tokens
+		e.cachedTokens -= e.cache[key].tokens
 		delete(e.cache, key)
 	}
 	return true
 }
 
-func (e *engine) oldest() (uint64, bool) {
+func (e *engine) leastRecentlyUsed() (uint64, bool) {
 	var oldest uint64
 	found := false
 	for key, p := range e.cache {
-		if !found || p.used < e.cache[oldest].used || p.used == e.cache[oldest].used && key < oldest {
+		if !found || p.lastUsed < e.cache[oldest].lastUsed || p.lastUsed == e.cache[oldest].lastUsed && key < oldest {
 			oldest, found = key, true
 		}
 	}
 	return oldest, found
 }
 
-// step reads one chunk, of the most urgent prompts first, and makes one token for each request that is read.
+// step prefills one chunk in the order of priorities, and generates one token for each request
+// whose prefill is done.
 func (e *engine) step() {
-	budget := e.spec.Chunk
-	pairs := 0.0
-	slices.SortStableFunc(e.running, func(a, b *run) int { return cmp.Compare(a.urgency, b.urgency) })
+	budget := e.spec.PrefillChunk
+	attentionPairs := 0.0
+	slices.SortStableFunc(e.running, func(a, b *run) int { return cmp.Compare(a.priority, b.priority) })
 	for _, r := range e.running {
-		n := min(budget, r.toRead)
+		n := min(budget, r.prefillLeft)
 		if n == 0 {
 			continue
 		}
-		before := r.request.prompt() - r.toRead
-		pairs += float64(n) * float64(before+n/2)
-		r.toRead -= n
+		before := r.request.promptTokens() - r.prefillLeft
+		attentionPairs += float64(n) * float64(before+n/2)
+		r.prefillLeft -= n
 		budget -= n
-		if r.toRead == 0 {
-			e.keep(r)
+		if r.prefillLeft == 0 {
+			e.cacheParts(r)
 		}
 	}
-	took := e.spec.Step + time.Duration(len(e.running))*e.spec.StepPerRun
-	took += fromMs(float64(e.spec.Chunk-budget)/e.spec.ReadPerMs + pairs/1e6*e.spec.PairsMs)
-	e.now += took
-	e.makeTokens()
+	duration := e.spec.Step + time.Duration(len(e.running))*e.spec.StepPerRequest
+	duration += fromMs(float64(e.spec.PrefillChunk-budget)/e.spec.PrefillTokensPerMs + attentionPairs/1e6*e.spec.AttentionMs)
+	e.clock += duration
+	e.decode()
 }
 
-// keep caches the shared parts of a prompt that was read.
-func (e *engine) keep(r *run) {
-	for _, p := range r.request.shared[r.heldParts:] {
-		key := p.key(e.version)
+// cacheParts caches the shared parts of a prompt after its prefill.
+func (e *engine) cacheParts(r *run) {
+	for _, p := range r.request.sharedParts[r.cachedParts:] {
+		key := p.cacheKey(e.version)
 		if e.cache[key] != nil {
 			continue
 		}
-		// The run has held the part's memory so far.
-		r.holds -= p.tokens
-		e.cache[key] = &part{tokens: p.tokens, used: e.now}
-		e.cached += p.tokens
+		// The part's memory was counted for the run.
+		r.memory -= p.tokens
+		e.cache[key] = &cachedPart{tokens: p.tokens, lastUsed: e.clock}
+		e.cachedTokens += p.tokens
 	}
 }
 
-func (e *engine) makeTokens() {
-	left := e.running[:0]
+func (e *engine) decode() {
+	remaining := e.running[:0]
 	for _, r := range e.running {
-		if r.leaves(e.now) {
-			r.request.finish(r)
+		if r.timedOut(e.clock) {
+			r.request.onFinish(r)
 			continue
 		}
-		if r.toRead > 0 {
-			left = append(left, r)
+		if r.prefillLeft > 0 {
+			remaining = append(remaining, r)
 			continue
 		}
-		r.token(e.now)
-		if r.made < r.request.answer {
-			left = append(left, r)
+		r.addToken(e.clock)
+		if r.generated < r.request.outputTokens {
+			remaining = append(remaining, r)
 			continue
 		}
-		r.request.finish(r)
+		r.request.onFinish(r)
 	}
-	e.running = left
+	e.running = remaining
 }
 
-// leaves reports whether the caller has left before the first token.
-func (r *run) leaves(now time.Duration) bool {
-	return r.made == 0 && now-r.request.at > r.request.class.Patience
+// timedOut reports whether the caller has given up waiting for the first token.
+func (r *run) timedOut(now time.Duration) bool {
+	return r.generated == 0 && now-r.request.arrival > r.request.class.MaxWait
 }
 
-func (r *run) token(now time.Duration) {
-	if r.made == 0 {
-		r.onFirst(now)
+func (r *run) addToken(now time.Duration) {
+	if r.generated == 0 {
+		r.onFirstToken(now)
 	} else {
-		r.longest = max(r.longest, now-r.lastToken)
+		r.maxGap = max(r.maxGap, now-r.lastToken)
 	}
-	r.made++
+	r.generated++
 	r.lastToken = now
 }
 
-// waitingTokens is how many prompt tokens are to be read before one of an urgency
-// that comes now.
-func (e *engine) waitingTokens(urgency int) int {
+// queuedPrefillTokens returns the number of prompt tokens that would be prefilled before a new
+// request of the priority.
+func (e *engine) queuedPrefillTokens(priority int) int {
 	n := 0
 	for _, r := range e.running {
-		if r.urgency <= urgency {
-			n += r.toRead
+		if r.priority <= priority {
+			n += r.prefillLeft
 		}
 	}
 	for _, r := range e.waiting {
-		if r.urgency <= urgency {
-			n += r.request.prompt() - e.held(r.request)
+		if r.priority <= priority {
+			n += r.request.promptTokens() - e.cachedPrefix(r.request)
 		}
 	}
 	return n
--- a/internal/batchmodel/traffic.go
+++ b/internal/batchmodel/traffic.go
@@ -8,93 +8,93 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/placement"
 )
 
-// Level is one level of a class's shared parts.
-type Level struct {
-	// Tokens is the mean length of a part, Things how many there are; Skew is the
+// PrefixLevel describes the shared parts at one position of a class's prompts.
+type PrefixLevel struct {
+	// Tokens is the mean length of a part, Count the number of distinct parts; Skew is the Zipf
 	// exponent of their popularity.
-	Tokens, Things int
-	Skew           float64
+	Tokens, Count int
+	Skew          float64
 }
 
-// Class is one kind of request.
+// Class describes one class of requests.
 type Class struct {
 	Name string
-	// PerSecond is the rate of the whole deployment.
-	PerSecond float64
-	Levels    []Level
-	// Own and Answer are the mean tokens of a request's own part and of its answer;
-	// OwnSpread and AnswerSpread are the deviations of their logarithms.
-	Own, Answer             int
-	OwnSpread, AnswerSpread float64
-	// Aim is the time to the first token that is of full use, Patience the time
-	// after which callers leave, Gap the longest pause that is of full use.
-	Aim, Patience, Gap time.Duration
-	// Urgency ranks classes at an engine; 0 is the most urgent.
-	Urgency int
-	// Worth in time, and late.
+	// PerSecond is the request rate of the whole deployment.
+	PerSecond    float64
+	PrefixLevels []PrefixLevel
+	// OwnTokens and OutputTokens are the mean lengths of the unshared part of the prompt and of
+	// the output; the sigmas are the standard deviations of their logarithms.
+	OwnTokens, OutputTokens int
+	OwnSigma, OutputSigma   float64
+	// TTFTObjective is the objective for the time to first token, MaxWait the time after which
+	// callers give up, MaxTokenGap the objective for the longest time between tokens.
+	TTFTObjective, MaxWait, MaxTokenGap time.Duration
+	// Priority is the priority at an engine; 0 is first.
+	Priority int
+	// Worth is the worth of a request that meets its objectives, LateWorth of another.
 	Worth, LateWorth float64
 }
 
-// shared is one shared part of a request.
-type shared struct {
-	name   uint64
+// sharedPart is a part of a prompt that other requests share.
+type sharedPart struct {
+	id     uint64
 	tokens int
 }
 
-// key names a part as read under a version of the weights.
-func (s shared) key(version int) uint64 { return placement.Mix(s.name + uint64(version)) }
+// cacheKey returns the cache key of the part under a weight version.
+func (s sharedPart) cacheKey(version int) uint64 { return placement.Mix(s.id + uint64(version)) }
 
-// request is one request of the traffic.
+// request is one generated request.
 type request struct {
-	class  *Class
-	at     time.Duration
-	entry  int
-	shared []shared
-	own    int
-	answer int
-	finish func(*run)
+	class        *Class
+	arrival      time.Duration
+	entry        int
+	sharedParts  []sharedPart
+	ownTokens    int
+	outputTokens int
+	onFinish     func(*run)
 }
 
 func (q *request) sharedTokens() int {
 	n := 0
-	for _, p := range q.shared {
+	for _, p := range q.sharedParts {
 		n += p.tokens
 	}
 	return n
 }
 
-func (q *request) prompt() int { return q.sharedTokens() + q.own }
+func (q *request) promptTokens() int { return q.sharedTokens() + q.ownTokens }
 
-// family names the innermost shared part.
+// family returns the ID of the last shared part.
 func (q *request) family() uint64 {
-	if len(q.shared) == 0 {
+	if len(q.sharedParts) == 0 {
 		return 0
 	}
-	return q.shared[len(q.shared)-1].name
+	return q.sharedParts[len(q.sharedParts)-1].id
 }
 
-// lognormal draws with a mean and a deviation of the logarithm.
-func lognormal(r *rand.Rand, mean int, spread float64) int {
-	return max(1, int(float64(mean)*math.Exp(r.NormFloat64()*spread-spread*spread/2)))
+// lognormal draws from a log-normal distribution, at least 1.
+func lognormal(r *rand.Rand, mean int, sigma float64) int {
+	return max(1, int(float64(mean)*math.Exp(r.NormFloat64()*sigma-sigma*sigma/2)))
 }
 
-// generate draws the requests of a length of time, in the order of arrival.
-func generate(classes []Class, entries int, length time.Duration, load float64, r *rand.Rand) []*request {
+// generateRequests draws the requests of a time span as a Poisson process, in the order of arrival.
+func generateRequests(classes []Class, entries int, duration time.Duration, loadFactor float64, r *rand.Rand) []*request {
 	var all []*request
 	total := 0.0
 	for _, c := range classes {
-		total += c.PerSecond * load
+		total += c.PerSecond * loadFactor
 	}
 	for at := time.Duration(0); ; {
 		at += time.Duration(r.ExpFloat64() / total * float64(time.Second))
-		if at > length {
+		if at > duration {
 			return all
 		}
-		all = append(all, draw(pick(classes, r), at, r.IntN(entries), r))
+		all = append(all, drawRequest(drawClass(classes, r), at, r.IntN(entries), r))
 	}
 }
 
-func pick(classes []Class, r *rand.Rand) *Class {
+func drawClass(classes []Class, r *rand.Rand) *Class {
 	sum := 0.0
 	for _, c := range classes {
 		sum += c.PerSecond
@@ -108,33 +108,33 @@
 	return &classes[len(classes)-1]
 }
 
-func draw(c *Class, at time.Duration, entry int, r *rand.Rand) *request {
-	q := &request{class: c, at: at, entry: entry, own: lognormal(r, c.Own, c.OwnSpread), answer: lognormal(r, c.Answer, c.AnswerSpread)}
-	name := placement.Mix(uint64(len(c.Name))<<32 + uint64(c.Name[0]))
-	for _, l := range c.Levels {
-		thing := popular(r, l)
-		name = placement.Mix(name + uint64(thing) + 1)
-		q.shared = append(q.shared, shared{name: name, tokens: sized(name, l.Tokens)})
+func drawRequest(c *Class, at time.Duration, entry int, r *rand.Rand) *request {
+	q := &request{class: c, arrival: at, entry: entry, ownTokens: lognormal(r, c.OwnTokens, c.OwnSigma), outputTokens: lognormal(r, c.OutputTokens, c.OutputSigma)}
+	id := placement.Mix(uint64(len(c.Name))<<32 + uint64(c.Name[0]))
+	for _, l := range c.PrefixLevels {
+		part := drawPart(r, l)
+		id = placement.Mix(id + uint64(part) + 1)
+		q.sharedParts = append(q.sharedParts, sharedPart{id: id, tokens: partTokens(id, l.Tokens)})
 	}
 	return q
 }
 
-// popular draws a thing by its popularity.
-func popular(r *rand.Rand, l Level) int {
+// drawPart draws the index of a part by popularity.
+func drawPart(r *rand.Rand, l PrefixLevel) int {
 	sum := 0.0
-	for i := range l.Things {
+	for i := range l.Count {
 		sum += math.Pow(float64(i+1), -l.Skew)
 	}
 	x := r.Float64() * sum
-	for i := range l.Things {
+	for i := range l.Count {
 		if x -= math.Pow(float64(i+1), -l.Skew); x < 0 {
 			return i
 		}
 	}
-	return l.Things - 1
+	return l.Count - 1
 }
 
-// sized gives each part a length of its own, from a half to three halves of the mean.
-func sized(name uint64, mean int) int {
-	return mean/2 + int(placement.Mix(name^0xABCD)%uint64(mean))
+// partTokens derives the length of a part from its ID, between half and one and a half of the mean.
+func partTokens(id uint64, mean int) int {
+	return mean/2 + int(placement.Mix(id^0xABCD)%uint64(mean))
 }
--- a/internal/cluster/process_test.go
+++ b/internal/cluster/process_test.go
@@ -22,8 +22,8 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// bound is far above any expected time; tests wait on conditions up to it.
-const bound = 60 * time.Second
+// testTimeout bounds the wait for each condition.
+const testTimeout = 60 * time.Second
 
 var (
 	buildOnce sync.Once
@@ -59,7 +59,7 @@
 	return daemonBin
 }
 
-// process is a daemon as a process of its own.
+// process is a daemon that runs as a separate process.
 type process struct {
 	cmd  *exec.Cmd
 	once sync.Once
@@ -67,7 +67,7 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Close kills the process and waits for its end.
+// Close kills the process and waits for it.
 func (p *process) Close() {
 	p.once.Do(func() {
 		p.signal(syscall.SIGKILL)
@@ -75,15 +75,16 @@
 	})
 }
 
-// stop asks for a planned stop and waits for its end.
-func (p *process) stop() {
+// shutDown terminates the process gracefully and waits for it.
+func (p *process) shutDown() {
 	p.once.Do(func() {
 		p.signal(syscall.SIGTERM)
 		_ = p.cmd.Wait()
 	})
 }
 
-func launcher(t testing.TB) func(*settings.Settings) (cluster.Process, error) {
+// processLauncher returns a launch function that runs each daemon as a separate process.
+func processLauncher(t testing.TB) func(*settings.Settings) (cluster.Process, error) {
 	bin := buildDaemon(t)
 	dir := t.TempDir()
 	return func(s *settings.Settings) (cluster.Process, error) {
@@ -106,7 +107,7 @@
 	}
 }
 
-// slowCosts make an answer of 40 tokens take about 0.8 s.
+// slowCosts make an output of 40 tokens take about 0.8 s.
 var slowCosts = standin.EngineCosts{
 	PrefillTokensPerSecond: 50_000, DecodeStep: 20 * time.Millisecond, MaxBatch: 8, CacheBlocks: 600,
 	LoadTime: 100 * time.Millisecond,
@@ -114,9 +115,9 @@
 
 func startProcesses(t *testing.T, text string, entries int, costs standin.EngineCosts) *cluster.Cluster {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	c, err := cluster.Start(ctx, cluster.Options{Text: text, Entries: entries, Costs: costs, LogOutput: io.Discard, Launch: launcher(t)})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: text, Entries: entries, EngineCosts: costs, LogOutput: io.Discard, Launch: processLauncher(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,22 +125,22 @@
 	return c
 }
 
-func proc(p cluster.Process) *process { return p.(*process) }
+func asProcess(p cluster.Process) *process { return p.(*process) }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(bound)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out: %s", description)
 		}
 		<-time.After(5 * time.Millisecond)
 	}
 }
 
-// answerTo checks that one completion is whole and in order.
-func answerTo(c *cluster.Cluster, entry int, b completionBody) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+// checkCompletion sends a completion request and checks its output.
+func checkCompletion(c *cluster.Cluster, entry int, b completionBody) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	text, err := complete(ctx, c.EntryURL(entry), "muenchen-token", b)
 	if err != nil {
@@ -151,11 +152,11 @@
 	return nil
 }
 
-// busyEngine waits for the engine that runs the one request there is.
-func busyEngine(t *testing.T, c *cluster.Cluster, tokens int) string {
+// waitForGenerating waits until an engine has generated some tokens, and returns its name.
+func waitForGenerating(t *testing.T, c *cluster.Cluster, tokens int) string {
 	t.Helper()
 	name := ""
-	eventually(t, "an engine generates", func() bool {
+	eventually(t, "an engine generates tokens", func() bool {
 		for n, e := range c.Engines {
 			if e.Generated() >= tokens {
 				name = n
@@ -167,16 +168,14 @@
 	return name
 }
 
-var review = completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 40, Stream: true}
+var reviewRequest = completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 40, Stream: true}
 
-// A trader reads an answer when the sidecar beside the engine is killed. The
-// engine lives on. A new sidecar starts on the same address and takes the run
-// over from the engine; the trader sees one whole answer.
+// A restarted sidecar must resume the stream of a run that its engine has continued.
 func TestSidecarKilledMidStream(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
-	go func() { done <- answerTo(c, 0, review) }()
-	name := busyEngine(t, c, 5)
+	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
+	name := waitForGenerating(t, c, 5)
 	c.Sidecars[name].Close()
 	if err := c.StartSidecar(name); err != nil {
 		t.Fatal(err)
@@ -189,32 +188,30 @@
 		started += e.Stats().Started
 	}
 	if started != 1 {
-		t.Errorf("%d runs were started for one answer", started)
+		t.Errorf("%d runs were started for one request", started)
 	}
 }
 
-// The engine crashes in the middle of an answer and comes back empty. The rest
-// runs elsewhere; the trader sees no gap and no repeat.
+// When an engine crashes during a stream, another one must continue it without gap or repetition.
 func TestEngineCrashMidStream(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
-	go func() { done <- answerTo(c, 0, review) }()
-	c.Engines[busyEngine(t, c, 5)].Crash()
+	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
+	c.Engines[waitForGenerating(t, c, 5)].Crash()
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The sidecar's host freezes in the middle of an answer. The entry finds that
-// its pings are not answered and runs the rest elsewhere. Then the host wakes
-// and sends what it still has: nothing of it may reach the trader.
-func TestFrozenSidecarWakesLate(t *testing.T) {
+// When a sidecar is suspended during a stream, another engine must continue it, and the output of
+// the resumed sidecar must not reach the caller.
+func TestSuspendedSidecarResumesLate(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 1, slowCosts)
 	done := make(chan error, 1)
-	go func() { done <- answerTo(c, 0, review) }()
-	name := busyEngine(t, c, 5)
-	proc(c.Sidecars[name]).signal(syscall.SIGSTOP)
-	eventually(t, "a second engine takes the rest", func() bool {
+	go func() { done <- checkCompletion(c, 0, reviewRequest) }()
+	name := waitForGenerating(t, c, 5)
+	asProcess(c.Sidecars[name]).signal(syscall.SIGSTOP)
+	eventually(t, "another engine continues the stream", func() bool {
 		for n, e := range c.Engines {
 			if n != name && e.Generated() > 0 {
 				return true
@@ -222,16 +219,15 @@
 		}
 		return false
 	})
-	proc(c.Sidecars[name]).signal(syscall.SIGCONT)
+	asProcess(c.Sidecars[name]).signal(syscall.SIGCONT)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// All entries are killed at once while the platform's log is up, slow, or down.
-// New ones must serve at once: the configuration comes from the sidecars, and
-// what the engines hold is known beside them, so that there is no cold start.
-func TestEntriesKilledAtOnce(t *testing.T) {
+// Restarted entries must get the configuration from sidecars, without the log, and find the cached
+// prompts again.
+func TestAllEntriesKilled(t *testing.T) {
 	for _, log := range []struct {
 		name   string
 		faults standin.LogFaults
@@ -246,12 +242,12 @@
 
 func killAllEntries(t *testing.T, faults standin.LogFaults) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
-	warm := completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 2}
-	if err := answerTo(c, 0, warm); err != nil {
+	warm := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(1, 1), MaxTokens: 2}
+	if err := checkCompletion(c, 0, warm); err != nil {
 		t.Fatal(err)
 	}
 	c.Log.SetFaults(faults)
-	before := c.Computed()
+	before := c.PrefilledTokens()
 	for i := range c.Entries {
 		c.Entries[i].Close()
 	}
@@ -261,48 +257,47 @@
 			t.Fatal(err)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := c.WaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
 	for i := range c.Entries {
-		if err := answerTo(c, i, warm); err != nil {
+		if err := checkCompletion(c, i, warm); err != nil {
 			t.Fatal(err)
 		}
 	}
-	t.Logf("first answers %v after the kill", time.Since(start))
-	if computed := c.Computed() - before; computed > 200 {
-		t.Errorf("the restart made the engines compute %d tokens again", computed)
+	t.Logf("first responses %v after the restart", time.Since(start))
+	if prefilled := c.PrefilledTokens() - before; prefilled > 200 {
+		t.Errorf("%d tokens were prefilled again after the restart", prefilled)
 	}
 }
 
-func callOnce(ctx context.Context, base, key string, body string) (status int, kind string) {
+func callWithKey(ctx context.Context, base, key string, body string) (status int, kind string) {
 	resp, err := post(ctx, base+"/v1/services/marktportal/call?path=/renewals", "muenchen-token",
 		map[string]string{"Idempotency-Key": key, "Content-Type": "application/octet-stream"}, []byte(body))
 	if err != nil {
 		return 0, err.Error()
 	}
 	defer resp.Body.Close()
-	return resp.StatusCode, problemKind(resp)
+	return resp.StatusCode, errorKind(resp)
 }
 
-func runsOf(c *cluster.Cluster, key string) int {
+func countRuns(c *cluster.Cluster, key string) int {
 	runs := 0
-	for _, p := range c.Plains {
+	for _, p := range c.PlainTargets {
 		runs += p.Runs()[key]
 	}
 	return runs
 }
 
-// A clerk files a renewal. Its gate is killed while the service works on it, so
-// that nobody knows the end; the clerk files again through another entry. The
-// renewal must have run once, and neither answer may say that it was not run.
-func TestGateKilledDuringACall(t *testing.T) {
+// When a sidecar is killed during a call with a key, retries must neither run the call again nor
+// report that it did not run.
+func TestSidecarKilledDuringCall(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	for _, p := range c.Plains {
+	for _, p := range c.PlainTargets {
 		p.SetFaults(standin.PlainFaults{Delay: 500 * time.Millisecond})
 	}
 	key := uuid.Must(uuid.NewV7()).String()
@@ -312,12 +307,12 @@
 	}
 	first := make(chan result, 1)
 	go func() {
-		status, kind := callOnce(ctx, c.EntryURL(0), key, "renew")
+		status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew")
 		first <- result{status, kind}
 	}()
 	owner := ""
-	eventually(t, "the service works on the call", func() bool {
-		for name, p := range c.Plains {
+	eventually(t, "the call is running", func() bool {
+		for name, p := range c.PlainTargets {
 			if p.Runs()[key] > 0 {
 				owner = name
 				return true
@@ -327,11 +322,11 @@
 	})
 	c.Sidecars[owner].Close()
 	if r := <-first; r.kind != "outcome_unknown" {
-		t.Errorf("first try: %d %s", r.status, r.kind)
+		t.Errorf("first attempt: %d %s", r.status, r.kind)
 	}
 	for entry := range 2 {
-		if status, kind := callOnce(ctx, c.EntryURL(entry), key, "renew"); kind != "outcome_unknown" {
-			t.Errorf("again through entry %d: %d %s", entry, status, kind)
+		if status, kind := callWithKey(ctx, c.EntryURL(entry), key, "renew"); kind != "outcome_unknown" {
+			t.Errorf("retry through entry %d: %d %s", entry, status, kind)
 		}
 	}
 	if err := c.StartSidecar(owner); err != nil {
@@ -340,22 +335,21 @@
 	if err := c.WaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if status, kind := callOnce(ctx, c.EntryURL(0), key, "renew"); kind != "outcome_unknown" {
-		t.Errorf("at the gate that restarted empty: %d %s", status, kind)
+	if status, kind := callWithKey(ctx, c.EntryURL(0), key, "renew"); kind != "outcome_unknown" {
+		t.Errorf("retry at the restarted sidecar: %d %s", status, kind)
 	}
-	if n := runsOf(c, key); n != 1 {
-		t.Errorf("the renewal ran %d times", n)
+	if n := countRuns(c, key); n != 1 {
+		t.Errorf("the call ran %d times", n)
 	}
 }
 
-// Every process is stopped for a planned replacement while traders read long
-// answers: entries and sidecars, one after the other. No request is cut.
-func TestPlannedStopsCutNothing(t *testing.T) {
+// Graceful restarts of all entries and sidecars must not fail a request.
+func TestGracefulRestartsFailNoRequest(t *testing.T) {
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	answered := 0
+	completed := 0
 	for i := range 8 {
 		wg.Add(1)
 		go func() {
@@ -363,23 +357,23 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				entry := (i + n) % 2
 				if !isReady(c.EntrySettings[entry].AdminListen) {
-					// The balancer turns away from an entry that is not ready.
+					// A load balancer sends nothing to an entry that is not ready.
 					entry = 1 - entry
 				}
-				b := completionBody{Model: "pruefer-lm", Messages: nested(i, n), MaxTokens: 15, Stream: n%2 == 0}
-				if err := answerTo(c, entry, b); err != nil {
+				b := completionBody{Model: "pruefer-lm", Messages: nestedPrompt(i, n), MaxTokens: 15, Stream: n%2 == 0}
+				if err := checkCompletion(c, entry, b); err != nil {
 					t.Errorf("caller %d, request %d at entry %d: %v", i, n, entry, err)
 				}
 				mu.Lock()
-				answered++
+				completed++
 				mu.Unlock()
 			}
 		}()
 	}
-	rollAll(t, c)
+	restartAll(t, c)
 	cancel()
 	wg.Wait()
-	t.Logf("%d requests answered during the roll", answered)
+	t.Logf("%d requests completed during the restarts", completed)
 }
 
 func isReady(admin string) bool {
@@ -391,12 +385,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func rollAll(t *testing.T, c *cluster.Cluster) {
+func restartAll(t *testing.T, c *cluster.Cluster) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*bound)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
 	for i := range c.Entries {
-		proc(c.Entries[i]).stop()
+		asProcess(c.Entries[i]).shutDown()
 		if err := c.StartEntry(i); err != nil {
 			t.Fatal(err)
 		}
@@ -405,7 +399,7 @@
 		}
 	}
 	for _, name := range []string{"pruefer-1", "pruefer-2", "pruefer-3"} {
-		proc(c.Sidecars[name]).stop()
+		asProcess(c.Sidecars[name]).shutDown()
 		if err := c.StartSidecar(name); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cluster/spread_bench_test.go
+++ b/internal/cluster/spread_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/toucanwell/toucanwell/internal/settings"
 )
 
-// manyPlain is a configuration of n plain targets.
-func manyPlain(n int) string {
+// plainTargetsConfig returns a configuration with n plain targets.
+func plainTargetsConfig(n int) string {
 	var b strings.Builder
 	b.WriteString("schema = 1\n[[region]]\nname = \"r\"\navailability_zones = [\"z\"]\n[[service]]\nname = \"s\"\nkind = \"plain\"\n")
 	for i := range n {
@@ -23,16 +23,16 @@
 	return b.String()
 }
 
-// BenchmarkConfigSpread is the time from a publish until the last of n
-// processes has it in force. The fleet polls the log 20 times a second in all.
+// BenchmarkConfigSpread measures the time from the publication of a configuration until it is active
+// on all of n processes.
 func BenchmarkConfigSpread(b *testing.B) {
 	for _, n := range []int{25, 50, 100, 200} {
 		b.Run(fmt.Sprintf("processes=%d", n), func(b *testing.B) {
-			ctx, cancel := context.WithTimeout(context.Background(), 2*bound)
+			ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 			defer cancel()
 			c, err := cluster.Start(ctx, cluster.Options{
-				Text: manyPlain(n), Costs: slowCosts, LogOutput: io.Discard,
-				Adjust: func(s *settings.Settings) { s.Timing.SyncPeriod.Duration = 2 * time.Second },
+				ConfigText: plainTargetsConfig(n), EngineCosts: slowCosts, LogOutput: io.Discard,
+				AdjustSettings: func(s *settings.Settings) { s.Timing.SyncPeriod.Duration = 2 * time.Second },
 			})
 			if err != nil {
 				b.Fatal(err)
@@ -43,18 +43,18 @@
 			rounds := 0
 			for b.Loop() {
 				rounds++
-				c.Text += "# changed\n"
-				data, _ := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: fmt.Sprint(version), Base: version, Text: c.Text})
+				c.ConfigText += "# changed\n"
+				data, _ := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: fmt.Sprint(version), Base: version, Text: c.ConfigText})
 				start := time.Now()
 				version = c.Log.AppendNow(configlog.Stream, data)
 				for _, s := range c.SidecarSettings {
-					for versionAt(s.AdminListen) < version {
+					for activeVersion(s.AdminListen) < version {
 						<-time.After(2 * time.Millisecond)
 					}
 				}
-				took := time.Since(start)
-				sum += took
-				worst = max(worst, took)
+				elapsed := time.Since(start)
+				sum += elapsed
+				worst = max(worst, elapsed)
 			}
 			b.ReportMetric(float64(sum.Milliseconds())/float64(rounds), "mean-ms")
 			b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
--- a/internal/cluster/tls_test.go
+++ b/internal/cluster/tls_test.go
@@ -23,8 +23,8 @@
 	"github.com/toucanwell/toucanwell/internal/settings"
 )
 
-// writeCertificate makes a certificate of its own for every loopback address
-// of the cluster and returns the pool that trusts it.
+// writeCertificate writes a self-signed certificate for the address and returns a pool that trusts
+// it.
 func writeCertificate(t *testing.T, address, certFile, keyFile string) *x509.CertPool {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -62,11 +62,11 @@
 	dir := t.TempDir()
 	certFile, keyFile := filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
 	var pool *x509.CertPool
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{
-		Text: examples.Marktlizenz, Entries: 1, Costs: slowCosts, LogOutput: io.Discard,
-		Adjust: func(s *settings.Settings) {
+		ConfigText: examples.Marktlizenz, Entries: 1, EngineCosts: slowCosts, LogOutput: io.Discard,
+		AdjustSettings: func(s *settings.Settings) {
 			if s.Role == settings.RoleEntry {
 				pool = writeCertificate(t, s.Listen, certFile, keyFile)
 				s.TLS = settings.TLS{CertFile: certFile, KeyFile: keyFile}
