--- a/internal/batchmodel/model.go
+++ b/internal/batchmodel/model.go
@@ -113,9 +113,9 @@
 		for i := range views {
 			views[i] = weights.EngineView{Life: fleet.Life{Instance: strconv.Itoa(i)}}
 		}
-		for place, turn := range weights.Turns(views, int64(v+1)) {
+		for place, turn := range weights.RolloutOrder(views, int64(v+1)) {
 			i, _ := strconv.Atoi(turn.Instance) // it was made from a number above
-			round := place / weights.Parallel(len(views))
+			round := place / weights.MaxParallelLoads(len(views))
 			m.engines[i].loads = append(m.engines[i].loads, load{at: at + time.Duration(round)*m.spec.Engine.Load, version: v + 1})
 		}
 	}
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -152,7 +152,7 @@
 	if d.Model == "" || d.Version <= b.wanted[d.Model].Newest() {
 		return
 	}
-	b.wanted[d.Model] = b.wanted[d.Model].Add(weights.Wanted{Version: d.Version, Since: b.clock.Now()})
+	b.wanted[d.Model] = b.wanted[d.Model].Add(weights.WantedVersion{Version: d.Version, Since: b.clock.Now()})
 	b.logger.Info("weights_wanted", "model", d.Model, "version", d.Version, "offset", r.Offset)
 }
 
--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -70,7 +70,7 @@
 	for model, history := range b.wanted {
 		engines := d.enginesOf(model)
 		wanted := history.Newest()
-		if !d.orders.Behind(engines, model, wanted) {
+		if !d.orders.AnyStale(engines, model, wanted) {
 			continue
 		}
 		if b.entriesBefore() == 0 || d.lease.Held(now) {
@@ -86,20 +86,20 @@
 }
 
 // enginesOf returns the engines that serve a model.
-func (d *deputy) enginesOf(model string) []weights.Remote {
+func (d *deputy) enginesOf(model string) []weights.RemoteEngine {
 	b := d.process.beliefs
 	v, ok := b.view.Get()
 	if !ok {
 		return nil
 	}
-	var found []weights.Remote
+	var found []weights.RemoteEngine
 	for _, targets := range v.Targets {
 		for i := range targets {
 			t := &targets[i]
 			if _, serves := t.Weights[model]; !serves || t.Leaving || t.Doubtful {
 				continue
 			}
-			found = append(found, weights.Remote{Life: t.Life, Engine: d.engineAt(t.Address), Versions: t.Weights})
+			found = append(found, weights.RemoteEngine{Life: t.Life, Engine: d.engineAt(t.Address), Versions: t.Weights})
 		}
 	}
 	return found
--- a/internal/gateway/forward/dark.go
+++ b/internal/gateway/forward/dark.go
@@ -122,5 +122,5 @@
 		return false
 	}
 	answers, known := fl.Sidecars.Ask(ctx, []netip.AddrPort{to.target.Address}, probe.Prompt{})
-	return known[0] && answers[0].Phase == weights.Silent
+	return known[0] && answers[0].Phase == weights.Unresponsive
 }
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -256,12 +256,12 @@
 		c := &candidates[i]
 		*c = placement.Candidate{
 			Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone,
-			Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Emptying: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
+			Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Emptying: fl.view.Phase(t) == weights.Draining, Version: fl.view.Version(t, fl.request.Model),
 			Slots: t.Slots, Memory: fl.service.Engine.CacheTokens, Work: totals[t.ID],
 		}
 		c.LoadsIn, c.Loads = schedule[t.Life]
 		c.Pace = fl.paces.Of(t.Life, fl.Now())
-		c.Behind = wanted.Behind(c.Version, fl.Now())
+		c.Behind = wanted.StaleFor(c.Version, fl.Now())
 		if c.Slots == 0 {
 			c.Slots = fl.service.Engine.Slots
 		}
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -169,16 +169,16 @@
 	}
 	if p.known[i] {
 		c.Work, c.Arriving, c.Pace, c.Held = a.Work, a.Arriving, a.Pace, a.Held
-		c.Loading, c.Emptying = a.Phase == weights.Loading, a.Phase == weights.Emptying
+		c.Loading, c.Emptying = a.Phase == weights.Loading, a.Phase == weights.Draining
 		c.Rested = a.Ill || a.ReportAge > reportStale || t.Doubtful
-		c.Excluded = c.Excluded || a.Phase == weights.Silent
+		c.Excluded = c.Excluded || a.Phase == weights.Unresponsive
 		if version, ok := a.Weights[fl.request.Model]; ok {
 			c.Version = version
 		}
 	} else {
 		c.Work, c.Rested = fl.Ledger.OwnAt(t.ID, fl.Now()), true
 	}
-	c.Behind = fl.view.Wanted[fl.request.Model].Behind(c.Version, fl.Now())
+	c.Behind = fl.view.Wanted[fl.request.Model].StaleFor(c.Version, fl.Now())
 	return c
 }
 
@@ -198,7 +198,7 @@
 			continue
 		}
 		out.held[t.ID] = a.Held
-		if a.Phase != weights.Silent && a.ReportAge <= reportStale {
+		if a.Phase != weights.Unresponsive && a.ReportAge <= reportStale {
 			out.sources = append(out.sources, source{
 				id: t.ID, address: t.Address, zone: t.Zone, peer: true, tokens: a.Held, rate: fl.linkRate(fl.service.Engine.LinkMbps),
 			})
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -180,7 +180,7 @@
 func TestLoadingAndSilentEnginesTakeNothing(t *testing.T) {
 	loading, silent := streamOf(t, "loading"), streamOf(t, "silent")
 	w, sidecars := probedWorld(t, loading, silent)
-	for tg, phase := range map[*target]weights.Phase{loading: weights.Loading, silent: weights.Silent} {
+	for tg, phase := range map[*target]weights.Phase{loading: weights.Loading, silent: weights.Unresponsive} {
 		a := sidecars.answers[addressOf(tg)]
 		a.Phase = phase
 		sidecars.say(addressOf(tg), a)
@@ -231,7 +231,7 @@
 	defer close(dark)
 	w, sidecars := probedWorld(t, tg)
 	w.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
-	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Answer{Phase: weights.Silent} }
+	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Answer{Phase: weights.Unresponsive} }
 	began := time.Now()
 	_, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err == nil {
--- a/internal/gateway/probe/probe_test.go
+++ b/internal/gateway/probe/probe_test.go
@@ -73,7 +73,7 @@
 // What a sidecar says arrives as it was meant: an entry places by it.
 func TestAnswersAndWordsArriveWhole(t *testing.T) {
 	answer := Answer{
-		Life: fleet.Life{Instance: "i-1", Born: 1_700_000_000_123}, Weights: map[string]int64{"m": 3}, Phase: weights.Emptying,
+		Life: fleet.Life{Instance: "i-1", Born: 1_700_000_000_123}, Weights: map[string]int64{"m": 3}, Phase: weights.Draining,
 		Held: 4870, Saved: true, Holder: netip.MustParseAddrPort("10.0.0.7:8000"), Coming: true,
 		Pace: 1.25, Ill: true, ReportAge: 120 * time.Millisecond,
 		Work:     ledger.Work{Running: 3, Reading: ledger.Lane(2, 80*time.Millisecond), Memory: ledger.Lane(7, 12_000)},
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -251,8 +251,8 @@
 func TestEngineThatWasHeldUpKeepsWhatIsKnown(t *testing.T) {
 	b := newBench()
 	b.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
-	b.Set(State{Phase: weights.Silent, Weights: map[string]int64{"m": 1}})
-	if a := b.probe(t, promptOf()); a.Phase != weights.Silent || a.Work.Running != 1 {
+	b.Set(State{Phase: weights.Unresponsive, Weights: map[string]int64{"m": 1}})
+	if a := b.probe(t, promptOf()); a.Phase != weights.Unresponsive || a.Work.Running != 1 {
 		t.Errorf("while it is silent: %+v", a)
 	}
 	b.Set(State{Life: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
