--- a/internal/gateway/estate/estate.go
+++ b/internal/gateway/estate/estate.go
@@ -156,7 +156,7 @@
 	// Isolated workspaces share no cached part of a prompt with another.
 	Isolated bool
 	// Rate limits what the workspace may use over all entries together.
-	Rate ratelimit.Terms
+	Rate ratelimit.Policy
 }
 
 // Limits bound what a caller may send.
@@ -275,7 +275,7 @@
 		if w.Name == "" || e.byName[w.Name] != nil {
 			return errors.Newf("workspace %q: the name is empty or stands twice", w.Name)
 		}
-		if w.Rate.PerSecond < 0 || w.Rate.Burst < 0 || w.Rate.Unstated < 0 {
+		if w.Rate.PerSecond < 0 || w.Rate.Burst < 0 || w.Rate.DefaultCost < 0 {
 			return errors.Newf("workspace %q: a rate limit below zero", w.Name)
 		}
 		e.byName[w.Name] = w
--- a/internal/gateway/forward/limited.go
+++ b/internal/gateway/forward/limited.go
@@ -20,7 +20,7 @@
 	terms := fl.workspace.Rate
 	fl.use = ratelimit.Request{
 		Workspace: fl.workspace.Name, Limit: terms.Limit, Cost: terms.Cost(fl.request.Sized, fl.request.PromptTokens, fl.request.MaxTokens),
-		ComesBack: fl.returns, Patience: time.Duration(patienceShare * float64(fl.timeLeft())),
+		IsRetry: fl.returns, MaxWait: time.Duration(patienceShare * float64(fl.timeLeft())),
 	}
 	d := fl.Limits.Admit(fl.r.Context(), fl.use)
 	fl.Metrics.RateLimit(string(d.Source), d.Admitted)
--- a/internal/gateway/forward/limited_test.go
+++ b/internal/gateway/forward/limited_test.go
@@ -45,7 +45,7 @@
 func startLimited(t *testing.T, limits *fixedLimits, targets ...*target) *world {
 	w := startWorld(t, targets...)
 	w.Limits = limits
-	w.view.Estate.Workspace("town").Rate = ratelimit.Terms{Limit: ratelimit.Limit{PerSecond: 1000, Burst: 1000}, Unit: ratelimit.Tokens, Unstated: 200}
+	w.view.Estate.Workspace("town").Rate = ratelimit.Policy{Limit: ratelimit.Limit{PerSecond: 1000, Burst: 1000}, Unit: ratelimit.Tokens, DefaultCost: 200}
 	return w
 }
 
@@ -137,9 +137,9 @@
 // Requests count by their tokens where the workspace is limited in tokens, those that state
 // no size by the operators' figure, and one each where it is limited in requests.
 func TestCostOfARequest(t *testing.T) {
-	tokens := ratelimit.Terms{Unit: ratelimit.Tokens, Unstated: 200}
+	tokens := ratelimit.Policy{Unit: ratelimit.Tokens, DefaultCost: 200}
 	for _, c := range []struct {
-		terms          ratelimit.Terms
+		terms          ratelimit.Policy
 		stated         bool
 		prompt, answer int
 		cost           float64
@@ -147,8 +147,8 @@
 		{tokens, true, 1460, 80, 1540},
 		{tokens, false, 0, 0, 200},
 		{tokens, true, 0, 0, 1},
-		{ratelimit.Terms{Unit: ratelimit.Tokens}, false, 0, 0, 1},
-		{ratelimit.Terms{Unit: ratelimit.Requests, Unstated: 200}, true, 1460, 80, 1},
+		{ratelimit.Policy{Unit: ratelimit.Tokens}, false, 0, 0, 1},
+		{ratelimit.Policy{Unit: ratelimit.Requests, DefaultCost: 200}, true, 1460, 80, 1},
 	} {
 		if got := c.terms.Cost(c.stated, c.prompt, c.answer); got != c.cost {
 			t.Errorf("%+v: %.0f", c, got)
@@ -158,7 +158,7 @@
 
 // Operators declare a limit below zero by mistake: the version is refused whole.
 func TestLimitBelowZeroIsRefused(t *testing.T) {
-	for _, terms := range []ratelimit.Terms{{Limit: ratelimit.Limit{PerSecond: -1}}, {Limit: ratelimit.Limit{Burst: -1}}, {Unstated: -1}} {
+	for _, terms := range []ratelimit.Policy{{Limit: ratelimit.Limit{PerSecond: -1}}, {Limit: ratelimit.Limit{Burst: -1}}, {DefaultCost: -1}} {
 		if _, err := estate.New(1, nil, nil, []estate.Workspace{{Name: "town", Rate: terms}}, estate.Limits{}); err == nil {
 			t.Errorf("%+v is taken", terms)
 		}
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -95,7 +95,7 @@
 		p.loop.Go(p.entry.pool.Reap)
 		if limits := p.entry.limits; limits != nil {
 			go limits.limiter.Serve()
-			p.loop.Go(limits.limiter.Report)
+			p.loop.Go(limits.limiter.ReportUsage)
 		}
 		p.entry.suspects.start()
 		p.deputy = newDeputy(p)
