--- a/internal/gateway/ratelimit/bench_test.go
+++ b/internal/gateway/ratelimit/bench_test.go
@@ -49,7 +49,7 @@
 			for b.Loop() {
 				n++
 				from := Holder{Address: l.members.Load().Live[int(n)%entries], Incarnation: 1}
-				c.Handle("w", from, LeaseRequest{ID: n, Cost: 2400, Ahead: 10_000, Spent: float64(n)}, limit, now, now)
+				c.Handle("w", from, LeaseRequest{ID: n, RequestCost: 2400, Ahead: 10_000, Spent: float64(n)}, limit, now, now)
 			}
 		})
 	}
@@ -69,8 +69,8 @@
 
 // A question and its answer each take less than a hundred bytes beside the workspace's name.
 func TestMessagesStaySmall(t *testing.T) {
-	ask := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Ask: askOut(LeaseRequest{Cost: 70_000, Ahead: 300_000, Spent: 1e12, Refunded: 70_000, Overdraft: 70_000, IsRetry: true, MaxWait: 5 * time.Second}, true)}
-	answer := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Answer: answerOut(LeaseResponse{Admitted: true, Leased: 300_000, RetryAfter: 5 * time.Second, Level: 1e6})}
+	ask := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Ask: askOut(LeaseRequest{RequestCost: 70_000, Ahead: 300_000, Spent: 1e12, Refunded: 70_000, Overdraft: 70_000, IsRetry: true, MaxWait: 5 * time.Second}, true)}
+	answer := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Answer: answerOut(LeaseResponse{Admitted: true, Leased: 300_000, RetryDelay: 5 * time.Second, Level: 1e6})}
 	for _, m := range []*peerv1.RateMessage{ask, answer} {
 		if n := proto.Size(m); n > 100 {
 			t.Errorf("%d bytes: %v", n, m)
--- a/internal/gateway/ratelimit/coordinator.go
+++ b/internal/gateway/ratelimit/coordinator.go
@@ -40,8 +40,8 @@
 	// ID names the question among those of its entry; one that comes twice is answered
 	// twice and counted once.
 	ID uint32
-	// Cost is the cost of a request that waits; zero for none.
-	Cost float64
+	// RequestCost is the cost of a request that waits; zero for none.
+	RequestCost float64
 	// Ahead is what the entry would lease for the requests that follow.
 	Ahead float64
 	// Spent is all that the entry's life has used of leases, Returned what it gives back of
@@ -63,8 +63,8 @@
 	Admitted bool
 	// Leased tokens may be used for leaseFor from before the question.
 	Leased float64
-	// RetryAfter is after what time a request that is not admitted would be.
-	RetryAfter time.Duration
+	// RetryDelay is after what time a request that is not admitted would be.
+	RetryDelay time.Duration
 	// Level is what the bucket holds.
 	Level float64
 }
@@ -134,10 +134,10 @@
 	b.refill(limit, ask.Refunded, now)
 	b.level -= ask.Overdraft
 	a := LeaseResponse{ID: ask.ID}
-	if ask.Cost > 0 {
-		a.Admitted, a.RetryAfter = b.admit(ask, limit, now)
+	if ask.RequestCost > 0 {
+		a.Admitted, a.RetryDelay = b.admit(ask, limit, now)
 	}
-	if a.Admitted || ask.Cost == 0 {
+	if a.Admitted || ask.RequestCost == 0 {
 		a.Leased = b.lease(h, ask.Ahead, limit, now)
 	}
 	a.Level = b.level
@@ -177,7 +177,7 @@
 		floor = reservedShare * limit.size()
 	}
 	if b.level > floor {
-		b.level -= ask.Cost
+		b.level -= ask.RequestCost
 		b.used++
 		return true, 0
 	}
@@ -185,7 +185,7 @@
 	b.refusedAt = now
 	wait := limit.until(floor-b.level+b.queued) + leastWait
 	if wait <= ask.MaxWait && b.queued < limit.PerSecond*longestQueue.Seconds() {
-		b.queued += ask.Cost
+		b.queued += ask.RequestCost
 	}
 	return false, wait
 }
--- a/internal/gateway/ratelimit/credit.go
+++ b/internal/gateway/ratelimit/credit.go
@@ -118,7 +118,7 @@
 // ask is the question for a request that waits; with a cost of zero only tokens are asked
 // for ahead. What is given back leaves the record first: if the message is lost, so is it.
 func (c *credit) ask(number uint32, cost float64, now time.Time) LeaseRequest {
-	a := LeaseRequest{ID: number, Cost: cost, Ahead: c.want(now), Spent: c.spent, Refunded: c.returned, Overdraft: c.extra}
+	a := LeaseRequest{ID: number, RequestCost: cost, Ahead: c.want(now), Spent: c.spent, Refunded: c.returned, Overdraft: c.extra}
 	c.reported, c.returned, c.extra, c.askedAt = c.spent, 0, 0, now
 	return a
 }
--- a/internal/gateway/ratelimit/limiter.go
+++ b/internal/gateway/ratelimit/limiter.go
@@ -242,7 +242,7 @@
 // decide takes in an answer. A request that would be admitted within a moment waits for it
 // once, and comes back in its caller's place.
 func (l *Limiter) decide(ctx context.Context, r Request, a LeaseResponse, from netip.AddrPort, source Source) Decision {
-	if a.Admitted || a.RetryAfter > shortWait || !sleep.For(ctx, a.RetryAfter) {
+	if a.Admitted || a.RetryDelay > shortWait || !sleep.For(ctx, a.RetryDelay) {
 		return l.conclude(r, a, source)
 	}
 	r.IsRetry = true
@@ -256,10 +256,10 @@
 func (l *Limiter) conclude(r Request, a LeaseResponse, source Source) Decision {
 	if !a.Admitted {
 		l.mu.Lock()
-		l.credit(r.Workspace).empty(a.RetryAfter, l.options.Now())
+		l.credit(r.Workspace).empty(a.RetryDelay, l.options.Now())
 		l.mu.Unlock()
 	}
-	return Decision{Admitted: a.Admitted, Source: source, Level: a.Level, RetryAfter: a.RetryAfter}
+	return Decision{Admitted: a.Admitted, Source: source, Level: a.Level, RetryAfter: a.RetryDelay}
 }
 
 // GiveBack returns the cost of a request that was sent nowhere.
--- a/internal/gateway/ratelimit/message.go
+++ b/internal/gateway/ratelimit/message.go
@@ -29,22 +29,22 @@
 
 func askOut(a LeaseRequest, inPlace bool) *peerv1.RateAsk {
 	return &peerv1.RateAsk{
-		Need: tokensOut(a.Cost), Want: tokensOut(a.Ahead), Spent: tokensOut(a.Spent), Returned: tokensOut(a.Refunded), Extra: tokensOut(a.Overdraft),
+		Need: tokensOut(a.RequestCost), Want: tokensOut(a.Ahead), Spent: tokensOut(a.Spent), Returned: tokensOut(a.Refunded), Extra: tokensOut(a.Overdraft),
 		ComesBack: a.IsRetry, PatienceMs: msOut(a.MaxWait), InPlace: inPlace,
 	}
 }
 
 func askIn(number uint32, m *peerv1.RateAsk) LeaseRequest {
 	return LeaseRequest{
-		ID: number, Cost: tokensIn(m.Need), Ahead: tokensIn(m.Want), Spent: tokensIn(m.Spent), Refunded: tokensIn(m.Returned), Overdraft: tokensIn(m.Extra),
+		ID: number, RequestCost: tokensIn(m.Need), Ahead: tokensIn(m.Want), Spent: tokensIn(m.Spent), Refunded: tokensIn(m.Returned), Overdraft: tokensIn(m.Extra),
 		IsRetry: m.ComesBack, MaxWait: msIn(m.PatienceMs),
 	}
 }
 
 func answerOut(a LeaseResponse) *peerv1.RateAnswer {
-	return &peerv1.RateAnswer{Admitted: a.Admitted, Leased: tokensOut(a.Leased), WaitMs: msOut(a.RetryAfter), Level: tokensOut(a.Level)}
+	return &peerv1.RateAnswer{Admitted: a.Admitted, Leased: tokensOut(a.Leased), WaitMs: msOut(a.RetryDelay), Level: tokensOut(a.Level)}
 }
 
 func answerIn(number uint32, m *peerv1.RateAnswer) LeaseResponse {
-	return LeaseResponse{ID: number, Admitted: m.Admitted, Leased: tokensIn(m.Leased), RetryAfter: msIn(m.WaitMs), Level: tokensIn(m.Level)}
+	return LeaseResponse{ID: number, Admitted: m.Admitted, Leased: tokensIn(m.Leased), RetryDelay: msIn(m.WaitMs), Level: tokensIn(m.Level)}
 }
--- a/internal/gateway/ratelimit/records_test.go
+++ b/internal/gateway/ratelimit/records_test.go
@@ -51,7 +51,7 @@
 // and is answered the same.
 func TestQuestionThatComesTwiceCountsOnce(t *testing.T) {
 	c := NewCoordinator(time.Hour)
-	ask := LeaseRequest{ID: 7, Cost: 30}
+	ask := LeaseRequest{ID: 7, RequestCost: 30}
 	first := c.Handle("w", holder1, ask, small, noon.Add(-time.Minute), noon)
 	second := c.Handle("w", holder1, ask, small, noon, noon.Add(time.Millisecond))
 	if !first.Admitted || second != first {
@@ -66,14 +66,14 @@
 // anything, and what it takes is owed before the next one is.
 func TestRequestLargerThanTheBurst(t *testing.T) {
 	c := NewCoordinator(time.Hour)
-	if a := c.Handle("w", holder1, LeaseRequest{ID: 1, Cost: 250}, small, noon.Add(-time.Minute), noon); !a.Admitted {
+	if a := c.Handle("w", holder1, LeaseRequest{ID: 1, RequestCost: 250}, small, noon.Add(-time.Minute), noon); !a.Admitted {
 		t.Error("it is never served")
 	}
-	a := c.Handle("w", holder1, LeaseRequest{ID: 2, Cost: 1}, small, noon, noon.Add(time.Second))
-	if a.Admitted || a.RetryAfter < 400*time.Millisecond {
+	a := c.Handle("w", holder1, LeaseRequest{ID: 2, RequestCost: 1}, small, noon, noon.Add(time.Second))
+	if a.Admitted || a.RetryDelay < 400*time.Millisecond {
 		t.Errorf("%+v: 150 are owed after a second of 100", a)
 	}
-	if a = c.Handle("w", holder1, LeaseRequest{ID: 3, Cost: 1, IsRetry: true}, small, noon, noon.Add(time.Second+a.RetryAfter)); !a.Admitted {
+	if a = c.Handle("w", holder1, LeaseRequest{ID: 3, RequestCost: 1, IsRetry: true}, small, noon, noon.Add(time.Second+a.RetryDelay)); !a.Admitted {
 		t.Error("who comes back at the time told is refused again")
 	}
 }
@@ -109,14 +109,14 @@
 // the other as the rate brings tokens.
 func TestRefusedCallersAreToldOneAfterTheOther(t *testing.T) {
 	c := NewCoordinator(time.Hour)
-	c.Handle("w", holder1, LeaseRequest{ID: 1, Cost: 120}, small, noon.Add(-time.Minute), noon)
+	c.Handle("w", holder1, LeaseRequest{ID: 1, RequestCost: 120}, small, noon.Add(-time.Minute), noon)
 	last := time.Duration(0)
 	for n := uint32(2); n < 6; n++ {
-		a := c.Handle("w", holder1, LeaseRequest{ID: n, Cost: 20, MaxWait: time.Minute}, small, noon, noon)
-		if a.Admitted || a.RetryAfter <= last {
+		a := c.Handle("w", holder1, LeaseRequest{ID: n, RequestCost: 20, MaxWait: time.Minute}, small, noon, noon)
+		if a.Admitted || a.RetryDelay <= last {
 			t.Errorf("question %d: %+v after %s", n, a, last)
 		}
-		last = a.RetryAfter
+		last = a.RetryDelay
 	}
 }
 
--- a/internal/gateway/weights/bytime_test.go
+++ b/internal/gateway/weights/bytime_test.go
@@ -26,7 +26,7 @@
 	for at := time.Duration(0); at < bound; at += 50 * time.Millisecond {
 		for _, e := range engines {
 			q := Input{Self: e.Life, Engines: engines, Wanted: 2, StaleFor: at, KnownFor: at, MaxStaleness: bound, PartialView: true}
-			if _, done := began[e.Instance]; !done && Decide(q) == Load {
+			if _, done := began[e.Instance]; !done && Decide(q) == LoadNow {
 				began[e.Instance] = at
 			}
 		}
@@ -59,7 +59,7 @@
 		t.Errorf("turn %d, want later", got)
 	}
 	q.StaleFor = 6 * time.Second
-	if got := Decide(q); got != Load {
+	if got := Decide(q); got != LoadNow {
 		t.Errorf("turn %d of an engine that would be late, want now", got)
 	}
 }
--- a/internal/gateway/weights/controller.go
+++ b/internal/gateway/weights/controller.go
@@ -387,7 +387,7 @@
 		c.phase, c.emptyingSince = Draining, now
 	}
 	empty := c.report.Running == 0 && c.report.Queued == 0
-	if turn == Load && (empty && now.Sub(c.emptyingSince) > orderNotice || now.Sub(c.emptyingSince) > emptyTime) {
+	if turn == LoadNow && (empty && now.Sub(c.emptyingSince) > orderNotice || now.Sub(c.emptyingSince) > emptyTime) {
 		o.Token = token
 		c.give(o)
 	}
--- a/internal/gateway/weights/plan.go
+++ b/internal/gateway/weights/plan.go
@@ -159,8 +159,8 @@
 	Wait Action = iota
 	// Drain engines empty themselves while others end their loads.
 	Drain
-	// Load engines load.
-	Load
+	// LoadNow engines load.
+	LoadNow
 )
 
 // Decide returns the own engine's turn. Those first in the order that still lack
@@ -168,7 +168,7 @@
 // silent are passed over.
 func Decide(q Input) Action {
 	if q.StaleFor > time.Duration(hurryShare*float64(q.MaxStaleness)) {
-		return Load
+		return LoadNow
 	}
 	if q.PartialView {
 		return turnByTime(q)
@@ -209,7 +209,7 @@
 	starts := time.Duration(before/places) * usualLoadTime
 	switch {
 	case q.KnownFor >= starts:
-		return Load
+		return LoadNow
 	case q.KnownFor >= starts-emptyLead:
 		return Drain
 	default:
@@ -224,7 +224,7 @@
 func turnAfter(before, places int, soon bool) Action {
 	switch {
 	case before < places:
-		return Load
+		return LoadNow
 	case before < 2*places && soon:
 		return Drain
 	default:
--- a/internal/gateway/weights/plan_test.go
+++ b/internal/gateway/weights/plan_test.go
@@ -34,7 +34,7 @@
 			if e.Version >= 3 && e.Phase == Serving {
 				continue
 			}
-			if Decide(Input{Self: e.Life, Engines: engines, Wanted: 3, MaxStaleness: 8 * time.Second}) == Load {
+			if Decide(Input{Self: e.Life, Engines: engines, Wanted: 3, MaxStaleness: 8 * time.Second}) == LoadNow {
 				told++
 			}
 		}
@@ -73,7 +73,7 @@
 			engines[i].Age = 2 * silentAfter
 		}
 	}
-	if Decide(q) != Load {
+	if Decide(q) != LoadNow {
 		t.Error("the third engine waits for a silent sidecar")
 	}
 }
@@ -87,7 +87,7 @@
 	}
 	last := RolloutOrder(engines, 2)[8].Life
 	q := Input{Self: last, Engines: engines, Wanted: 2, MaxStaleness: 8 * time.Second, StaleFor: 5 * time.Second}
-	if Decide(q) != Load {
+	if Decide(q) != LoadNow {
 		t.Error("the last engine still waits")
 	}
 }
