--- a/internal/gateway/weights/controller.go
+++ b/internal/gateway/weights/controller.go
@@ -13,73 +13,74 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-// Report is an engine's word of itself.
+// Report is the state that an engine reports of itself.
 type Report struct {
-	// StartedAt is when the engine started, in Unix milliseconds by its own clock; zero when
-	// it does not say.
+	// StartedAt is when the engine started, in Unix milliseconds by its own clock; zero if
+	// the engine does not report it.
 	StartedAt int64
-	// Weights are the versions of its models.
+	// Weights maps each of the engine's models to its version.
 	Weights map[string]int64
-	// Busy is set while an order is carried out.
+	// Busy is set while the engine executes a load request.
 	Busy bool
-	// AcceptedLoads counts the orders that this life of the engine has accepted.
+	// AcceptedLoads counts the load requests that this incarnation of the engine has accepted.
 	AcceptedLoads int64
 	// Queued and Running count requests.
 	Queued, Running int
 	// MemoryUsed is the memory that cannot be freed, in tokens.
 	MemoryUsed, MemoryTotal int
-	// ReceivedAt is when it came.
+	// ReceivedAt is when the report was received.
 	ReceivedAt time.Time
 }
 
-// Swap says what becomes of the runs under way when weights are loaded.
+// Swap selects what happens to running requests when weights are loaded.
 type Swap uint8
 
-// The ways to swap.
+// The swap modes.
 const (
-	// SwapAfterRuns lets runs finish first.
+	// SwapAfterRuns loads the weights once all running requests have finished.
 	SwapAfterRuns Swap = iota
-	// SwapTruncateRuns breaks them off.
+	// SwapTruncateRuns ends running requests early.
 	SwapTruncateRuns
-	// SwapContinueRuns lets them go on under the new weights.
+	// SwapContinueRuns continues running requests with the new weights.
 	SwapContinueRuns
 )
 
-// LoadRequest tells an engine to load weights.
+// LoadRequest asks an engine to load weights.
 type LoadRequest struct {
 	Model   string
 	Version int64
 	Swap    Swap
-	// Holder is who gives the order, Token its fencing token: a number that
-	// grows with each holder.
+	// Holder is the process that sends the request. Token is its fencing token, which
+	// increases with each holder.
 	Holder string
 	Token  uint64
-	// Incarnation of the engine that is meant.
+	// Incarnation is the incarnation of the engine that the request is meant for.
 	Incarnation fleet.Life
-	// ExpectedLoads is how many orders the engine must have accepted before. An order
-	// that is carried out late, after a newer one, is refused by it.
+	// ExpectedLoads is how many load requests the engine must have accepted before this
+	// one. The engine rejects a delayed request that arrives after a newer one.
 	ExpectedLoads int64
 }
 
-// Outcome is an engine's answer to an order.
+// Outcome is the result of a load request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Unknown orders may have been accepted, or may be later.
+	// Unknown means that the engine may have accepted the request, or may still do so.
 	Unknown Outcome = iota
-	// Accepted orders are being carried out.
+	// Accepted means that the engine is loading the weights.
 	Accepted
 	// AlreadyLoaded means that the engine has the weights already.
 	AlreadyLoaded
-	// Busy engines carry out another order, or have accepted another since.
+	// Busy means that the engine executes another load request, or has accepted another
+	// one since.
 	Busy
-	// StaleToken means that the engine has seen a higher token.
+	// StaleToken means that the engine has seen a higher fencing token.
 	StaleToken
-	// OtherInstance means that another life of the engine, or another target,
-	// has the address.
+	// OtherInstance means that another incarnation of the engine, or another target, has
+	// the address.
 	OtherInstance
-	// Refused orders do not exist for the engine.
+	// Refused means that the engine rejected the request for any other reason.
 	Refused
 )
 
@@ -91,110 +92,109 @@
 // String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Engine is the control side of one engine.
+// Engine is the control interface of one engine.
 type Engine interface {
 	Report(ctx context.Context) (Report, error)
-	// Identify returns the name of the engine's present life, which it tells with
-	// its health.
+	// Identify returns the instance name that the engine's health endpoint reports.
 	Identify(ctx context.Context, healthPath string) (string, error)
-	// Load gives an order. An error with Unknown leaves open whether it was
-	// accepted.
-	Load(ctx context.Context, o LoadRequest) (Outcome, error)
+	// Load sends a load request. With an error and Unknown, the engine may or may not
+	// have accepted it.
+	Load(ctx context.Context, req LoadRequest) (Outcome, error)
 }
 
-// Environment are what a controller asks and tells. All are called on the
+// Environment holds a controller's inputs and callbacks. All functions are called on the
 // control thread.
 type Environment struct {
-	// Wanted returns the versions that operators named, by model.
+	// Wanted returns the versions that operators have published, by model.
 	Wanted func() map[string]History
-	// HealthPath returns where the engine tells its health; empty while that is
-	// not known.
+	// HealthPath returns the path of the engine's health endpoint; empty while unknown.
 	HealthPath func() string
 	// Engines returns the engines of the service for a model.
 	Engines func(model string) []EngineView
-	// PartialView reports whether the fleet is too large for all sidecars to hear of all
-	// engines.
+	// PartialView reports whether the fleet is too large for every sidecar to receive
+	// every engine's reports.
 	PartialView func() bool
-	// OnChange is told of the engine's life, its newest report and its phase.
-	OnChange func(life fleet.Life, report Report, phase Phase)
+	// OnChange receives the engine's incarnation, newest report and phase.
+	OnChange func(incarnation fleet.Life, report Report, phase Phase)
 	// Token returns the fencing token, once there is one.
 	Token func() (uint64, bool)
-	// UpToDate reports whether this process has run without a break lately: one
-	// that was frozen must look again before it gives an order.
+	// UpToDate reports whether the process has run without suspension for long enough to
+	// have refreshed its state. A process that was suspended must not send load requests
+	// before that.
 	UpToDate func() bool
 }
 
-// Options are a controller's fixed values.
+// Options configures a controller.
 type Options struct {
 	Holder string
 	// MaxStaleness is the time within which engines must have a wanted version.
 	MaxStaleness time.Duration
 	Logger       logr.Logger
 	Now          func() time.Time
-	// OnOutcome counts orders by their outcome.
+	// OnOutcome is called with the outcome of each load request.
 	OnOutcome func(Outcome)
 }
 
 const (
-	// reportPeriod is how often the engine is asked; the question is free from
-	// its own host. While it loads it is asked more often, so that it serves again
-	// at once.
-	reportPeriod  = 100 * time.Millisecond
-	loadingPeriod = 20 * time.Millisecond
-	reportTimeout = time.Second
-	orderTimeout  = 800 * time.Millisecond
-	// orderNotice is the least time between telling the entries and the order, in
-	// which requests on their way arrive.
-	orderNotice = 15 * time.Millisecond
-	// emptyTime is how long an engine is given to be emptied. Moving a run takes
-	// some tens of milliseconds, and short runs end in the time; a run that is
-	// left goes on under the new weights.
-	emptyTime = 350 * time.Millisecond
-	// firstLoadTime is how long a load is expected to take until the engine has made
-	// one.
-	firstLoadTime = 500 * time.Millisecond
-	// retryAfter is the pause after an order that was not accepted, or whose
-	// fate is unknown. The expected count keeps a late first one harmless.
-	retryAfter = 400 * time.Millisecond
+	// pollInterval is how often the engine is polled for a report, loadingPollInterval how
+	// often while it loads, so that it gets requests again soon after the load.
+	pollInterval        = 100 * time.Millisecond
+	loadingPollInterval = 20 * time.Millisecond
+	reportTimeout       = time.Second
+	loadRequestTimeout  = 800 * time.Millisecond
+	// minDrainTime is the least time between announcing a load and requesting it. Requests
+	// in flight arrive in that time.
+	minDrainTime = 15 * time.Millisecond
+	// maxDrainTime is how long the engine may drain before it loads. Requests that still
+	// run then continue with the new weights.
+	maxDrainTime = 350 * time.Millisecond
+	// initialLoadTime is the expected duration of the engine's first load.
+	initialLoadTime = 500 * time.Millisecond
+	// retryDelay is the pause after a load request that was not accepted or whose outcome
+	// is unknown. ExpectedLoads makes a late arrival of the first request harmless.
+	retryDelay = 400 * time.Millisecond
 )
 
-// Controller is the one that gives orders to one engine.
+// Controller polls one engine and sends it load requests.
 type Controller struct {
 	loop    *control.Loop
 	engine  Engine
-	around  Environment
+	env     Environment
 	options Options
 	report  Report
-	known   bool
-	phase   Phase
-	// instance is the engine's life; empty until it has been identified.
+	// reachable is set when the last poll succeeded.
+	reachable bool
+	phase     Phase
+	// instance is the engine's instance name; empty until it has been identified.
 	instance    string
 	identifying bool
-	// seen is the life that was reported last under its name, and seenAt when.
-	seen   fleet.Life
-	seenAt time.Time
-	// refusedSince and refusedAt are the first and the last of the reports in a row for which
-	// nothing listened.
-	refusedSince, refusedAt time.Time
-	// beganAfter is when the address was known last not to be the present life's.
-	beganAfter time.Time
-	// loading is the order that was given last.
-	loading LoadRequest
-	begunAt time.Time
-	// loadTime is how long this engine's last load took.
+	// lastSeen is the last identified incarnation, lastSeenAt the time of its last report.
+	lastSeen   fleet.Life
+	lastSeenAt time.Time
+	// connRefusedSince and connRefusedAt are the first and the last of consecutive polls
+	// whose connection was refused.
+	connRefusedSince, connRefusedAt time.Time
+	// startedAfter is a lower bound of the current incarnation's start; see StartedAfter.
+	startedAfter time.Time
+	// lastRequest is the last load request, requestedAt when it was sent.
+	lastRequest LoadRequest
+	requestedAt time.Time
+	// loadTime is the duration of the engine's last load.
 	loadTime time.Duration
-	// emptyingSince is when the engine was told to be emptied.
-	emptyingSince time.Time
-	ordering      bool
-	notBefore     time.Time
+	// drainingSince is when the engine began to drain.
+	drainingSince time.Time
+	// requestPending is set until the outcome of lastRequest is known.
+	requestPending bool
+	// nextRequestAt is the earliest time of the next load request.
+	nextRequestAt time.Time
 }
 
 // NewController returns a controller that has not started.
-func NewController(loop *control.Loop, engine Engine, around Environment, options Options) *Controller {
-	return &Controller{loop: loop, engine: engine, around: around, options: options, loadTime: firstLoadTime}
+func NewController(loop *control.Loop, engine Engine, env Environment, options Options) *Controller {
+	return &Controller{loop: loop, engine: engine, env: env, options: options, loadTime: initialLoadTime}
 }
 
-// Start begins to watch the engine and to give it orders.
+// Start begins to poll the engine and to send it load requests.
 func (c *Controller) Start() { c.loop.Go(c.run) }
 
 func (c *Controller) run(ctx context.Context) {
@@ -202,240 +202,241 @@
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 		report, err := c.engine.Report(callCtx)
 		cancel()
-		pause := make(chan time.Duration, 1)
-		c.loop.Post(func() { pause <- c.take(report, err) })
+		interval := make(chan time.Duration, 1)
+		c.loop.Post(func() { interval <- c.handleReport(report, err) })
 		select {
-		case p := <-pause:
-			sleep.For(ctx, p)
+		case d := <-interval:
+			sleep.For(ctx, d)
 		case <-ctx.Done():
 		}
 	}
 }
 
-// take handles a report and returns the pause until the next.
-func (c *Controller) take(report Report, err error) time.Duration {
-	c.noteRefusal(err)
+// handleReport processes the result of a poll and returns the time until the next one.
+func (c *Controller) handleReport(report Report, err error) time.Duration {
+	c.trackConnRefused(err)
 	if err != nil {
-		if c.known {
+		if c.reachable {
 			c.options.Logger.Info("engine_silent", "instance", c.instance, "error", err.Error())
 		}
-		c.known, c.instance = false, ""
-		c.around.OnChange(fleet.Life{}, c.report, Unresponsive)
-		return reportPeriod
+		c.reachable, c.instance = false, ""
+		c.env.OnChange(fleet.Life{}, c.report, Unresponsive)
+		return pollInterval
 	}
-	if !c.known {
+	if !c.reachable {
 		c.options.Logger.Info("engine_heard", "weights", report.Weights, "busy", report.Busy, "orders", report.AcceptedLoads)
 	}
-	heardBefore := c.report.Weights != nil
-	if heardBefore && (report.StartedAt != c.report.StartedAt || report.AcceptedLoads < c.report.AcceptedLoads) {
-		c.startedAnew(report)
+	hadReport := c.report.Weights != nil
+	if hadReport && (report.StartedAt != c.report.StartedAt || report.AcceptedLoads < c.report.AcceptedLoads) {
+		c.resetAfterRestart(report)
 	}
-	c.known = true
+	c.reachable = true
 	report.ReceivedAt = c.options.Now()
 	c.report = report
 	c.identify()
 	c.step()
 	if c.phase != Serving || c.report.Busy {
-		return loadingPeriod
+		return loadingPollInterval
 	}
-	return reportPeriod
+	return pollInterval
 }
 
-// startedAnew forgets what is known of the engine's earlier life: what it was ordered
-// to do has ended with it.
-func (c *Controller) startedAnew(report Report) {
+// resetAfterRestart discards the state of the engine's previous incarnation, including its
+// load request.
+func (c *Controller) resetAfterRestart(report Report) {
 	c.options.Logger.Info("engine_started_anew", "instance", c.instance, "was_born", c.report.StartedAt, "born", report.StartedAt,
 		"orders", report.AcceptedLoads, "phase", c.phase.String())
-	c.instance, c.phase, c.loading = "", Serving, LoadRequest{}
+	c.instance, c.phase, c.lastRequest = "", Serving, LoadRequest{}
 }
 
-// life is the engine's present one; its instance is empty until it is identified.
-func (c *Controller) life() fleet.Life {
+// incarnation is the engine's current incarnation; its instance is empty until identified.
+func (c *Controller) incarnation() fleet.Life {
 	return fleet.Life{Instance: c.instance, Born: c.report.StartedAt}
 }
 
-// identifyPause is the least time between two questions for the engine's life;
-// they have a price.
-const identifyPause = 300 * time.Millisecond
+// identifyInterval is the least time between two calls of the engine's health endpoint,
+// which are not free.
+const identifyInterval = 300 * time.Millisecond
 
-// identify asks for the engine's life while it is not known. The platform's list
-// shows a life that has just begun a second or two late; requests that name the
-// earlier one are refused until then.
+// identify asks the engine for its instance name while it is unknown. The platform's list
+// shows a restarted engine a second or two late, and requests that name the previous
+// instance are rejected until then.
 func (c *Controller) identify() {
-	path := c.around.HealthPath()
+	path := c.env.HealthPath()
 	if c.instance != "" || c.identifying || path == "" {
 		return
 	}
 	c.identifying = true
-	born := c.report.StartedAt
+	startedAt := c.report.StartedAt
 	control.Do(c.loop, reportTimeout, func(ctx context.Context) (string, error) {
 		return c.engine.Identify(ctx, path)
 	}, func(instance string, err error) {
-		if err == nil && c.known && born == c.report.StartedAt {
+		if err == nil && c.reachable && startedAt == c.report.StartedAt {
 			c.instance = instance
-			c.options.Logger.Info("engine_identified", "instance", instance, "born", born)
+			c.options.Logger.Info("engine_identified", "instance", instance, "born", startedAt)
 			c.step()
 		}
 		if err != nil {
 			c.options.Logger.Info("engine_not_identified", "error", err.Error())
 		}
 		c.loop.Go(func(ctx context.Context) {
-			sleep.For(ctx, identifyPause)
+			sleep.For(ctx, identifyInterval)
 			c.loop.Post(func() { c.identifying = false })
 		})
 	})
 }
 
-// Reidentify makes the controller ask for the engine's life again, after word that
-// it is another.
+// Reidentify makes the controller ask for the engine's instance name again, after a sign
+// that it has changed.
 func (c *Controller) Reidentify() { c.instance = "" }
 
-// Trigger makes the controller decide again, after a new wanted version or word
-// of another engine. It runs on the control thread.
+// Trigger makes the controller decide again, after a new wanted version or a change of
+// another engine. It must be called on the control thread.
 func (c *Controller) Trigger() {
-	if c.known {
+	if c.reachable {
 		c.step()
 	}
 }
 
-// StartedAfter is when another life had the engine's address last, or none; zero when this
-// process has known the present life only.
-func (c *Controller) StartedAfter() time.Time { return c.beganAfter }
+// StartedAfter returns when another incarnation, or none, last had the engine's address: the
+// current one started after that. It is zero if this process has seen no other incarnation.
+func (c *Controller) StartedAfter() time.Time { return c.startedAfter }
 
-// absentFor is for how long nothing must have listened for the engine to count as not
-// running: one that has too many connections refuses some, too.
-const absentFor = 500 * time.Millisecond
+// absentAfter is how long connections must be refused for the engine to count as not
+// running. An engine with too many connections refuses some, too.
+const absentAfter = 500 * time.Millisecond
 
-// noteRefusal takes in whether something listened for a report.
-func (c *Controller) noteRefusal(err error) {
+// trackConnRefused records whether a poll's connection was refused.
+func (c *Controller) trackConnRefused(err error) {
 	switch {
 	case !errors.Is(err, syscall.ECONNREFUSED):
-		c.refusedSince = time.Time{}
-	case c.refusedSince.IsZero():
-		c.refusedSince = c.options.Now()
-	case c.options.Now().Sub(c.refusedSince) >= absentFor:
-		c.refusedAt = c.options.Now()
+		c.connRefusedSince = time.Time{}
+	case c.connRefusedSince.IsZero():
+		c.connRefusedSince = c.options.Now()
+	case c.options.Now().Sub(c.connRefusedSince) >= absentAfter:
+		c.connRefusedAt = c.options.Now()
 	}
 }
 
-// noteLife takes in that the engine's present life was reported.
-func (c *Controller) noteLife() {
-	life := c.life()
-	if life.Instance == "" {
+// trackIncarnation updates startedAfter when the engine's incarnation has changed.
+func (c *Controller) trackIncarnation() {
+	incarnation := c.incarnation()
+	if incarnation.Instance == "" {
 		return
 	}
-	if life != c.seen {
-		c.beganAfter = c.seenAt
-		if c.refusedAt.After(c.seenAt) {
-			c.beganAfter = c.refusedAt
+	if incarnation != c.lastSeen {
+		c.startedAfter = c.lastSeenAt
+		if c.connRefusedAt.After(c.lastSeenAt) {
+			c.startedAfter = c.connRefusedAt
 		}
 	}
-	c.seen, c.seenAt = life, c.report.ReceivedAt
+	c.lastSeen, c.lastSeenAt = incarnation, c.report.ReceivedAt
 }
 
 func (c *Controller) step() {
-	c.noteLife()
-	c.endLoading()
-	if (c.phase == Serving || c.phase == Draining) && !c.ordering {
-		c.begin()
+	c.trackIncarnation()
+	c.finishLoading()
+	if (c.phase == Serving || c.phase == Draining) && !c.requestPending {
+		c.drainOrLoad()
 	}
-	c.around.OnChange(c.life(), c.report, c.toldPhase())
+	c.env.OnChange(c.incarnation(), c.report, c.announcedPhase())
 }
 
-// toldPhase is what the entries go by. An engine that carries out an order of which
-// nothing is known here, one that was taken for lost say, loads as well: it refuses
-// what is sent to it until the load ends.
-func (c *Controller) toldPhase() Phase {
+// announcedPhase is the phase that entries see. An engine that is busy without a load
+// request of this controller is loading as well, for example after a request that was
+// assumed lost, and rejects requests until the load ends.
+func (c *Controller) announcedPhase() Phase {
 	if c.phase == Serving && c.report.Busy {
 		return Loading
 	}
 	return c.phase
 }
 
-// endLoading goes back to serving when the engine has carried out its order.
-func (c *Controller) endLoading() {
-	if c.phase != Loading || c.ordering || c.report.Busy {
+// finishLoading returns to Serving when the engine has executed its load request.
+func (c *Controller) finishLoading() {
+	if c.phase != Loading || c.requestPending || c.report.Busy {
 		return
 	}
-	if c.report.Weights[c.loading.Model] < c.loading.Version && c.options.Now().Before(c.notBefore) {
+	if c.report.Weights[c.lastRequest.Model] < c.lastRequest.Version && c.options.Now().Before(c.nextRequestAt) {
 		return
 	}
 	c.phase = Serving
-	if c.report.Weights[c.loading.Model] >= c.loading.Version {
-		c.loadTime = c.options.Now().Sub(c.begunAt)
+	if c.report.Weights[c.lastRequest.Model] >= c.lastRequest.Version {
+		c.loadTime = c.options.Now().Sub(c.requestedAt)
 	}
-	c.options.Logger.Info("weights_loaded", "model", c.loading.Model, "wanted", c.loading.Version,
-		"version", c.report.Weights[c.loading.Model], "took", c.options.Now().Sub(c.begunAt))
+	c.options.Logger.Info("weights_loaded", "model", c.lastRequest.Model, "wanted", c.lastRequest.Version,
+		"version", c.report.Weights[c.lastRequest.Model], "took", c.options.Now().Sub(c.requestedAt))
 }
 
-// begin takes the engine's turn to load a wanted version.
-func (c *Controller) begin() {
+// drainOrLoad drains the engine when its load is due soon, and loads when it is due and the
+// engine has drained.
+func (c *Controller) drainOrLoad() {
 	now := c.options.Now()
-	if now.Before(c.notBefore) || c.report.Busy || !c.around.UpToDate() {
+	if now.Before(c.nextRequestAt) || c.report.Busy || !c.env.UpToDate() {
 		return
 	}
-	token, ok := c.around.Token()
+	token, ok := c.env.Token()
 	if !ok || c.instance == "" {
 		return
 	}
-	turn, o := c.turn(now)
-	if turn == Wait {
+	action, req := c.nextAction(now)
+	if action == Wait {
 		c.phase = Serving
 		return
 	}
 	if c.phase != Draining {
-		c.phase, c.emptyingSince = Draining, now
+		c.phase, c.drainingSince = Draining, now
 	}
-	empty := c.report.Running == 0 && c.report.Queued == 0
-	if turn == LoadNow && (empty && now.Sub(c.emptyingSince) > orderNotice || now.Sub(c.emptyingSince) > emptyTime) {
-		o.Token = token
-		c.give(o)
+	idle := c.report.Running == 0 && c.report.Queued == 0
+	if action == LoadNow && (idle && now.Sub(c.drainingSince) > minDrainTime || now.Sub(c.drainingSince) > maxDrainTime) {
+		req.Token = token
+		c.requestLoad(req)
 	}
 }
 
-// turn returns when the engine loads, and the order for it.
-func (c *Controller) turn(now time.Time) (Action, LoadRequest) {
-	for model, history := range c.around.Wanted() {
-		have, served := c.report.Weights[model]
+// nextAction returns what the engine should do now, with the load request for it.
+func (c *Controller) nextAction(now time.Time) (Action, LoadRequest) {
+	for model, history := range c.env.Wanted() {
+		loaded, served := c.report.Weights[model]
 		wanted := history.Newest()
-		if !served || have >= wanted {
+		if !served || loaded >= wanted {
 			continue
 		}
-		q := Input{
-			Self: c.life(), Engines: c.around.Engines(model), Wanted: wanted,
-			StaleFor: history.StaleFor(have, now), MaxStaleness: c.options.MaxStaleness, LoadTime: c.loadTime,
-			KnownFor: now.Sub(history[len(history)-1].Since), PartialView: c.around.PartialView(),
+		in := Input{
+			Self: c.incarnation(), Engines: c.env.Engines(model), Wanted: wanted,
+			StaleFor: history.StaleFor(loaded, now), MaxStaleness: c.options.MaxStaleness, LoadTime: c.loadTime,
+			KnownFor: now.Sub(history[len(history)-1].Since), PartialView: c.env.PartialView(),
 		}
-		if turn := Decide(q); turn != Wait {
-			return turn, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.options.Holder,
-				Incarnation: c.life(), ExpectedLoads: c.report.AcceptedLoads}
+		if action := Decide(in); action != Wait {
+			return action, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.options.Holder,
+				Incarnation: c.incarnation(), ExpectedLoads: c.report.AcceptedLoads}
 		}
 	}
 	return Wait, LoadRequest{}
 }
 
-// give orders a load.
-func (c *Controller) give(o LoadRequest) {
-	c.phase, c.loading, c.ordering = Loading, o, true
-	c.begunAt = c.options.Now()
-	c.notBefore = c.begunAt.Add(retryAfter)
-	control.Do(c.loop, orderTimeout, func(ctx context.Context) (Outcome, error) {
-		return c.engine.Load(ctx, o)
-	}, func(outcome Outcome, err error) { c.ordered(o, outcome, err) })
+// requestLoad sends a load request.
+func (c *Controller) requestLoad(req LoadRequest) {
+	c.phase, c.lastRequest, c.requestPending = Loading, req, true
+	c.requestedAt = c.options.Now()
+	c.nextRequestAt = c.requestedAt.Add(retryDelay)
+	control.Do(c.loop, loadRequestTimeout, func(ctx context.Context) (Outcome, error) {
+		return c.engine.Load(ctx, req)
+	}, func(outcome Outcome, err error) { c.handleOutcome(req, outcome, err) })
 }
 
-func (c *Controller) ordered(o LoadRequest, outcome Outcome, err error) {
-	c.ordering = false
+func (c *Controller) handleOutcome(req LoadRequest, outcome Outcome, err error) {
+	c.requestPending = false
 	c.options.OnOutcome(outcome)
-	c.notBefore = c.options.Now().Add(retryAfter)
+	c.nextRequestAt = c.options.Now().Add(retryDelay)
 	detail := ""
 	if err != nil {
 		detail = err.Error()
 	}
-	c.options.Logger.Info("weights_ordered", "model", o.Model, "version", o.Version, "token", o.Token,
-		"target", o.Incarnation, "orders", o.ExpectedLoads, "outcome", outcome.String(), "error", detail)
-	if o.Incarnation != c.life() {
-		return // the life that was meant has ended, and its order with it
+	c.options.Logger.Info("weights_ordered", "model", req.Model, "version", req.Version, "token", req.Token,
+		"target", req.Incarnation, "orders", req.ExpectedLoads, "outcome", outcome.String(), "error", detail)
+	if req.Incarnation != c.incarnation() {
+		return // the engine has restarted since, which ended the load
 	}
 	if outcome == Accepted {
 		c.report.Busy = true
@@ -446,5 +447,5 @@
 	if outcome == OtherInstance {
 		c.Reidentify()
 	}
-	c.around.OnChange(c.life(), c.report, c.phase)
+	c.env.OnChange(c.incarnation(), c.report, c.phase)
 }
--- a/internal/gateway/weights/controller_test.go
+++ b/internal/gateway/weights/controller_test.go
@@ -16,20 +16,20 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// fakeEngine is an engine whose orders a test holds up.
+// fakeEngine is an Engine whose load requests a test can delay.
 type fakeEngine struct {
-	mu       sync.Mutex
-	life     string
-	born     int64
-	version  int64
-	orders   int64
-	busyTill time.Time
-	// late holds up orders: they get no answer and are carried out after it.
-	late time.Duration
-	down bool
-	// absent engines have no process: nothing listens.
-	absent bool
-	given  []LoadRequest
+	mu            sync.Mutex
+	instance      string
+	startedAt     int64
+	version       int64
+	acceptedLoads int64
+	busyUntil     time.Time
+	// acceptDelay leaves load requests unanswered and executes them after the delay.
+	acceptDelay time.Duration
+	down        bool
+	// absent refuses connections, as if no process listened.
+	absent   bool
+	requests []LoadRequest
 }
 
 func (e *fakeEngine) Report(context.Context) (Report, error) {
@@ -41,26 +41,26 @@
 	if e.down {
 		return Report{}, errors.New("connection refused")
 	}
-	return Report{StartedAt: e.born, Weights: map[string]int64{"m": e.version}, Busy: time.Now().Before(e.busyTill), AcceptedLoads: e.orders}, nil
+	return Report{StartedAt: e.startedAt, Weights: map[string]int64{"m": e.version}, Busy: time.Now().Before(e.busyUntil), AcceptedLoads: e.acceptedLoads}, nil
 }
 
 func (e *fakeEngine) Identify(context.Context, string) (string, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life, nil
+	return e.instance, nil
 }
 
-func (e *fakeEngine) Load(ctx context.Context, o LoadRequest) (Outcome, error) {
+func (e *fakeEngine) Load(ctx context.Context, req LoadRequest) (Outcome, error) {
 	e.mu.Lock()
-	e.given = append(e.given, o)
-	late := e.late
+	e.requests = append(e.requests, req)
+	delay := e.acceptDelay
 	e.mu.Unlock()
-	if late == 0 {
-		return e.accept(o), nil
+	if delay == 0 {
+		return e.accept(req), nil
 	}
 	go func() {
-		time.Sleep(late)
-		e.accept(o)
+		time.Sleep(delay)
+		e.accept(req)
 	}()
 	<-ctx.Done()
 	return Unknown, ctx.Err()
@@ -74,304 +74,300 @@
 
 const loadTime = 400 * time.Millisecond
 
-func (e *fakeEngine) accept(o LoadRequest) Outcome {
+func (e *fakeEngine) accept(req LoadRequest) Outcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if o.Incarnation.Instance != e.life {
+	if req.Incarnation.Instance != e.instance {
 		return OtherInstance
 	}
-	if o.ExpectedLoads != e.orders || time.Now().Before(e.busyTill) {
+	if req.ExpectedLoads != e.acceptedLoads || time.Now().Before(e.busyUntil) {
 		return Busy
 	}
-	e.orders++
-	e.version = o.Version
-	e.busyTill = time.Now().Add(loadTime)
+	e.acceptedLoads++
+	e.version = req.Version
+	e.busyUntil = time.Now().Add(loadTime)
 	return Accepted
 }
 
-// bench is a controller beside a fake engine.
-type bench struct {
-	engine  *fakeEngine
-	loop    *control.Loop
-	orders  *Controller
-	history History
-	phases  []Phase
-	token   uint64
-	fresh   bool
-	unheard bool
+// harness runs a Controller with a fake engine.
+type harness struct {
+	engine      *fakeEngine
+	loop        *control.Loop
+	controller  *Controller
+	history     History
+	phases      []Phase
+	token       uint64
+	upToDate    bool
+	partialView bool
 }
 
-func startBench() *bench { return startBeside(&fakeEngine{life: "i1", version: 1}) }
+func startHarness() *harness { return startHarnessWith(&fakeEngine{instance: "i1", version: 1}) }
 
-func startBeside(engine *fakeEngine) *bench {
-	b := &bench{engine: engine, loop: control.NewLoop(1, func(time.Duration) {}), token: 7, fresh: true}
-	b.orders = NewController(b.loop, b.engine, Environment{
-		PartialView: func() bool { return b.unheard },
-		Wanted:      func() map[string]History { return map[string]History{"m": b.history} },
+func startHarnessWith(engine *fakeEngine) *harness {
+	h := &harness{engine: engine, loop: control.NewLoop(1, func(time.Duration) {}), token: 7, upToDate: true}
+	h.controller = NewController(h.loop, h.engine, Environment{
+		PartialView: func() bool { return h.partialView },
+		Wanted:      func() map[string]History { return map[string]History{"m": h.history} },
 		HealthPath:  func() string { return "/health" },
 		Engines: func(string) []EngineView {
-			return []EngineView{{Life: fleet.Life{Instance: b.engine.life, Born: b.engine.born}, Version: b.engine.version}}
+			return []EngineView{{Life: fleet.Life{Instance: h.engine.instance, Born: h.engine.startedAt}, Version: h.engine.version}}
 		},
 		OnChange: func(_ fleet.Life, _ Report, p Phase) {
-			if len(b.phases) == 0 || b.phases[len(b.phases)-1] != p {
-				b.phases = append(b.phases, p)
+			if len(h.phases) == 0 || h.phases[len(h.phases)-1] != p {
+				h.phases = append(h.phases, p)
 			}
 		},
-		Token:    func() (uint64, bool) { return b.token, b.token > 0 },
-		UpToDate: func() bool { return b.fresh },
+		Token:    func() (uint64, bool) { return h.token, h.token > 0 },
+		UpToDate: func() bool { return h.upToDate },
 	}, Options{Holder: "side-1", MaxStaleness: 8 * time.Second, Logger: logr.Discard(), Now: time.Now, OnOutcome: func(Outcome) {}})
-	go b.loop.Run()
-	b.orders.Start()
-	return b
+	go h.loop.Run()
+	h.controller.Start()
+	return h
 }
 
-func (b *bench) want(version int64) {
-	b.loop.Post(func() {
-		b.history = b.history.Add(WantedVersion{Version: version, Since: time.Now()})
-		b.orders.Trigger()
+func (h *harness) publish(version int64) {
+	h.loop.Post(func() {
+		h.history = h.history.Add(WantedVersion{Version: version, Since: time.Now()})
+		h.controller.Trigger()
 	})
 }
 
-func (b *bench) lastPhase() Phase {
+func (h *harness) lastPhase() Phase {
 	last := make(chan Phase, 1)
-	b.loop.Post(func() { last <- b.phases[len(b.phases)-1] })
+	h.loop.Post(func() { last <- h.phases[len(h.phases)-1] })
 	return <-last
 }
 
-func (b *bench) stop() {
-	b.loop.Stop()
+func (h *harness) stop() {
+	h.loop.Stop()
 	synctest.Wait()
 }
 
-// A version is named. The entries hear that the engine loads before it is told
-// to, and that it serves again when it does.
+// The controller must announce that the engine drains and loads before it sends the load
+// request, and that the engine serves again afterwards.
 func TestEngineLoadsTheWantedVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startBench()
+		h := startHarness()
 		time.Sleep(time.Second)
-		b.want(2)
+		h.publish(2)
 		time.Sleep(time.Second)
-		b.stop()
-		if b.engine.version != 2 || len(b.engine.given) != 1 {
-			t.Errorf("version %d after %d orders", b.engine.version, len(b.engine.given))
+		h.stop()
+		if h.engine.version != 2 || len(h.engine.requests) != 1 {
+			t.Errorf("version %d after %d load requests", h.engine.version, len(h.engine.requests))
 		}
-		if !slices.Equal(b.phases, []Phase{Serving, Draining, Loading, Serving}) {
-			t.Errorf("phases %v", b.phases)
+		if !slices.Equal(h.phases, []Phase{Serving, Draining, Loading, Serving}) {
+			t.Errorf("phases %v", h.phases)
 		}
-		if o := b.engine.given[0]; o.Token != 7 || o.Incarnation.Instance != "i1" || o.Holder != "side-1" {
-			t.Errorf("order %+v", o)
+		if req := h.engine.requests[0]; req.Token != 7 || req.Incarnation.Instance != "i1" || req.Holder != "side-1" {
+			t.Errorf("load request %+v", req)
 		}
 	})
 }
 
-// An order gets no answer and is carried out seconds later, after a newer one.
-// The engine must end with the newest version: the late order names how many
-// orders must have come before it, and is refused.
-func TestLateOrderDoesNotBringAnOlderVersionBack(t *testing.T) {
+// Guards against a delayed load request that brings an older version back after a newer one.
+func TestDelayedLoadRequestDoesNotRestoreAnOlderVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startBench()
+		h := startHarness()
 		time.Sleep(time.Second)
-		b.engine.mu.Lock()
-		b.engine.late = 6 * time.Second
-		b.engine.mu.Unlock()
-		b.want(2)
+		h.engine.mu.Lock()
+		h.engine.acceptDelay = 6 * time.Second
+		h.engine.mu.Unlock()
+		h.publish(2)
 		time.Sleep(2 * time.Second)
-		b.engine.mu.Lock()
-		b.engine.late = 0
-		b.engine.mu.Unlock()
-		b.want(3)
+		h.engine.mu.Lock()
+		h.engine.acceptDelay = 0
+		h.engine.mu.Unlock()
+		h.publish(3)
 		time.Sleep(20 * time.Second)
-		b.stop()
-		if b.engine.version != 3 {
-			t.Errorf("the engine ends with version %d", b.engine.version)
+		h.stop()
+		if h.engine.version != 3 {
+			t.Errorf("the engine ends with version %d, want 3", h.engine.version)
 		}
-		for i := 1; i < len(b.engine.given); i++ {
-			if b.engine.given[i].Token < b.engine.given[i-1].Token {
-				t.Errorf("tokens %d and %d", b.engine.given[i-1].Token, b.engine.given[i].Token)
+		for i := 1; i < len(h.engine.requests); i++ {
+			if h.engine.requests[i].Token < h.engine.requests[i-1].Token {
+				t.Errorf("token %d is followed by the lower token %d", h.engine.requests[i-1].Token, h.engine.requests[i].Token)
 			}
 		}
 	})
 }
 
-// The engine crashes and comes back as another life at the same address. It is
-// named anew before it gets an order, and is told silent meanwhile.
-func TestRestartedEngineIsIdentifiedBeforeAnOrder(t *testing.T) {
+// Guards against a load request that names a previous incarnation: a restarted engine must be
+// announced as unresponsive and identified first.
+func TestRestartedEngineIsIdentifiedBeforeALoadRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startBench()
+		h := startHarness()
 		time.Sleep(time.Second)
-		b.engine.mu.Lock()
-		b.engine.down = true
-		b.engine.mu.Unlock()
+		h.engine.mu.Lock()
+		h.engine.down = true
+		h.engine.mu.Unlock()
 		time.Sleep(time.Second)
-		b.engine.mu.Lock()
-		b.engine.down, b.engine.life = false, "i2"
-		b.engine.mu.Unlock()
-		b.want(2)
+		h.engine.mu.Lock()
+		h.engine.down, h.engine.instance = false, "i2"
+		h.engine.mu.Unlock()
+		h.publish(2)
 		time.Sleep(2 * time.Second)
-		b.stop()
-		if b.engine.version != 2 {
-			t.Errorf("version %d", b.engine.version)
+		h.stop()
+		if h.engine.version != 2 {
+			t.Errorf("version %d, want 2", h.engine.version)
 		}
-		for _, o := range b.engine.given {
-			if o.Incarnation.Instance != "i2" {
-				t.Errorf("order to %s", o.Incarnation)
+		for _, req := range h.engine.requests {
+			if req.Incarnation.Instance != "i2" {
+				t.Errorf("load request to %s, want i2", req.Incarnation)
 			}
 		}
-		if b.phases[1] != Unresponsive {
-			t.Errorf("phases %v", b.phases)
+		if h.phases[1] != Unresponsive {
+			t.Errorf("phases %v", h.phases)
 		}
 	})
 }
 
-// A host that has just woken, or a sidecar without a fencing token, gives no
-// order.
-func TestNoOrderWithoutTokenOrAfterAPause(t *testing.T) {
+// Guards against load requests from a sidecar that was suspended recently or has no fencing
+// token.
+func TestNoLoadRequestWithoutTokenOrAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startBench()
-		b.loop.Post(func() { b.fresh = false })
+		h := startHarness()
+		h.loop.Post(func() { h.upToDate = false })
 		time.Sleep(time.Second)
-		b.want(2)
+		h.publish(2)
 		time.Sleep(time.Second)
-		b.loop.Post(func() { b.fresh, b.token = true, 0 })
+		h.loop.Post(func() { h.upToDate, h.token = true, 0 })
 		time.Sleep(time.Second)
-		b.engine.mu.Lock()
-		if len(b.engine.given) != 0 {
-			t.Errorf("orders %v", b.engine.given)
+		h.engine.mu.Lock()
+		if len(h.engine.requests) != 0 {
+			t.Errorf("load requests %v, want none", h.engine.requests)
 		}
-		b.engine.mu.Unlock()
-		b.loop.Post(func() { b.token = 9 })
+		h.engine.mu.Unlock()
+		h.loop.Post(func() { h.token = 9 })
 		time.Sleep(time.Second)
-		b.stop()
-		if b.engine.version != 2 {
-			t.Errorf("version %d", b.engine.version)
+		h.stop()
+		if h.engine.version != 2 {
+			t.Errorf("version %d, want 2", h.engine.version)
 		}
 	})
 }
 
-// The engine crashes while it loads, and starts again under its name. What it was
-// ordered ended with its life: the entries hear of the new one at once, and it gets
-// an order of its own.
-func TestEngineStartsAgainUnderItsNameWhileItLoads(t *testing.T) {
+// Guards against waiting for a load that ended with a crash: an engine that restarts under the
+// same instance name while it loads must get another load request.
+func TestEngineRestartsUnderItsNameWhileLoading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startBench()
-		b.engine.set(func(e *fakeEngine) { e.born = 100 })
+		h := startHarness()
+		h.engine.set(func(e *fakeEngine) { e.startedAt = 100 })
 		time.Sleep(time.Second)
-		b.want(2)
-		time.Sleep(400 * time.Millisecond) // emptied and ordered, still loading
-		b.engine.mu.Lock()
-		if b.engine.orders != 1 {
-			t.Errorf("%d orders before the crash", b.engine.orders)
+		h.publish(2)
+		time.Sleep(400 * time.Millisecond) // drained, and still loading
+		h.engine.mu.Lock()
+		if h.engine.acceptedLoads != 1 {
+			t.Errorf("%d load requests accepted before the crash, want 1", h.engine.acceptedLoads)
 		}
-		b.engine.born, b.engine.version, b.engine.orders, b.engine.busyTill = 200, 1, 0, time.Time{}
-		b.engine.mu.Unlock()
+		h.engine.startedAt, h.engine.version, h.engine.acceptedLoads, h.engine.busyUntil = 200, 1, 0, time.Time{}
+		h.engine.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		b.stop()
-		last := b.engine.given[len(b.engine.given)-1]
-		if len(b.engine.given) != 2 || last.Incarnation != (fleet.Life{Instance: "i1", Born: 200}) || last.ExpectedLoads != 0 {
-			t.Errorf("orders %+v", b.engine.given)
+		h.stop()
+		last := h.engine.requests[len(h.engine.requests)-1]
+		if len(h.engine.requests) != 2 || last.Incarnation != (fleet.Life{Instance: "i1", Born: 200}) || last.ExpectedLoads != 0 {
+			t.Errorf("load requests %+v", h.engine.requests)
 		}
-		if b.engine.version != 2 {
-			t.Errorf("version %d", b.engine.version)
+		if h.engine.version != 2 {
+			t.Errorf("version %d, want 2", h.engine.version)
 		}
 	})
 }
 
-// An order is not answered, and its engine starts again meanwhile. The order ended with
-// the earlier life: the entries hear at once that the new one serves, and the order's
-// late answer changes nothing.
-func TestOrderOfAnEarlierLifeIsAnswered(t *testing.T) {
+// Guards against the late outcome of a load request to a previous incarnation: the restarted
+// engine must be announced as serving at once, and stay so.
+func TestOutcomeForAPreviousIncarnationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startBench()
-		b.engine.set(func(e *fakeEngine) { e.born, e.late = 100, 5*time.Second })
+		h := startHarness()
+		h.engine.set(func(e *fakeEngine) { e.startedAt, e.acceptDelay = 100, 5*time.Second })
 		time.Sleep(time.Second)
-		b.want(2)
+		h.publish(2)
 		time.Sleep(500 * time.Millisecond)
-		if got := b.lastPhase(); got != Loading {
-			t.Errorf("phase %v after the order", got)
+		if got := h.lastPhase(); got != Loading {
+			t.Errorf("phase %v after the load request, want loading", got)
 		}
-		b.engine.set(func(e *fakeEngine) { e.born = 200 })
-		time.Sleep(2 * reportPeriod)
-		if got := b.lastPhase(); got != Serving {
-			t.Errorf("phase %v of the new life", got)
+		h.engine.set(func(e *fakeEngine) { e.startedAt = 200 })
+		time.Sleep(2 * pollInterval)
+		if got := h.lastPhase(); got != Serving {
+			t.Errorf("phase %v after the restart, want serving", got)
 		}
-		b.engine.set(func(e *fakeEngine) { e.version = 2 })
+		h.engine.set(func(e *fakeEngine) { e.version = 2 })
 		time.Sleep(time.Second)
-		if got := b.lastPhase(); got != Serving {
-			t.Errorf("phase %v after the order was given up", got)
+		if got := h.lastPhase(); got != Serving {
+			t.Errorf("phase %v after the load request timed out, want serving", got)
 		}
-		b.stop()
-		time.Sleep(5 * time.Second) // the order is carried out
-		if len(b.engine.given) != 1 {
-			t.Errorf("orders %+v", b.engine.given)
+		h.stop()
+		time.Sleep(5 * time.Second) // lets the delayed load request finish
+		if len(h.engine.requests) != 1 {
+			t.Errorf("load requests %+v, want one", h.engine.requests)
 		}
 	})
 }
 
-// An order that was taken for lost is carried out seconds later, at the engine's next
-// life. The engine refuses requests meanwhile, and the entries hear that it loads.
-func TestLoadThatNobodyOrderedLately(t *testing.T) {
+// An engine that executes a load request assumed lost rejects requests, so it must be announced
+// as loading.
+func TestLoadWithoutACurrentRequestIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startBench()
+		h := startHarness()
 		time.Sleep(time.Second)
-		b.engine.mu.Lock()
-		b.engine.busyTill = time.Now().Add(loadTime)
-		b.engine.orders++
-		b.engine.mu.Unlock()
+		h.engine.mu.Lock()
+		h.engine.busyUntil = time.Now().Add(loadTime)
+		h.engine.acceptedLoads++
+		h.engine.mu.Unlock()
 		time.Sleep(time.Second)
-		b.stop()
-		if !slices.Equal(b.phases, []Phase{Serving, Loading, Serving}) {
-			t.Errorf("phases %v", b.phases)
+		h.stop()
+		if !slices.Equal(h.phases, []Phase{Serving, Loading, Serving}) {
+			t.Errorf("phases %v", h.phases)
 		}
 	})
 }
 
-// Guards against a life that passes for a new one: only another life at the address before
-// it shows when it began, silence does not.
-func TestBeganAfterTheLifeBefore(t *testing.T) {
+// Only another incarnation at the address may set StartedAfter. Failed polls alone do not
+// prove a restart.
+func TestStartedAfterThePreviousIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startBench()
-		beganAfter := func() time.Time {
-			at := make(chan time.Time, 1)
-			b.loop.Post(func() { at <- b.orders.StartedAfter() })
-			return <-at
+		h := startHarness()
+		startedAfter := func() time.Time {
+			got := make(chan time.Time, 1)
+			h.loop.Post(func() { got <- h.controller.StartedAfter() })
+			return <-got
 		}
 		time.Sleep(time.Second)
-		b.engine.set(func(e *fakeEngine) { e.down = true })
+		h.engine.set(func(e *fakeEngine) { e.down = true })
 		time.Sleep(time.Second)
-		b.engine.set(func(e *fakeEngine) { e.down = false })
+		h.engine.set(func(e *fakeEngine) { e.down = false })
 		time.Sleep(time.Second)
-		if at := beganAfter(); !at.IsZero() {
-			t.Errorf("the first life that is known began after %v", at)
+		if got := startedAfter(); !got.IsZero() {
+			t.Errorf("first incarnation: StartedAfter is %v, want zero", got)
 		}
 		last := time.Now()
-		b.engine.set(func(e *fakeEngine) { e.down = true })
+		h.engine.set(func(e *fakeEngine) { e.down = true })
 		time.Sleep(time.Second)
-		b.engine.set(func(e *fakeEngine) { e.down, e.life = false, "i2" })
+		h.engine.set(func(e *fakeEngine) { e.down, e.instance = false, "i2" })
 		time.Sleep(2 * time.Second)
-		if early := last.Sub(beganAfter()); early < 0 || early > reportPeriod {
-			t.Errorf("the second life began after a time that is %s before the first was heard last", early)
+		if early := last.Sub(startedAfter()); early < 0 || early > pollInterval {
+			t.Errorf("second incarnation: StartedAfter is %s before the last report of the first", early)
 		}
-		b.stop()
+		h.stop()
 	})
 }
 
-// The host's engine starts after its sidecar: it has begun since nothing listened. One
-// that refused a few connections may have run before.
-func TestBeganAfterNothingListened(t *testing.T) {
+// An engine that starts after its sidecar started after the last refused connection. A few
+// refused connections do not prove that it was not running.
+func TestStartedAfterRefusedConnections(t *testing.T) {
 	for absent, known := range map[time.Duration]bool{2 * time.Second: true, 300 * time.Millisecond: false} {
 		synctest.Test(t, func(t *testing.T) {
-			b := startBeside(&fakeEngine{life: "i1", version: 1, absent: true})
+			h := startHarnessWith(&fakeEngine{instance: "i1", version: 1, absent: true})
 			time.Sleep(absent)
 			last := time.Now()
-			b.engine.set(func(e *fakeEngine) { e.absent = false })
+			h.engine.set(func(e *fakeEngine) { e.absent = false })
 			time.Sleep(time.Second)
-			began := make(chan time.Time, 1)
-			b.loop.Post(func() { began <- b.orders.StartedAfter() })
-			at := <-began
-			if early := last.Sub(at); known && (early < 0 || early > reportPeriod) || !known && !at.IsZero() {
-				t.Errorf("absent for %s: began after %v, %s before it listened", absent, at, early)
+			result := make(chan time.Time, 1)
+			h.loop.Post(func() { result <- h.controller.StartedAfter() })
+			got := <-result
+			if early := last.Sub(got); known && (early < 0 || early > pollInterval) || !known && !got.IsZero() {
+				t.Errorf("absent for %s: StartedAfter is %v, %s before the engine listened", absent, got, early)
 			}
-			b.stop()
+			h.stop()
 		})
 	}
 }
--- a/internal/gateway/weights/plan.go
+++ b/internal/gateway/weights/plan.go
@@ -1,9 +1,9 @@
-// Package weights brings the engines of a service to the weights that the
-// operators want, a few at a time, so that the others go on serving.
+// Package weights rolls new model weights out to the engines of a service, a limited number
+// of engines at a time, so that the others continue to serve.
 //
-// Each sidecar decides for its own engine from what all sidecars tell of
-// theirs. There is no coordinator: all rank the engines alike, and the first in
-// the ranking that lack the wanted version load it.
+// Rollouts need no coordinator: every sidecar computes the same rollout order from the
+// heartbeats of all sidecars, and loads its engine when the engine is among the first that
+// lack the wanted version.
 package weights
 
 import (
@@ -15,19 +15,19 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// Phase is what an engine is doing about weights.
+// Phase is the state of an engine in a rollout.
 type Phase uint8
 
 // The phases.
 const (
-	// Serving engines take requests.
+	// Serving engines accept requests.
 	Serving Phase = iota
-	// Loading engines load weights, or are just about to.
+	// Loading engines load weights, or are about to.
 	Loading
 	// Unresponsive engines do not answer their own sidecar.
 	Unresponsive
-	// Draining engines load next: they take nothing new, and their runs are moved
-	// away.
+	// Draining engines load next: they get no new requests, and their running requests are
+	// migrated.
 	Draining
 )
 
@@ -36,38 +36,37 @@
 // String returns the phase's name.
 func (p Phase) String() string { return phaseNames[p] }
 
-// EngineView is what one sidecar knows of an engine of its service.
+// EngineView is the state of one engine as a sidecar of its service knows it.
 type EngineView struct {
 	fleet.Life
-	// Version of the model that the engine has.
+	// Version is the engine's version of the model.
 	Version int64
 	Phase   Phase
-	// Age of this knowledge.
+	// Age is the age of this state.
 	Age time.Duration
-	// PhaseAge is for how long the engine has been in its phase.
+	// PhaseAge is how long the engine has been in its phase.
 	PhaseAge time.Duration
 }
 
 const (
-	// parallelShare is the share of a service's engines that load at once. More
-	// make each load slower and leave too few to serve; at a fifth, loading all
-	// takes five times one load.
+	// parallelShare is the share of a service's engines that may load at once. More
+	// parallel loads are slower and leave too few engines to serve.
 	parallelShare = 0.2
 	// minParallel lets small services finish in time.
 	minParallel = 2
-	// silentAfter is the age from which an engine's sidecar counts as gone and
-	// is not waited for. Sidecars tell of themselves twice a second.
-	silentAfter = 1200 * time.Millisecond
-	// hurryShare is the part of the time bound after which an engine loads
-	// whatever the others do: one that is late is of no use.
-	hurryShare = 0.55
+	// unresponsiveAfter is the age of an engine's state from which its sidecar counts as
+	// gone and is not waited for. Sidecars send heartbeats twice a second.
+	unresponsiveAfter = 1200 * time.Millisecond
+	// forceLoadShare is the share of MaxStaleness after which an engine loads regardless
+	// of the others.
+	forceLoadShare = 0.55
 )
 
-// MaxParallelLoads is how many of n engines may load at once.
+// MaxParallelLoads returns how many of n engines may load at once.
 func MaxParallelLoads(n int) int { return max(minParallel, int(float64(n)*parallelShare)) }
 
-// RolloutOrder returns the engines in the order in which they load a version: a new
-// one for each version, so that no engine is always the last.
+// RolloutOrder returns the engines in the order in which they load a version. The order
+// differs between versions, so that no engine is always the last.
 func RolloutOrder(engines []EngineView, version int64) []EngineView {
 	ordered := slices.Clone(engines)
 	slices.SortFunc(ordered, func(a, b EngineView) int {
@@ -91,26 +90,26 @@
 	return d.Sum64()
 }
 
-// WantedVersion is a version of a model that operators want.
+// WantedVersion is a version of a model that operators have published.
 type WantedVersion struct {
 	Version int64
-	// Since is when this process learned of it.
+	// Since is when this process learned of the version.
 	Since time.Time
 }
 
-// History is the versions of a model that operators named, oldest first.
+// History is the published versions of a model, oldest first.
 type History []WantedVersion
 
-// maxHistory is how many versions are remembered. Older ones are long overdue.
+// maxHistory bounds the number of versions in a History.
 const maxHistory = 16
 
-// Add returns the history with a version that is newer than all before.
+// Add returns the history with w appended, which must be newer than all versions in it.
 func (h History) Add(w WantedVersion) History {
 	next := append(slices.Clone(h), w)
 	return next[max(0, len(next)-maxHistory):]
 }
 
-// Newest is the newest version; zero when none was named.
+// Newest returns the newest version; zero if there is none.
 func (h History) Newest() int64 {
 	if len(h) == 0 {
 		return 0
@@ -118,130 +117,127 @@
 	return h[len(h)-1].Version
 }
 
-// StaleFor returns for how long an engine that has a version has been behind:
-// since the first newer one was named. The newest alone would not tell, because
-// it may have been named a moment ago.
-func (h History) StaleFor(have int64, now time.Time) time.Duration {
+// StaleFor returns how long an engine with the given version has been stale: the time since
+// the first newer version was published, which may be long before the newest one.
+func (h History) StaleFor(version int64, now time.Time) time.Duration {
 	for _, w := range h {
-		if w.Version > have {
+		if w.Version > version {
 			return now.Sub(w.Since)
 		}
 	}
 	return 0
 }
 
-// Input is what Decide goes by.
+// Input is the input of Decide.
 type Input struct {
-	// Self is the life of the deciding sidecar's engine.
+	// Self is the incarnation of the deciding sidecar's engine.
 	Self fleet.Life
-	// Engines of the service, the own one included.
+	// Engines are all engines of the service, including Self.
 	Engines []EngineView
-	// Wanted version, and for how long the own engine has been behind.
+	// Wanted is the wanted version, StaleFor how long Self has been stale.
 	Wanted   int64
 	StaleFor time.Duration
 	// MaxStaleness is the time within which engines must have the wanted version.
 	MaxStaleness time.Duration
-	// LoadTime is how long a load is expected to take.
+	// LoadTime is the expected duration of a load.
 	LoadTime time.Duration
-	// KnownFor is for how long this process has known the wanted version.
+	// KnownFor is how long this process has known the wanted version.
 	KnownFor time.Duration
-	// PartialView is set in fleets that are too large for all sidecars to hear of all
-	// engines.
+	// PartialView is set in fleets that are too large for every sidecar to receive every
+	// engine's reports.
 	PartialView bool
 }
 
-// Action is when an engine loads a version.
+// Action is what an engine should do about a wanted version.
 type Action uint8
 
-// The turns.
+// The actions.
 const (
-	// Wait engines go on serving.
+	// Wait means to continue serving.
 	Wait Action = iota
-	// Drain engines empty themselves while others end their loads.
+	// Drain means to drain while other engines finish loading.
 	Drain
-	// LoadNow engines load.
+	// LoadNow means to load the version.
 	LoadNow
 )
 
-// Decide returns the own engine's turn. Those first in the order that still lack
-// the wanted version go, as many again are next; engines whose sidecars are
-// silent are passed over.
-func Decide(q Input) Action {
-	if q.StaleFor > time.Duration(hurryShare*float64(q.MaxStaleness)) {
+// Decide returns the action for the sidecar's own engine. The first engines in the rollout
+// order that lack the wanted version load, and the next as many drain. Engines whose sidecars
+// are unresponsive are skipped.
+func Decide(in Input) Action {
+	if in.StaleFor > time.Duration(forceLoadShare*float64(in.MaxStaleness)) {
 		return LoadNow
 	}
-	if q.PartialView {
-		return turnByTime(q)
+	if in.PartialView {
+		return scheduledAction(in)
 	}
-	places := MaxParallelLoads(len(q.Engines))
-	before := 0
-	soon := false
-	for _, e := range RolloutOrder(q.Engines, q.Wanted) {
-		if e.Version >= q.Wanted && e.Phase == Serving || e.Age > silentAfter {
+	parallel := MaxParallelLoads(len(in.Engines))
+	position := 0
+	loadEndsSoon := false
+	for _, e := range RolloutOrder(in.Engines, in.Wanted) {
+		if e.Version >= in.Wanted && e.Phase == Serving || e.Age > unresponsiveAfter {
 			continue
 		}
-		if e.Life == q.Self {
-			return turnAfter(before, places, soon)
+		if e.Life == in.Self {
+			return actionAt(position, parallel, loadEndsSoon)
 		}
-		soon = soon || e.Phase == Loading && q.LoadTime-e.PhaseAge < emptyLead
-		before++
+		loadEndsSoon = loadEndsSoon || e.Phase == Loading && in.LoadTime-e.PhaseAge < drainLead
+		position++
 	}
 	return Wait
 }
 
-// turnByTime is the own engine's turn where nothing is heard of the others: all know the
-// list of engines and learn of a version within some 100 ms of each other, so that each
-// can reckon when its turn comes.
+// scheduledAction returns the action by elapsed time, for fleets in which sidecars receive few
+// reports of other engines and would skip the rest as unresponsive, so that all load at once.
 //
-// The load pattern that it answers: hundreds of engines load weights, a fifth at once. Each
-// sidecar hears few of the others lately, takes the rest for silent, and passes them over:
-// all load in disorder. A load that takes longer than usual overlaps with the
-// next ones, which makes them slower and breaks nothing.
-func turnByTime(q Input) Action {
-	places := MaxParallelLoads(len(q.Engines))
-	own := rank(q.Self.Instance, q.Wanted)
-	before := 0
-	for i := range q.Engines {
-		if rank(q.Engines[i].Instance, q.Wanted) < own {
-			before++
+// All sidecars know the list of engines and learn of a version within about 100 ms, so each
+// can compute the start of its own wave. A load that takes longer than typicalLoadTime overlaps
+// with the next wave, which only makes both slower.
+func scheduledAction(in Input) Action {
+	parallel := MaxParallelLoads(len(in.Engines))
+	own := rank(in.Self.Instance, in.Wanted)
+	position := 0
+	for i := range in.Engines {
+		if rank(in.Engines[i].Instance, in.Wanted) < own {
+			position++
 		}
 	}
-	starts := time.Duration(before/places) * usualLoadTime
+	waveStart := time.Duration(position/parallel) * typicalLoadTime
 	switch {
-	case q.KnownFor >= starts:
+	case in.KnownFor >= waveStart:
 		return LoadNow
-	case q.KnownFor >= starts-emptyLead:
+	case in.KnownFor >= waveStart-drainLead:
 		return Drain
 	default:
 		return Wait
 	}
 }
 
-// emptyLead is how long before its turn an engine begins to empty itself. Short
-// runs end in that time; in a longer one too few engines are left to serve.
-const emptyLead = 200 * time.Millisecond
+// drainLead is how long before its load an engine begins to drain. Short requests finish in
+// that time; a longer one would leave too few engines to serve.
+const drainLead = 200 * time.Millisecond
 
-func turnAfter(before, places int, soon bool) Action {
+func actionAt(position, parallel int, loadEndsSoon bool) Action {
 	switch {
-	case before < places:
+	case position < parallel:
 		return LoadNow
-	case before < 2*places && soon:
+	case position < 2*parallel && loadEndsSoon:
 		return Drain
 	default:
 		return Wait
 	}
 }
 
-// usualLoadTime is how long a load takes with the time before it in which the
-// engine is emptied, as far as who only schedules by it can tell.
-const usualLoadTime = 650 * time.Millisecond
+// typicalLoadTime is the expected duration of a load including the drain before it, used to
+// schedule waves.
+const typicalLoadTime = 650 * time.Millisecond
 
-// Schedule returns in how long each engine that lacks the wanted version loads
-// it, by the order of turns. Engines that have it are left out.
+// Schedule returns the time until each engine that lacks the wanted version is expected to
+// load it. Engines that have the version are left out.
 func Schedule(engines []EngineView, wanted int64) map[fleet.Life]time.Duration {
 	var schedule map[fleet.Life]time.Duration
-	places := MaxParallelLoads(len(engines))
-	before := 0
+	parallel := MaxParallelLoads(len(engines))
+	position := 0
 	for _, e := range RolloutOrder(engines, wanted) {
 		if e.Version >= wanted && e.Phase == Serving {
 			continue
@@ -249,8 +245,8 @@
 		if schedule == nil {
 			schedule = map[fleet.Life]time.Duration{}
 		}
-		schedule[e.Life] = time.Duration(before/places) * usualLoadTime
-		before++
+		schedule[e.Life] = time.Duration(position/parallel) * typicalLoadTime
+		position++
 	}
 	return schedule
 }
--- a/internal/gateway/weights/remote.go
+++ b/internal/gateway/weights/remote.go
@@ -11,142 +11,141 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// RemoteEngine is an engine without a sidecar, as the platform's list shows it.
+// RemoteEngine is an engine without a sidecar, as the platform lists it.
 type RemoteEngine struct {
 	fleet.Life
 	Engine Engine
-	// Versions of its models.
+	// Versions maps each of the engine's models to its version.
 	Versions map[string]int64
 }
 
 const (
-	// remoteLoadTime is how long a load of an engine without a sidecar counts as under
-	// way: nobody is beside it to see it end, and the list shows it a second late.
+	// remoteLoadTime is how long an engine without a sidecar counts as loading. No sidecar
+	// sees the end of the load, and the platform's list shows it a second late.
 	remoteLoadTime = 1200 * time.Millisecond
-	// remoteRetry is the pause after an order that was not accepted, or whose fate is
-	// unknown.
-	remoteRetry = 2 * time.Second
+	// remoteRetryDelay is the pause after a load request that was not accepted or whose
+	// outcome is unknown.
+	remoteRetryDelay = 2 * time.Second
 )
 
-// progress is what is known of one engine's newest order.
+// progress is the state of one engine's last load request.
 type progress struct {
 	version int64
-	// ordering is set until it is known what became of the newest order, loading while
-	// the engine carries it out, until notAfter.
-	ordering, loading bool
-	notAfter          time.Time
-	// failed is set when the newest order was not accepted; the next one waits for
-	// notAfter.
+	// pending is set until the outcome of the request is known, loading while the engine
+	// loads, failed if the request was not accepted.
+	pending, loading bool
+	// until is the end of the load, or of the pause after a failed request.
+	until  time.Time
 	failed bool
 }
 
-// RemoteController gives orders to engines that have no sidecar. One process at a time may
-// run it. Its state is used on the control thread.
+// RemoteController sends load requests to engines that have no sidecar. Only one process at a
+// time may run it. All methods must be called on the control thread.
 type RemoteController struct {
-	loop     *control.Loop
-	holder   string
-	logger   logr.Logger
-	now      func() time.Time
-	ordered  func(Outcome)
-	progress map[fleet.Life]*progress
+	loop      *control.Loop
+	holder    string
+	logger    logr.Logger
+	now       func() time.Time
+	onOutcome func(Outcome)
+	progress  map[fleet.Life]*progress
 }
 
-// NewRemoteController returns a controller whose orders name a holder. ordered counts them.
-func NewRemoteController(loop *control.Loop, holder string, logger logr.Logger, now func() time.Time, ordered func(Outcome)) *RemoteController {
-	return &RemoteController{loop: loop, holder: holder, logger: logger, now: now, ordered: ordered, progress: map[fleet.Life]*progress{}}
+// NewRemoteController returns a controller that sends load requests for a holder. It calls
+// onOutcome with the outcome of each request.
+func NewRemoteController(loop *control.Loop, holder string, logger logr.Logger, now func() time.Time, onOutcome func(Outcome)) *RemoteController {
+	return &RemoteController{loop: loop, holder: holder, logger: logger, now: now, onOutcome: onOutcome, progress: map[fleet.Life]*progress{}}
 }
 
-// AnyStale reports whether an engine lacks a wanted version, as far as is known.
+// AnyStale reports whether any engine is known to lack a wanted version.
 func (c *RemoteController) AnyStale(engines []RemoteEngine, model string, wanted int64) bool {
 	for i := range engines {
-		if c.lacks(&engines[i], model, wanted) {
+		if c.stale(&engines[i], model, wanted) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *RemoteController) lacks(e *RemoteEngine, model string, wanted int64) bool {
-	have, serves := e.Versions[model]
+func (c *RemoteController) stale(e *RemoteEngine, model string, wanted int64) bool {
+	version, served := e.Versions[model]
 	if p := c.progress[e.Life]; p != nil {
-		have = max(have, p.version)
+		version = max(version, p.version)
 	}
-	return serves && have < wanted
+	return served && version < wanted
 }
 
-// Step gives the orders that are due for a model: to as many engines as may load at once,
-// in the order of their turns.
+// Step sends the load requests that are due for a model, in rollout order and to no more
+// engines than may load at once.
 func (c *RemoteController) Step(engines []RemoteEngine, model string, wanted int64, token uint64) {
-	c.forget()
-	places := MaxParallelLoads(len(engines)) - c.underWay()
+	c.expire()
+	slots := MaxParallelLoads(len(engines)) - c.loading()
 	views := make([]EngineView, len(engines))
-	byLife := map[fleet.Life]*RemoteEngine{}
+	byIncarnation := map[fleet.Life]*RemoteEngine{}
 	for i := range engines {
 		views[i] = EngineView{Life: engines[i].Life}
-		byLife[engines[i].Life] = &engines[i]
+		byIncarnation[engines[i].Life] = &engines[i]
 	}
 	for _, v := range c.failedLast(RolloutOrder(views, wanted)) {
-		e := byLife[v.Life]
-		if places <= 0 {
+		e := byIncarnation[v.Life]
+		if slots <= 0 {
 			return
 		}
-		if c.waits(e.Life) || !c.lacks(e, model, wanted) {
+		if c.blocked(e.Life) || !c.stale(e, model, wanted) {
 			continue
 		}
-		places--
-		c.begin(e, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.holder, Token: token, Incarnation: e.Life})
+		slots--
+		c.requestLoad(e, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.holder, Token: token, Incarnation: e.Life})
 	}
 }
 
-// failedLast puts engines behind the others that did not accept their last order. The
-// failure guarded against: those whose turn comes first do not answer, and take all
-// places again and again while the others wait.
-func (c *RemoteController) failedLast(turns []EngineView) []EngineView {
-	slices.SortStableFunc(turns, func(a, b EngineView) int { return c.failures(a.Life) - c.failures(b.Life) })
-	return turns
+// failedLast moves engines whose last load request failed to the end, so that unresponsive
+// engines at the start of the rollout order do not occupy all slots on every attempt.
+func (c *RemoteController) failedLast(ordered []EngineView) []EngineView {
+	slices.SortStableFunc(ordered, func(a, b EngineView) int { return c.failures(a.Life) - c.failures(b.Life) })
+	return ordered
 }
 
-func (c *RemoteController) failures(life fleet.Life) int {
-	if p := c.progress[life]; p != nil && p.failed {
+func (c *RemoteController) failures(incarnation fleet.Life) int {
+	if p := c.progress[incarnation]; p != nil && p.failed {
 		return 1
 	}
 	return 0
 }
 
-// waits reports whether an engine's order is under way, or its next one is not due.
-func (c *RemoteController) waits(life fleet.Life) bool {
-	p := c.progress[life]
-	return p != nil && (p.ordering || p.loading || p.failed && c.now().Before(p.notAfter))
+// blocked reports whether an engine's load is in progress or its next attempt is not due.
+func (c *RemoteController) blocked(incarnation fleet.Life) bool {
+	p := c.progress[incarnation]
+	return p != nil && (p.pending || p.loading || p.failed && c.now().Before(p.until))
 }
 
-// underWay is how many engines load, as far as is known.
-func (c *RemoteController) underWay() int {
+// loading returns how many engines are loading or may be.
+func (c *RemoteController) loading() int {
 	n := 0
 	for _, p := range c.progress {
-		if p.ordering || p.loading {
+		if p.pending || p.loading {
 			n++
 		}
 	}
 	return n
 }
 
-// forget drops what is over: engines that are gone, and pauses that have passed.
-func (c *RemoteController) forget() {
-	for life, p := range c.progress {
+// expire ends loads whose time has passed and removes state that is no longer needed.
+func (c *RemoteController) expire() {
+	for incarnation, p := range c.progress {
 		switch {
-		case p.ordering:
-		case p.loading && c.now().After(p.notAfter):
+		case p.pending:
+		case p.loading && c.now().After(p.until):
 			p.loading = false
-		case c.now().Sub(p.notAfter) > time.Minute:
-			delete(c.progress, life)
+		case c.now().Sub(p.until) > time.Minute:
+			delete(c.progress, incarnation)
 		}
 	}
 }
 
-// begin asks the engine for its count of orders and gives it the next one. The count makes
-// an order harmless that is carried out late: a newer one was accepted before.
-func (c *RemoteController) begin(e *RemoteEngine, o LoadRequest) {
-	p := &progress{ordering: true}
+// requestLoad reads the engine's count of accepted loads and sends a load request that expects
+// it. The engine rejects the request if it arrives after a newer one.
+func (c *RemoteController) requestLoad(e *RemoteEngine, req LoadRequest) {
+	p := &progress{pending: true}
 	if old := c.progress[e.Life]; old != nil {
 		p.version, p.failed = old.version, old.failed
 	}
@@ -155,35 +154,35 @@
 		report  Report
 		outcome Outcome
 	}
-	control.Do(c.loop, reportTimeout+orderTimeout, func(ctx context.Context) (result, error) {
+	control.Do(c.loop, reportTimeout+loadRequestTimeout, func(ctx context.Context) (result, error) {
 		report, err := e.Engine.Report(ctx)
 		if err != nil {
 			return result{}, err
 		}
-		if report.Weights[o.Model] >= o.Version {
+		if report.Weights[req.Model] >= req.Version {
 			return result{report: report, outcome: AlreadyLoaded}, nil
 		}
-		o.ExpectedLoads = report.AcceptedLoads
-		outcome, err := e.Engine.Load(ctx, o)
+		req.ExpectedLoads = report.AcceptedLoads
+		outcome, err := e.Engine.Load(ctx, req)
 		return result{report: report, outcome: outcome}, err
-	}, func(r result, err error) { c.take(o, p, r.outcome, err) })
+	}, func(r result, err error) { c.handleOutcome(req, p, r.outcome, err) })
 }
 
-func (c *RemoteController) take(o LoadRequest, p *progress, outcome Outcome, err error) {
-	c.ordered(outcome)
+func (c *RemoteController) handleOutcome(req LoadRequest, p *progress, outcome Outcome, err error) {
+	c.onOutcome(outcome)
 	detail := ""
 	if err != nil {
 		detail = err.Error()
 	}
-	c.logger.Info("weights_ordered", "model", o.Model, "version", o.Version, "token", o.Token, "target", o.Incarnation,
-		"orders", o.ExpectedLoads, "outcome", outcome.String(), "error", detail, "sidecar", false)
-	p.ordering = false
+	c.logger.Info("weights_ordered", "model", req.Model, "version", req.Version, "token", req.Token, "target", req.Incarnation,
+		"orders", req.ExpectedLoads, "outcome", outcome.String(), "error", detail, "sidecar", false)
+	p.pending = false
 	switch outcome {
 	case Accepted:
-		p.loading, p.failed, p.version, p.notAfter = true, false, o.Version, c.now().Add(remoteLoadTime)
+		p.loading, p.failed, p.version, p.until = true, false, req.Version, c.now().Add(remoteLoadTime)
 	case AlreadyLoaded:
-		p.failed, p.version, p.notAfter = false, o.Version, c.now()
+		p.failed, p.version, p.until = false, req.Version, c.now()
 	default:
-		p.failed, p.notAfter = true, c.now().Add(remoteRetry)
+		p.failed, p.until = true, c.now().Add(remoteRetryDelay)
 	}
 }
--- a/internal/gateway/weights/remote_test.go
+++ b/internal/gateway/weights/remote_test.go
@@ -12,36 +12,36 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// remoteBench is a controller of engines without sidecars, and a list of them that shows
-// nothing new.
-type remoteBench struct {
-	loop    *control.Loop
-	orders  *RemoteController
-	engines []*fakeEngine
-	list    []RemoteEngine
+// remoteHarness runs a RemoteController with fake engines and a list of them that never
+// changes.
+type remoteHarness struct {
+	loop       *control.Loop
+	controller *RemoteController
+	engines    []*fakeEngine
+	list       []RemoteEngine
 }
 
-func startRemoteBench(n int) *remoteBench {
-	b := &remoteBench{loop: control.NewLoop(1, func(time.Duration) {})}
-	b.orders = NewRemoteController(b.loop, "entry", logr.Discard(), time.Now, func(Outcome) {})
+func startRemoteHarness(n int) *remoteHarness {
+	h := &remoteHarness{loop: control.NewLoop(1, func(time.Duration) {})}
+	h.controller = NewRemoteController(h.loop, "entry", logr.Discard(), time.Now, func(Outcome) {})
 	for i := range n {
-		e := &fakeEngine{life: fmt.Sprintf("e%d", i), version: 1}
-		b.engines = append(b.engines, e)
-		b.list = append(b.list, RemoteEngine{Life: fleet.Life{Instance: e.life}, Engine: e, Versions: map[string]int64{"m": 1}})
+		e := &fakeEngine{instance: fmt.Sprintf("e%d", i), version: 1}
+		h.engines = append(h.engines, e)
+		h.list = append(h.list, RemoteEngine{Life: fleet.Life{Instance: e.instance}, Engine: e, Versions: map[string]int64{"m": 1}})
 	}
-	go b.loop.Run()
-	return b
+	go h.loop.Run()
+	return h
 }
 
-// run steps for a time, and returns the most engines that loaded at once.
-func (b *remoteBench) run(d time.Duration) int {
+// run steps the controller for d and returns the largest number of engines that loaded at once.
+func (h *remoteHarness) run(d time.Duration) int {
 	most := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		b.loop.Post(func() { b.orders.Step(b.list, "m", 2, 7) })
+		h.loop.Post(func() { h.controller.Step(h.list, "m", 2, 7) })
 		loading := 0
-		for _, e := range b.engines {
+		for _, e := range h.engines {
 			e.set(func(e *fakeEngine) {
-				if time.Now().Before(e.busyTill) {
+				if time.Now().Before(e.busyUntil) {
 					loading++
 				}
 			})
@@ -51,69 +51,69 @@
 	return most
 }
 
-// Operators name new weights for engines whose hosts have no room for a sidecar. All load
-// them, no more at once than may, and each is ordered once although the list lags.
-func TestEnginesWithoutSidecarsLoadInTurns(t *testing.T) {
+// Engines without sidecars must load in waves, with one load request each although the list of
+// engines is out of date.
+func TestEnginesWithoutSidecarsLoadInWaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startRemoteBench(15)
-		most := b.run(15 * time.Second)
+		h := startRemoteHarness(15)
+		most := h.run(15 * time.Second)
 		if most > MaxParallelLoads(15) {
 			t.Errorf("%d engines loaded at once", most)
 		}
-		for _, e := range b.engines {
-			if e.version != 2 || len(e.given) != 1 || e.given[0].Token != 7 {
-				t.Errorf("%s has version %d after %d orders", e.life, e.version, len(e.given))
+		for _, e := range h.engines {
+			if e.version != 2 || len(e.requests) != 1 || e.requests[0].Token != 7 {
+				t.Errorf("%s has version %d after %d load requests", e.instance, e.version, len(e.requests))
 			}
 		}
-		b.loop.Stop()
+		h.loop.Stop()
 	})
 }
 
-// The two engines whose turn comes first leave orders unanswered. They must not take both
-// places again and again while the others wait.
-func TestEnginesThatLeaveOrdersUnansweredComeLast(t *testing.T) {
+// Guards against the first two engines in the rollout order blocking all slots because they
+// leave load requests unanswered.
+func TestEnginesThatDoNotAnswerLoadRequestsComeLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startRemoteBench(10)
-		views := make([]EngineView, len(b.list))
-		for i := range b.list {
-			views[i] = EngineView{Life: b.list[i].Life}
+		h := startRemoteHarness(10)
+		views := make([]EngineView, len(h.list))
+		for i := range h.list {
+			views[i] = EngineView{Life: h.list[i].Life}
 		}
-		silent := RolloutOrder(views, 2)[:2]
-		for _, e := range b.engines {
-			if e.life == silent[0].Instance || e.life == silent[1].Instance {
-				e.set(func(e *fakeEngine) { e.late = time.Minute })
+		unresponsive := RolloutOrder(views, 2)[:2]
+		for _, e := range h.engines {
+			if e.instance == unresponsive[0].Instance || e.instance == unresponsive[1].Instance {
+				e.set(func(e *fakeEngine) { e.acceptDelay = time.Minute })
 			}
 		}
-		b.run(6500 * time.Millisecond)
-		for _, e := range b.engines {
-			if e.late == 0 && e.version != 2 {
-				t.Errorf("%s has version %d", e.life, e.version)
+		h.run(6500 * time.Millisecond)
+		for _, e := range h.engines {
+			if e.acceptDelay == 0 && e.version != 2 {
+				t.Errorf("%s has version %d", e.instance, e.version)
 			}
 		}
-		b.loop.Stop()
-		time.Sleep(2 * time.Minute) // late orders are carried out within the test
+		h.loop.Stop()
+		time.Sleep(2 * time.Minute) // lets delayed load requests finish within the test
 	})
 }
 
-// One engine does not answer, and one has started again under another name that the list
-// does not show yet. The others load all the same, and neither is ordered without a pause.
-func TestUnreachableEnginesHoldNobodyUp(t *testing.T) {
+// Guards against a rollout that is held up by an engine that is down or one that has restarted
+// under another instance name. Neither may be sent load requests without a pause.
+func TestUnreachableEnginesDoNotBlockTheRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := startRemoteBench(10)
-		b.engines[3].set(func(e *fakeEngine) { e.down = true })
-		b.engines[4].set(func(e *fakeEngine) { e.life = "other" })
-		b.run(20 * time.Second)
-		for i, e := range b.engines {
+		h := startRemoteHarness(10)
+		h.engines[3].set(func(e *fakeEngine) { e.down = true })
+		h.engines[4].set(func(e *fakeEngine) { e.instance = "other" })
+		h.run(20 * time.Second)
+		for i, e := range h.engines {
 			if i != 3 && i != 4 && e.version != 2 {
-				t.Errorf("%s has version %d", e.life, e.version)
+				t.Errorf("%s has version %d", e.instance, e.version)
 			}
 		}
-		if n := len(b.engines[4].given); n == 0 || n > 12 {
-			t.Errorf("%d orders to an engine that is another one now", n)
+		if n := len(h.engines[4].requests); n == 0 || n > 12 {
+			t.Errorf("%d load requests to an engine that has restarted under another name", n)
 		}
-		if !b.orders.AnyStale(b.list, "m", 2) {
-			t.Error("none is behind")
+		if !h.controller.AnyStale(h.list, "m", 2) {
+			t.Error("no engine is reported as stale")
 		}
-		b.loop.Stop()
+		h.loop.Stop()
 	})
 }
