--- a/internal/gateway/ratelimit/bench_test.go
+++ b/internal/gateway/ratelimit/bench_test.go
@@ -12,7 +12,7 @@
 	peerv1 "github.com/toucanwell/toucanwell/api/peer/v1"
 )
 
-// benchLimiter is an entry among many; whom it coordinates it answers itself.
+// benchLimiter returns a limiter among the given number of entries that sends no messages.
 func benchLimiter(entries int) *Limiter {
 	self := netip.MustParseAddrPort("10.0.0.1:7")
 	limit := Limit{PerSecond: 1e12, Burst: 1e12}
@@ -25,11 +25,11 @@
 	return l
 }
 
-// What the limit adds to an ordinary request whose tokens are leased already.
+// BenchmarkAdmitLeased measures admission by leased tokens.
 func BenchmarkAdmitLeased(b *testing.B) {
 	l := benchLimiter(420)
 	r := Request{Workspace: "w", Limit: l.options.LimitOf("w"), Cost: 2400}
-	l.credit("w").leases = []holding{{tokens: 1e18, until: time.Now().Add(time.Hour)}}
+	l.credit("w").leases = []heldLease{{tokens: 1e18, expiresAt: time.Now().Add(time.Hour)}}
 	for b.Loop() {
 		if !l.Admit(context.Background(), r).Admitted {
 			b.Fatal("refused")
@@ -37,13 +37,14 @@
 	}
 }
 
-// What a question costs at the coordinator, with as many entries as hold leases.
-func BenchmarkCoordinatorAnswers(b *testing.B) {
+// BenchmarkCoordinatorHandle measures a lease request at the coordinator, by the number of
+// entries that hold leases.
+func BenchmarkCoordinatorHandle(b *testing.B) {
 	for _, entries := range []int{30, 420} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			l := benchLimiter(entries)
 			now := time.Now()
-			c := NewCoordinator(keepFor)
+			c := NewCoordinator(defaultIdleTimeout)
 			limit := Limit{PerSecond: 1e9, Burst: 1e9}
 			n := uint32(0)
 			for b.Loop() {
@@ -55,7 +56,7 @@
 	}
 }
 
-// What it costs to find a workspace's coordinator.
+// BenchmarkRank measures the lookup of a workspace's coordinator.
 func BenchmarkRank(b *testing.B) {
 	for _, entries := range []int{30, 420} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
@@ -67,13 +68,14 @@
 	}
 }
 
-// A question and its answer each take less than a hundred bytes beside the workspace's name.
+// Guards against large messages: a lease request and its response take at most a hundred bytes
+// each with a short workspace name.
 func TestMessagesStaySmall(t *testing.T) {
-	ask := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Ask: askOut(LeaseRequest{RequestCost: 70_000, Ahead: 300_000, Spent: 1e12, Refunded: 70_000, Overdraft: 70_000, IsRetry: true, MaxWait: 5 * time.Second}, true)}
-	answer := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Answer: answerOut(LeaseResponse{Admitted: true, Leased: 300_000, RetryDelay: 5 * time.Second, Level: 1e6})}
-	for _, m := range []*peerv1.RateMessage{ask, answer} {
+	request := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Ask: encodeRequest(LeaseRequest{RequestCost: 70_000, Ahead: 300_000, Spent: 1e12, Refunded: 70_000, Overdraft: 70_000, IsRetry: true, MaxWait: 5 * time.Second}, true)}
+	response := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Answer: encodeResponse(LeaseResponse{Admitted: true, Leased: 300_000, RetryDelay: 5 * time.Second, Level: 1e6})}
+	for _, m := range []*peerv1.RateMessage{request, response} {
 		if n := proto.Size(m); n > 100 {
-			t.Errorf("%d bytes: %v", n, m)
+			t.Errorf("%d bytes, want at most 100: %v", n, m)
 		} else {
 			t.Logf("%d bytes", n)
 		}
--- a/internal/gateway/ratelimit/coordinator.go
+++ b/internal/gateway/ratelimit/coordinator.go
@@ -8,157 +8,156 @@
 )
 
 const (
-	// leaseFor is how long leased tokens may be used, and leaseMargin how much longer the
-	// coordinator counts them: the holder counts from before it asked.
-	leaseFor    = 2 * time.Second
-	leaseMargin = 500 * time.Millisecond
-	// leasedShare is the part of the bucket that leases leave for requests that ask: tokens
-	// that lie leased at one entry are missing at the others.
-	leasedShare = 0.5
-	// reservedShare is the part of the bucket that is kept for callers who come back after a
-	// refusal, while any were refused lately.
-	reservedShare = 0.1
-	// refusedLately is how long a refusal counts for that.
-	refusedLately = time.Second
-	// longestQueue bounds the time by which refused callers are told to come back one after
-	// the other.
-	longestQueue = 5 * time.Second
-	// keepFor is how long a bucket or a holder is kept without a question.
-	keepFor = time.Minute
-	// answersKept is how many answers to one entry are kept, for questions that come twice.
-	answersKept = 8
+	// leaseDuration is how long leased tokens may be used, counted from before the holder
+	// sent its request. The coordinator counts them for leaseGrace longer.
+	leaseDuration = 2 * time.Second
+	leaseGrace    = 500 * time.Millisecond
+	// unleasedShare is the part of the bucket that is never leased ahead: tokens leased to
+	// one entry are not available to the others.
+	unleasedShare = 0.5
+	// retryReserve is the part of the bucket reserved for callers that retry after a
+	// refusal, for retryReserveTime after the last refusal.
+	retryReserve     = 0.1
+	retryReserveTime = time.Second
+	// maxQueueTime bounds the queue by which refused callers get distinct retry delays.
+	maxQueueTime = 5 * time.Second
+	// defaultIdleTimeout is how long a bucket or a holder is kept without a request.
+	defaultIdleTimeout = time.Minute
+	// responseCacheSize is how many responses per entry are kept to answer duplicate
+	// requests.
+	responseCacheSize = 8
 )
 
-// Holder is one life of an entry.
+// Holder is one incarnation of an entry.
 type Holder struct {
 	Address     netip.AddrPort
 	Incarnation uint64
 }
 
-// LeaseRequest is what an entry asks of a workspace's coordinator.
+// LeaseRequest is an entry's request to a workspace's coordinator.
 type LeaseRequest struct {
-	// ID names the question among those of its entry; one that comes twice is answered
-	// twice and counted once.
+	// ID identifies the request among those of its entry. Duplicates get the same response
+	// and are counted once.
 	ID uint32
-	// RequestCost is the cost of a request that waits; zero for none.
+	// RequestCost is the cost of a request that waits for admission; zero for none.
 	RequestCost float64
-	// Ahead is what the entry would lease for the requests that follow.
+	// Ahead is how many tokens to lease for later requests.
 	Ahead float64
-	// Spent is all that the entry's life has used of leases, Returned what it gives back of
-	// earlier needs that were not used.
+	// Spent is the total use of leases by the entry's incarnation. Refunded is the cost of
+	// admitted requests that did not run.
 	Spent    float64
 	Refunded float64
-	// Overdraft is what it used beyond what it was granted.
+	// Overdraft is the use beyond granted tokens.
 	Overdraft float64
-	// IsRetry is set for a caller who was refused before.
+	// IsRetry is set for a caller that was refused before.
 	IsRetry bool
-	// MaxWait is the longest time after which the caller would come back.
+	// MaxWait is the longest time after which the caller would retry.
 	MaxWait time.Duration
 }
 
-// LeaseResponse is what the coordinator says.
+// LeaseResponse is the coordinator's response to a LeaseRequest.
 type LeaseResponse struct {
 	ID uint32
-	// Admitted is set when the request that waits may go on.
+	// Admitted is set if the waiting request is admitted.
 	Admitted bool
-	// Leased tokens may be used for leaseFor from before the question.
+	// Leased tokens may be used for leaseDuration from before the request was sent.
 	Leased float64
-	// RetryDelay is after what time a request that is not admitted would be.
+	// RetryDelay is the time after which a refused request would be admitted.
 	RetryDelay time.Duration
-	// Level is what the bucket holds.
+	// Level is the bucket's level.
 	Level float64
 }
 
-// Coordinator keeps the buckets of the workspaces that an entry coordinates. It decides by
-// nothing but its arguments and its records. It is safe for concurrent use.
+// Coordinator keeps the token buckets of the workspaces that an entry coordinates. Its decisions
+// depend only on its arguments and its state. It is safe for concurrent use.
 type Coordinator struct {
-	// keep is how long a bucket is kept without a question.
-	keep    time.Duration
-	mu      sync.Mutex
-	buckets map[string]*bucket
-	sweptAt time.Time
+	// idleTimeout is how long a bucket or a holder is kept without a request.
+	idleTimeout time.Duration
+	mu          sync.Mutex
+	buckets     map[string]*bucket
+	evictedAt   time.Time
 }
 
-// bucket is one workspace's.
+// bucket is one workspace's token bucket.
 type bucket struct {
-	level   float64
-	at      time.Time
-	holders map[netip.AddrPort]*holder
-	// queued is what refused callers were told to come back for, one after the other.
+	level      float64
+	refilledAt time.Time
+	holders    map[netip.AddrPort]*holder
+	// queued is the cost of refused callers that are expected to retry.
 	queued    float64
 	refusedAt time.Time
-	used      uint64
+	admitted  uint64
 	refused   uint64
 }
 
-// holder is what a bucket knows of one entry.
+// holder is a bucket's state for one entry.
 type holder struct {
 	incarnation uint64
 	spent       float64
 	leases      []lease
-	answers     [answersKept]LeaseResponse
+	responses   [responseCacheSize]LeaseResponse
 	next        int
-	heardAt     time.Time
+	lastSeenAt  time.Time
 }
 
 type lease struct {
-	tokens float64
-	at     time.Time
+	tokens    float64
+	grantedAt time.Time
 }
 
-// NewCoordinator returns one without buckets; one that is not asked for is kept for a time.
-func NewCoordinator(keep time.Duration) *Coordinator {
-	return &Coordinator{keep: keep, buckets: map[string]*bucket{}}
+// NewCoordinator returns a coordinator without buckets.
+func NewCoordinator(idleTimeout time.Duration) *Coordinator {
+	return &Coordinator{idleTimeout: idleTimeout, buckets: map[string]*bucket{}}
 }
 
-// Handle answers an entry's question about a workspace with a limit. A new bucket holds what
-// the rate has brought since a time: nobody else has given any of it out since then.
-func (c *Coordinator) Handle(workspace string, from Holder, ask LeaseRequest, limit Limit, since, now time.Time) LeaseResponse {
+// Handle processes an entry's lease request for a workspace with a limit. A new bucket starts
+// with what the rate has refilled since the given time, when this entry became the coordinator.
+func (c *Coordinator) Handle(workspace string, from Holder, req LeaseRequest, limit Limit, since, now time.Time) LeaseResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sweep(now)
+	c.evictIdle(now)
 	b := c.buckets[workspace]
 	if b == nil {
-		b = &bucket{at: since, holders: map[netip.AddrPort]*holder{}}
+		b = &bucket{refilledAt: since, holders: map[netip.AddrPort]*holder{}}
 		c.buckets[workspace] = b
 	}
-	return b.answer(from, ask, limit, now)
+	return b.handle(from, req, limit, now)
 }
 
-func (b *bucket) answer(from Holder, ask LeaseRequest, limit Limit, now time.Time) LeaseResponse {
+func (b *bucket) handle(from Holder, req LeaseRequest, limit Limit, now time.Time) LeaseResponse {
 	h := b.holder(from, now)
-	if known, ok := h.answered(ask.ID); ok {
-		return known
+	if cached, ok := h.cachedResponse(req.ID); ok {
+		return cached
 	}
-	h.report(ask.Spent)
-	b.refill(limit, ask.Refunded, now)
-	b.level -= ask.Overdraft
-	a := LeaseResponse{ID: ask.ID}
-	if ask.RequestCost > 0 {
-		a.Admitted, a.RetryDelay = b.admit(ask, limit, now)
+	h.recordSpent(req.Spent)
+	b.refill(limit, req.Refunded, now)
+	b.level -= req.Overdraft
+	resp := LeaseResponse{ID: req.ID}
+	if req.RequestCost > 0 {
+		resp.Admitted, resp.RetryDelay = b.admit(req, limit, now)
 	}
-	if a.Admitted || ask.RequestCost == 0 {
-		a.Leased = b.lease(h, ask.Ahead, limit, now)
+	if resp.Admitted || req.RequestCost == 0 {
+		resp.Leased = b.grant(h, req.Ahead, limit, now)
 	}
-	a.Level = b.level
-	h.keep(a)
-	return a
+	resp.Level = b.level
+	h.cacheResponse(resp)
+	return resp
 }
 
-// refill adds what the rate has brought since the last time, and what was given back.
-func (b *bucket) refill(limit Limit, returned float64, now time.Time) {
-	brought := limit.PerSecond * math.Max(now.Sub(b.at).Seconds(), 0)
-	b.level = math.Min(b.level+brought+returned, b.ceiling(limit, now))
-	b.queued = math.Max(b.queued-brought, 0)
-	b.at = now
+// refill adds refunds and what the rate has accrued since the last refill.
+func (b *bucket) refill(limit Limit, refunded float64, now time.Time) {
+	accrued := limit.PerSecond * math.Max(now.Sub(b.refilledAt).Seconds(), 0)
+	b.level = math.Min(b.level+accrued+refunded, b.maxLevel(limit, now))
+	b.queued = math.Max(b.queued-accrued, 0)
+	b.refilledAt = now
 }
 
-// ceiling is how much the bucket may hold beside what is leased.
-func (b *bucket) ceiling(limit Limit, now time.Time) float64 {
-	return limit.size() - b.leased(now)
+// maxLevel is the bucket's capacity less the tokens that are leased.
+func (b *bucket) maxLevel(limit Limit, now time.Time) float64 {
+	return limit.capacity() - b.leased(now)
 }
 
-// leased is what entries may still use.
+// leased returns how many leased tokens entries may still use.
 func (b *bucket) leased(now time.Time) float64 {
 	sum := 0.0
 	for _, h := range b.holders {
@@ -167,45 +166,46 @@
 	return sum
 }
 
-// admit takes a request's cost out of the bucket, or says when that would be possible.
+// admit takes a request's cost from the bucket, or returns the delay after which a retry would
+// be admitted.
 //
-// The bucket only has to hold something, and may go below zero by one request: a request
-// that is larger than the burst is served, and large ones wait no longer than small ones.
-func (b *bucket) admit(ask LeaseRequest, limit Limit, now time.Time) (bool, time.Duration) {
+// A request is admitted if the bucket holds anything at all, and may leave it below zero.
+// Requests larger than the burst are therefore served, and wait no longer than small ones.
+func (b *bucket) admit(req LeaseRequest, limit Limit, now time.Time) (bool, time.Duration) {
 	floor := 0.0
-	if !ask.IsRetry && now.Sub(b.refusedAt) < refusedLately {
-		floor = reservedShare * limit.size()
+	if !req.IsRetry && now.Sub(b.refusedAt) < retryReserveTime {
+		floor = retryReserve * limit.capacity()
 	}
 	if b.level > floor {
-		b.level -= ask.RequestCost
-		b.used++
+		b.level -= req.RequestCost
+		b.admitted++
 		return true, 0
 	}
 	b.refused++
 	b.refusedAt = now
-	wait := limit.until(floor-b.level+b.queued) + leastWait
-	if wait <= ask.MaxWait && b.queued < limit.PerSecond*longestQueue.Seconds() {
-		b.queued += ask.RequestCost
+	retryDelay := limit.refillTime(floor-b.level+b.queued) + minRetryDelay
+	if retryDelay <= req.MaxWait && b.queued < limit.PerSecond*maxQueueTime.Seconds() {
+		b.queued += req.RequestCost
 	}
-	return false, wait
+	return false, retryDelay
 }
 
-// leastWait is the shortest time to come back: less is within the way of a message.
-const leastWait = 5 * time.Millisecond
+// minRetryDelay is the shortest retry delay; shorter ones are within a message's latency.
+const minRetryDelay = 5 * time.Millisecond
 
-// lease leases some tokens, as long as enough are left for requests that ask.
-func (b *bucket) lease(h *holder, want float64, limit Limit, now time.Time) float64 {
-	tokens := math.Floor(math.Min(want, b.level-leasedShare*limit.size()))
+// grant leases up to the given number of tokens ahead, and leaves unleasedShare in the bucket.
+func (b *bucket) grant(h *holder, ahead float64, limit Limit, now time.Time) float64 {
+	tokens := math.Floor(math.Min(ahead, b.level-unleasedShare*limit.capacity()))
 	if tokens <= 0 {
 		return 0
 	}
 	b.level -= tokens
-	h.leases = append(h.leases, lease{tokens: tokens, at: now})
+	h.leases = append(h.leases, lease{tokens: tokens, grantedAt: now})
 	return tokens
 }
 
-// holder returns the record of an entry's life; that of an earlier life is replaced, and
-// what it had leased counts until it has lapsed.
+// holder returns the state of an entry's incarnation. It replaces that of a previous one, whose
+// leases count until they expire.
 func (b *bucket) holder(from Holder, now time.Time) *holder {
 	h := b.holders[from.Address]
 	if h == nil {
@@ -215,44 +215,44 @@
 	if h.incarnation != from.Incarnation {
 		*h = holder{incarnation: from.Incarnation, leases: h.leases}
 	}
-	h.heardAt = now
+	h.lastSeenAt = now
 	return h
 }
 
-func (h *holder) answered(number uint32) (LeaseResponse, bool) {
-	for _, a := range h.answers {
-		if a.ID == number && number != 0 {
-			return a, true
+func (h *holder) cachedResponse(id uint32) (LeaseResponse, bool) {
+	for _, resp := range h.responses {
+		if resp.ID == id && id != 0 {
+			return resp, true
 		}
 	}
 	return LeaseResponse{}, false
 }
 
-func (h *holder) keep(a LeaseResponse) {
-	h.answers[h.next%answersKept] = a
+func (h *holder) cacheResponse(resp LeaseResponse) {
+	h.responses[h.next%responseCacheSize] = resp
 	h.next++
 }
 
-// report takes in how much of its leases an entry has used. A report that comes late says
-// less than is known.
-func (h *holder) report(spent float64) {
+// recordSpent applies an entry's report of its total use to its leases. Reports that arrive out
+// of order are ignored.
+func (h *holder) recordSpent(spent float64) {
 	used := spent - h.spent
 	if used <= 0 {
 		return
 	}
 	h.spent = spent
 	for i := range h.leases {
-		part := math.Min(used, h.leases[i].tokens)
-		h.leases[i].tokens -= part
-		used -= part
+		tokens := math.Min(used, h.leases[i].tokens)
+		h.leases[i].tokens -= tokens
+		used -= tokens
 	}
 }
 
-// leased is what the entry may still use, and forgets what has lapsed.
+// leased returns how many leased tokens the entry may still use, and removes expired leases.
 func (h *holder) leased(now time.Time) float64 {
 	left, sum := h.leases[:0], 0.0
 	for _, l := range h.leases {
-		if l.tokens > 0 && now.Sub(l.at) < leaseFor+leaseMargin {
+		if l.tokens > 0 && now.Sub(l.grantedAt) < leaseDuration+leaseGrace {
 			left, sum = append(left, l), sum+l.tokens
 		}
 	}
@@ -260,52 +260,52 @@
 	return sum
 }
 
-// Retain forgets the buckets of workspaces that this entry no longer coordinates.
-func (c *Coordinator) Retain(mine func(workspace string) bool) {
+// Retain removes the buckets of workspaces for which keep returns false.
+func (c *Coordinator) Retain(keep func(workspace string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for workspace := range c.buckets {
-		if !mine(workspace) {
+		if !keep(workspace) {
 			delete(c.buckets, workspace)
 		}
 	}
 }
 
-// BucketStats is what a coordinator knows of one workspace.
+// BucketStats describes one workspace's bucket.
 type BucketStats struct {
 	Workspace string
-	// Level and Leased are tokens: in the bucket, and leased to entries.
+	// Level and Leased are the tokens in the bucket and those leased to entries.
 	Level, Leased float64
-	// Holders are the entries that asked lately.
+	// Holders is the number of entries that sent requests recently.
 	Holders int
-	// Admitted and Refused count questions since the bucket was made.
+	// Admitted and Refused count requests since the bucket was created.
 	Admitted, Refused uint64
 }
 
-// Stats returns what is known of each workspace.
+// Stats returns the stats of all buckets.
 func (c *Coordinator) Stats(now time.Time) []BucketStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var all []BucketStats
 	for workspace, b := range c.buckets {
-		all = append(all, BucketStats{Workspace: workspace, Level: b.level, Leased: b.leased(now), Holders: len(b.holders), Admitted: b.used, Refused: b.refused})
+		all = append(all, BucketStats{Workspace: workspace, Level: b.level, Leased: b.leased(now), Holders: len(b.holders), Admitted: b.admitted, Refused: b.refused})
 	}
 	return all
 }
 
-// sweep forgets what was not asked for in a long time.
-func (c *Coordinator) sweep(now time.Time) {
-	if now.Sub(c.sweptAt) < c.keep {
+// evictIdle removes buckets and holders without a request for idleTimeout.
+func (c *Coordinator) evictIdle(now time.Time) {
+	if now.Sub(c.evictedAt) < c.idleTimeout {
 		return
 	}
-	c.sweptAt = now
+	c.evictedAt = now
 	for workspace, b := range c.buckets {
-		if now.Sub(b.at) > c.keep {
+		if now.Sub(b.refilledAt) > c.idleTimeout {
 			delete(c.buckets, workspace)
 			continue
 		}
 		for address, h := range b.holders {
-			if now.Sub(h.heardAt) > c.keep {
+			if now.Sub(h.lastSeenAt) > c.idleTimeout {
 				delete(b.holders, address)
 			}
 		}
--- a/internal/gateway/ratelimit/credit.go
+++ b/internal/gateway/ratelimit/credit.go
@@ -6,55 +6,58 @@
 )
 
 const (
-	// aheadFor is the time for which an entry leases tokens ahead, at the rate at which its
-	// callers use them lately.
-	aheadFor = 400 * time.Millisecond
-	// demandTime is the time over which that rate is averaged.
-	demandTime = time.Second
-	// leastAhead is the part of what is leased ahead below which more is asked for.
-	leastAhead = 0.5
-	// aheadPause is the least time between two questions for that alone.
-	aheadPause = 100 * time.Millisecond
-	// reportAfter is how long use may stay unreported: the coordinator counts it against the
-	// burst until then.
-	reportAfter = 250 * time.Millisecond
-	// emptyFor is the longest time for which a coordinator's refusal is taken to hold for new
-	// callers too, without asking again.
-	emptyFor = 100 * time.Millisecond
+	// leaseAheadTime is how much an entry leases ahead, as time at its current demand.
+	leaseAheadTime = 400 * time.Millisecond
+	// demandWindow is the time constant of the demand average.
+	demandWindow = time.Second
+	// leaseAheadThreshold is the part of the amount to lease ahead below which more is
+	// requested.
+	leaseAheadThreshold = 0.5
+	// leaseAheadInterval is the least time between two requests that only lease ahead.
+	leaseAheadInterval = 100 * time.Millisecond
+	// maxReportDelay is how long use may stay unreported. The coordinator counts it against
+	// the burst until then.
+	maxReportDelay = 250 * time.Millisecond
+	// refusalCacheTime bounds how long a coordinator's refusal also applies to other callers
+	// without another request.
+	refusalCacheTime = 100 * time.Millisecond
 )
 
-// credit is what one entry holds of one workspace's tokens. Its methods are pure but for the
-// record itself; times are of one clock, which counts the time that the host was suspended.
+// credit is the tokens that an entry holds for one workspace, with their use and the demand. All
+// times are of one clock, which includes time that the host was suspended.
 type credit struct {
-	leases []holding
-	// spent is all that was used of leases, reported what the coordinator was told of it.
+	leases []heldLease
+	// spent is the total use of leases, reported the part of it reported to the coordinator.
 	spent, reported float64
-	spentAt         time.Time
-	// returned is what is to be given back of needs that were not used.
-	returned float64
-	// extra is what was used beyond what was granted, and not told yet.
-	extra float64
-	// demand is the use per second, averaged, as of demandAt.
+	// unreportedSince is the time of the first use that was not reported.
+	unreportedSince time.Time
+	// refunded is the cost of admitted requests that did not run, to be sent to the
+	// coordinator.
+	refunded float64
+	// overdraft is the use beyond granted tokens that was not reported.
+	overdraft float64
+	// demand is the average use per second as of demandAt.
 	demand   float64
 	demandAt time.Time
-	// emptyUntil is until when the bucket is taken to be empty, backAt when a new caller
-	// would be admitted.
-	emptyUntil, backAt time.Time
-	// askedAt is when the coordinator was last asked, usedAt when a request last came.
-	askedAt, usedAt time.Time
+	// refusedUntil is until when callers that do not retry are refused without a request;
+	// retryAt is when such a caller would be admitted.
+	refusedUntil, retryAt time.Time
+	// requestedAt is the time of the last lease request, lastUsedAt of the last caller's
+	// request.
+	requestedAt, lastUsedAt time.Time
 }
 
-// holding is one lease as its holder sees it.
-type holding struct {
-	tokens float64
-	until  time.Time
+// heldLease is a lease as its holder sees it.
+type heldLease struct {
+	tokens    float64
+	expiresAt time.Time
 }
 
-// stock is what may be used now.
-func (c *credit) stock(now time.Time) float64 {
+// available returns the leased tokens that may be used, and removes expired leases.
+func (c *credit) available(now time.Time) float64 {
 	left, sum := c.leases[:0], 0.0
 	for _, l := range c.leases {
-		if l.tokens > 0 && now.Before(l.until) {
+		if l.tokens > 0 && now.Before(l.expiresAt) {
 			left, sum = append(left, l), sum+l.tokens
 		}
 	}
@@ -62,75 +65,77 @@
 	return sum
 }
 
-// spend takes a request's cost out of what is leased, if that is enough.
+// spend takes a cost from the leases and reports whether they had enough tokens.
 func (c *credit) spend(cost float64, now time.Time) bool {
-	if c.stock(now) < cost {
+	if c.available(now) < cost {
 		return false
 	}
 	left := cost
 	for i := range c.leases {
-		part := math.Min(left, c.leases[i].tokens)
-		c.leases[i].tokens -= part
-		left -= part
+		used := math.Min(left, c.leases[i].tokens)
+		c.leases[i].tokens -= used
+		left -= used
 	}
 	if c.spent == c.reported {
-		c.spentAt = now
+		c.unreportedSince = now
 	}
 	c.spent += cost
 	return true
 }
 
-// unspend takes a use back that did not come about. What was reported stays used.
-func (c *credit) unspend(cost float64, until time.Time) {
+// undoSpend returns the cost of a request that did not run to the leases, unless it was
+// reported already.
+func (c *credit) undoSpend(cost float64, expiresAt time.Time) {
 	if c.spent-c.reported < cost {
 		return
 	}
 	c.spent -= cost
-	c.leases = append(c.leases, holding{tokens: cost, until: until})
+	c.leases = append(c.leases, heldLease{tokens: cost, expiresAt: expiresAt})
 }
 
-// note counts a request towards the demand.
-func (c *credit) note(cost float64, now time.Time) {
-	c.demand = c.demandNow(now) + cost/demandTime.Seconds()
-	c.demandAt, c.usedAt = now, now
+// recordDemand adds a request to the demand.
+func (c *credit) recordDemand(cost float64, now time.Time) {
+	c.demand = c.currentDemand(now) + cost/demandWindow.Seconds()
+	c.demandAt, c.lastUsedAt = now, now
 }
 
-func (c *credit) demandNow(now time.Time) float64 {
-	return c.demand * math.Exp(-now.Sub(c.demandAt).Seconds()/demandTime.Seconds())
+func (c *credit) currentDemand(now time.Time) float64 {
+	return c.demand * math.Exp(-now.Sub(c.demandAt).Seconds()/demandWindow.Seconds())
 }
 
-// want is how much more should be leased ahead.
-func (c *credit) want(now time.Time) float64 {
-	return math.Max(c.demandNow(now)*aheadFor.Seconds()-c.stock(now), 0)
+// ahead returns how many more tokens to lease ahead.
+func (c *credit) ahead(now time.Time) float64 {
+	return math.Max(c.currentDemand(now)*leaseAheadTime.Seconds()-c.available(now), 0)
 }
 
-// asksAhead reports whether tokens should be asked for although no request waits.
-func (c *credit) asksAhead(now time.Time) bool {
-	target := c.demandNow(now) * aheadFor.Seconds()
-	return c.stock(now) < leastAhead*target && now.Sub(c.askedAt) >= aheadPause && !now.Before(c.emptyUntil)
+// shouldLeaseAhead reports whether to lease tokens ahead although no request waits for them.
+func (c *credit) shouldLeaseAhead(now time.Time) bool {
+	target := c.currentDemand(now) * leaseAheadTime.Seconds()
+	return c.available(now) < leaseAheadThreshold*target && now.Sub(c.requestedAt) >= leaseAheadInterval && !now.Before(c.refusedUntil)
 }
 
-// owesReport reports whether use was not reported for long.
-func (c *credit) owesReport(now time.Time) bool {
-	return c.spent > c.reported && now.Sub(c.spentAt) >= reportAfter || c.returned > 0 || c.extra > 0
+// reportDue reports whether there is use or a refund to report.
+func (c *credit) reportDue(now time.Time) bool {
+	return c.spent > c.reported && now.Sub(c.unreportedSince) >= maxReportDelay || c.refunded > 0 || c.overdraft > 0
 }
 
-// ask is the question for a request that waits; with a cost of zero only tokens are asked
-// for ahead. What is given back leaves the record first: if the message is lost, so is it.
-func (c *credit) ask(number uint32, cost float64, now time.Time) LeaseRequest {
-	a := LeaseRequest{ID: number, RequestCost: cost, Ahead: c.want(now), Spent: c.spent, Refunded: c.returned, Overdraft: c.extra}
-	c.reported, c.returned, c.extra, c.askedAt = c.spent, 0, 0, now
-	return a
+// newRequest returns a lease request for a waiting request's cost; with a cost of zero it only
+// leases ahead. Refunds and overdrafts are cleared before the message is sent, so a lost message
+// loses them.
+func (c *credit) newRequest(id uint32, cost float64, now time.Time) LeaseRequest {
+	req := LeaseRequest{ID: id, RequestCost: cost, Ahead: c.ahead(now), Spent: c.spent, Refunded: c.refunded, Overdraft: c.overdraft}
+	c.reported, c.refunded, c.overdraft, c.requestedAt = c.spent, 0, 0, now
+	return req
 }
 
-// take takes in an answer to a question that was asked at a time.
-func (c *credit) take(a LeaseResponse, asked time.Time) {
-	if a.Leased > 0 {
-		c.leases = append(c.leases, holding{tokens: a.Leased, until: asked.Add(leaseFor)})
+// addLease adds the tokens leased by a response to a request sent at sentAt.
+func (c *credit) addLease(resp LeaseResponse, sentAt time.Time) {
+	if resp.Leased > 0 {
+		c.leases = append(c.leases, heldLease{tokens: resp.Leased, expiresAt: sentAt.Add(leaseDuration)})
 	}
 }
 
-// empty notes that a request was not admitted, and would be after a time.
-func (c *credit) empty(wait time.Duration, now time.Time) {
-	c.emptyUntil, c.backAt = now.Add(min(wait, emptyFor)), now.Add(wait)
+// recordRefusal records that a request was refused and would be admitted after a delay.
+func (c *credit) recordRefusal(retryDelay time.Duration, now time.Time) {
+	c.refusedUntil, c.retryAt = now.Add(min(retryDelay, refusalCacheTime)), now.Add(retryDelay)
 }
--- a/internal/gateway/ratelimit/exchange.go
+++ b/internal/gateway/ratelimit/exchange.go
@@ -12,208 +12,211 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-// nextAsk is the question for a request that waits.
-func (l *Limiter) nextAsk(r Request, now time.Time) LeaseRequest {
+// newRequest returns the lease request for a caller's request.
+func (l *Limiter) newRequest(r Request, now time.Time) LeaseRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.number++
-	a := l.credit(r.Workspace).ask(l.number, r.Cost, now)
-	a.IsRetry, a.MaxWait = r.IsRetry, r.MaxWait
-	return a
+	l.lastID++
+	req := l.credit(r.Workspace).newRequest(l.lastID, r.Cost, now)
+	req.IsRetry, req.MaxWait = r.IsRetry, r.MaxWait
+	return req
 }
 
-// ask asks an entry for a request's cost and waits for the answer. It reports false when
+// requestLease sends a lease request to an entry and waits for the response. It returns false if
 // there is none.
-func (l *Limiter) ask(ctx context.Context, to netip.AddrPort, r Request, inPlace bool) (LeaseResponse, bool) {
+func (l *Limiter) requestLease(ctx context.Context, to netip.AddrPort, r Request, fallback bool) (LeaseResponse, bool) {
 	now := l.options.Now()
 	if !to.IsValid() {
 		return LeaseResponse{}, false
 	}
-	a := l.nextAsk(r, now)
+	req := l.newRequest(r, now)
 	if to == l.options.Listen {
-		answer, ok := l.answerFor(r.Workspace, l.self(), a, inPlace, now)
-		l.takeAnswer(r.Workspace, answer, now)
-		return answer, ok
+		resp, ok := l.handleRequest(r.Workspace, l.self(), req, fallback, now)
+		l.addLease(r.Workspace, resp, now)
+		return resp, ok
 	}
-	q := &question{workspace: r.Workspace, to: to, cost: r.Cost, askedAt: now, answers: make(chan reply, 1)}
-	wait := l.begin(a.ID, q)
-	l.send(to, r.Workspace, a, inPlace)
+	p := &pendingRequest{workspace: r.Workspace, to: to, cost: r.Cost, sentAt: now, replies: make(chan reply, 1)}
+	wait := l.register(req.ID, p)
+	l.sendRequest(to, r.Workspace, req, fallback)
 	if !wait {
 		return LeaseResponse{}, false
 	}
-	timer := time.NewTimer(askTime)
+	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	select {
-	case got := <-q.answers:
-		return got.LeaseResponse, !got.notMine
+	case got := <-p.replies:
+		return got.LeaseResponse, !got.notCoordinator
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return l.giveUp(a.ID, q)
+	return l.abandon(req.ID, p)
 }
 
-// begin notes a question, and reports whether its answer should be waited for.
-func (l *Limiter) begin(number uint32, q *question) bool {
+// register adds a pending request and reports whether to wait for its response.
+func (l *Limiter) register(id uint32, p *pendingRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.misses[q.to]
-	quiet := m.count >= quietAfter && l.options.Now().Sub(m.last) < quietFor
-	if quiet {
-		q.answers = nil
+	m := l.misses[p.to]
+	unresponsive := m.count >= missThreshold && l.options.Now().Sub(m.last) < missTimeout
+	if unresponsive {
+		p.replies = nil
 	}
-	l.open[number] = q
-	return !quiet
+	l.pending[id] = p
+	return !unresponsive
 }
 
-// giveUp stops to wait for an answer, unless it has just come. What it brings later is given
-// back.
-func (l *Limiter) giveUp(number uint32, q *question) (LeaseResponse, bool) {
+// abandon stops waiting for a response, unless it has just arrived. Tokens that a later response
+// grants are refunded.
+func (l *Limiter) abandon(id uint32, p *pendingRequest) (LeaseResponse, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case got := <-q.answers:
-		return got.LeaseResponse, !got.notMine
+	case got := <-p.replies:
+		return got.LeaseResponse, !got.notCoordinator
 	default:
 	}
-	q.answers = nil
-	l.misses[q.to] = miss{count: l.misses[q.to].count + 1, last: l.options.Now()}
+	p.replies = nil
+	l.misses[p.to] = miss{count: l.misses[p.to].count + 1, last: l.options.Now()}
 	return LeaseResponse{}, false
 }
 
-// askAhead asks a workspace's coordinator for tokens for the requests that follow, and
-// reports what was used. The caller holds mu.
-func (l *Limiter) askAhead(workspace string, c *credit, now time.Time) {
-	first := l.members.Load().Coordinator(workspace)
-	if !first.IsValid() {
+// leaseAhead requests tokens for later requests from a workspace's coordinator and reports use.
+// The caller holds mu.
+func (l *Limiter) leaseAhead(workspace string, c *credit, now time.Time) {
+	coordinator := l.members.Load().Coordinator(workspace)
+	if !coordinator.IsValid() {
 		return
 	}
-	l.number++
-	a := c.ask(l.number, 0, now)
-	if first == l.options.Listen {
-		if answer, ok := l.answerFor(workspace, l.self(), a, false, now); ok {
-			c.take(answer, now)
+	l.lastID++
+	req := c.newRequest(l.lastID, 0, now)
+	if coordinator == l.options.Listen {
+		if resp, ok := l.handleRequest(workspace, l.self(), req, false, now); ok {
+			c.addLease(resp, now)
 		}
 		return
 	}
-	l.open[a.ID] = &question{workspace: workspace, to: first, askedAt: now}
-	l.send(first, workspace, a, false)
+	l.pending[req.ID] = &pendingRequest{workspace: workspace, to: coordinator, sentAt: now}
+	l.sendRequest(coordinator, workspace, req, false)
 }
 
-// takeAnswer takes in what an answer leases.
-func (l *Limiter) takeAnswer(workspace string, a LeaseResponse, asked time.Time) {
+// addLease adds the tokens leased by a response to the workspace's credit.
+func (l *Limiter) addLease(workspace string, resp LeaseResponse, sentAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.credit(workspace).take(a, asked)
+	l.credit(workspace).addLease(resp, sentAt)
 }
 
-// answerFor answers as the workspace's coordinator, or in its place. It reports false when
-// this entry is not to.
-func (l *Limiter) answerFor(workspace string, from Holder, a LeaseRequest, inPlace bool, now time.Time) (LeaseResponse, bool) {
+// handleRequest handles a lease request as the workspace's coordinator or as a fallback for it.
+// It returns false if this entry may not do so.
+func (l *Limiter) handleRequest(workspace string, from Holder, req LeaseRequest, fallback bool, now time.Time) (LeaseResponse, bool) {
 	m := l.members.Load()
-	settled := m.CanCoordinate(now)
-	if !settled && (inPlace || from.Address == l.options.Listen || now.Sub(m.AsOf) >= staleAfter) {
+	canCoordinate := m.CanCoordinate(now)
+	if !canCoordinate && (fallback || from.Address == l.options.Listen || now.Sub(m.AsOf) >= maxMembersAge) {
 		return LeaseResponse{}, false
 	}
 	limit := l.options.LimitOf(workspace)
 	if !limit.Limited() {
-		return LeaseResponse{ID: a.ID, Admitted: true}, true
+		return LeaseResponse{ID: req.ID, Admitted: true}, true
 	}
 	limit = limit.Scaled(*l.share.Load())
 	switch {
-	case m.Coordinator(workspace) == l.options.Listen, !settled:
-		// Who has just started has not heard all others; those who ask it have.
-		return l.mine.Handle(workspace, from, a, limit, *l.since.Load(), now), true
-	case inPlace:
-		a.Ahead = 0
-		part := Limit{PerSecond: limit.PerSecond * inPlaceShare, Burst: limit.Burst * inPlaceAtOnce}
-		return l.inPlace.Handle(workspace, from, a, part, now.Add(-inPlaceKept), now), true
+	case m.Coordinator(workspace) == l.options.Listen, !canCoordinate:
+		// An entry that has just started does not know all others yet, but an entry that
+		// sends it a request does.
+		return l.coordinator.Handle(workspace, from, req, limit, *l.liveSince.Load(), now), true
+	case fallback:
+		req.Ahead = 0
+		part := Limit{PerSecond: limit.PerSecond * fallbackShare, Burst: limit.Burst * fallbackBurstShare}
+		return l.fallback.Handle(workspace, from, req, part, now.Add(-fallbackIdleTimeout), now), true
 	default:
 		return LeaseResponse{}, false
 	}
 }
 
-func (l *Limiter) send(to netip.AddrPort, workspace string, a LeaseRequest, inPlace bool) {
-	l.write(to, &peerv1.RateMessage{Id: a.ID, Incarnation: l.options.Incarnation, Workspace: workspace, Ask: askOut(a, inPlace)})
+func (l *Limiter) sendRequest(to netip.AddrPort, workspace string, req LeaseRequest, fallback bool) {
+	l.send(to, &peerv1.RateMessage{Id: req.ID, Incarnation: l.options.Incarnation, Workspace: workspace, Ask: encodeRequest(req, fallback)})
 }
 
-func (l *Limiter) write(to netip.AddrPort, m *peerv1.RateMessage) {
+func (l *Limiter) send(to netip.AddrPort, m *peerv1.RateMessage) {
 	m.Known = uint32(l.members.Load().Known)
 	data, err := proto.Marshal(m)
-	if err != nil || len(data) > maxDatagram {
-		return // a name that long: the entry goes by its own share
+	if err != nil || len(data) > maxDatagramSize {
+		return // the workspace's name is too long: the entry uses its own share
 	}
 	l.transmit(data, to)
 }
 
-// Serve answers the other entries and takes in their answers until Close.
+// Serve handles messages of other entries until Close.
 func (l *Limiter) Serve() {
-	datagram.Receive(l.conn, maxDatagram, func(data []byte, from netip.AddrPort) {
+	datagram.Receive(l.conn, maxDatagramSize, func(data []byte, from netip.AddrPort) {
 		m := &peerv1.RateMessage{}
 		if proto.Unmarshal(data, m) == nil {
-			l.receive(from, m)
+			l.handleMessage(from, m)
 		}
 	})
 }
 
-func (l *Limiter) receive(from netip.AddrPort, m *peerv1.RateMessage) {
+func (l *Limiter) handleMessage(from netip.AddrPort, m *peerv1.RateMessage) {
 	now := l.options.Now()
 	l.mu.Lock()
-	l.told.add(int(m.Known), now)
+	l.reportedKnown.add(int(m.Known), now)
 	l.mu.Unlock()
 	switch {
 	case m.Ask != nil:
-		a, ok := l.answerFor(m.Workspace, Holder{Address: from, Incarnation: m.Incarnation}, askIn(m.Id, m.Ask), m.Ask.InPlace, now)
-		out := answerOut(a)
+		resp, ok := l.handleRequest(m.Workspace, Holder{Address: from, Incarnation: m.Incarnation}, decodeRequest(m.Id, m.Ask), m.Ask.InPlace, now)
+		out := encodeResponse(resp)
 		out.NotMine = !ok
-		l.write(from, &peerv1.RateMessage{Id: m.Id, Incarnation: m.Incarnation, Workspace: m.Workspace, Answer: out})
+		l.send(from, &peerv1.RateMessage{Id: m.Id, Incarnation: m.Incarnation, Workspace: m.Workspace, Answer: out})
 	case m.Answer != nil && m.Incarnation == l.options.Incarnation:
-		l.answered(from, m.Id, reply{LeaseResponse: answerIn(m.Id, m.Answer), notMine: m.Answer.NotMine}, now)
+		l.handleReply(from, m.Id, reply{LeaseResponse: decodeResponse(m.Id, m.Answer), notCoordinator: m.Answer.NotMine}, now)
 	}
 }
 
-// answered hands an answer to its question. Tokens for a request that is no longer waiting
-// are given back; those of an answer that comes too late lapse.
-func (l *Limiter) answered(from netip.AddrPort, number uint32, got reply, now time.Time) {
+// handleReply passes a response to its pending request. If no caller waits any more, the cost of
+// an admitted request is refunded; responses without a pending request are dropped, and their
+// leases expire.
+func (l *Limiter) handleReply(from netip.AddrPort, id uint32, got reply, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.misses, from)
-	q := l.open[number]
-	if q == nil || q.to != from {
+	p := l.pending[id]
+	if p == nil || p.to != from {
 		return
 	}
-	delete(l.open, number)
-	c := l.credit(q.workspace)
-	c.take(got.LeaseResponse, q.askedAt)
-	if q.answers != nil {
-		q.answers <- got
+	delete(l.pending, id)
+	c := l.credit(p.workspace)
+	c.addLease(got.LeaseResponse, p.sentAt)
+	if p.replies != nil {
+		p.replies <- got
 		return
 	}
 	if got.Admitted {
-		c.returned += q.cost
+		c.refunded += p.cost
 	}
 }
 
-// ReportUsage tells coordinators regularly what was used, until the context ends.
+// ReportUsage reports use to the coordinators at an interval until the context ends.
 func (l *Limiter) ReportUsage(ctx context.Context) {
-	for sleep.For(ctx, reportPeriod) {
-		l.report(l.options.Now())
+	for sleep.For(ctx, reportInterval) {
+		l.sendReports(l.options.Now())
 	}
 }
 
-func (l *Limiter) report(now time.Time) {
+// sendReports sends the reports that are due, and removes unused credits and old pending requests.
+func (l *Limiter) sendReports(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for workspace, c := range l.credits {
-		if c.owesReport(now) {
-			l.askAhead(workspace, c, now)
+		if c.reportDue(now) {
+			l.leaseAhead(workspace, c, now)
 		}
-		if now.Sub(c.usedAt) > keepFor {
+		if now.Sub(c.lastUsedAt) > defaultIdleTimeout {
 			delete(l.credits, workspace)
 		}
 	}
-	for number, q := range l.open {
-		if now.Sub(q.askedAt) > leaseFor {
-			delete(l.open, number)
+	for id, p := range l.pending {
+		if now.Sub(p.sentAt) > leaseDuration {
+			delete(l.pending, id)
 		}
 	}
 }
--- a/internal/gateway/ratelimit/fleet_test.go
+++ b/internal/gateway/ratelimit/fleet_test.go
@@ -16,42 +16,42 @@
 	peerv1 "github.com/toucanwell/toucanwell/api/peer/v1"
 )
 
-// The model of a fleet: limiters on a virtual clock, whose messages take some milliseconds
-// and may be lost, doubled or cut, and who learn from heartbeats which others live.
+// These tests simulate a fleet of limiters on a virtual clock. Messages take some milliseconds and
+// may be lost, duplicated or cut off by a partition; heartbeats determine which entries are live.
 
 const (
-	modelStep   = 5 * time.Millisecond
-	modelBeat   = 100 * time.Millisecond
-	modelView   = 200 * time.Millisecond
-	modelSilent = 2500 * time.Millisecond
-	modelForget = 30 * time.Second
-	// The window and the tolerance over which users count, as they state them.
+	simStep           = 5 * time.Millisecond
+	heartbeatInterval = 100 * time.Millisecond
+	membersInterval   = 200 * time.Millisecond
+	deadAfter         = 2500 * time.Millisecond
+	forgetAfter       = 30 * time.Second
+	// window, tolerance and slack define the use that is allowed beyond the limit.
 	window    = 8 * time.Second
-	overshoot = 0.1
+	tolerance = 0.1
 	slack     = 140_000
 )
 
-// fleetModel is a fleet with one limited workspace.
-type fleetModel struct {
+// fleetSim simulates a fleet with one limited workspace.
+type fleetSim struct {
 	t       *testing.T
 	random  *rand.Rand
 	mu      sync.Mutex
 	limit   Limit
-	entries []*entryModel
-	// loss and doubled are the shares of messages that are lost or come twice.
-	loss, doubled float64
-	// cut reports whether two entries are out of touch.
+	entries []*simEntry
+	// loss and duplication are the probabilities that a message is lost or sent twice.
+	loss, duplication float64
+	// cut reports whether two entries are partitioned from each other.
 	cut   func(a, b int) bool
-	began time.Time
+	start time.Time
 	used  []use
-	// refused counts requests that were refused, asked all of them.
-	refused, asked int
-	// lastRefused is when the last of them came.
+	// refused counts refused requests, requests all of them.
+	refused, requests int
+	// lastRefused is when the last refused request arrived.
 	lastRefused time.Duration
 	messages    int
-	// story names the impairments that were brought about.
-	story []string
-	tasks sync.WaitGroup
+	// faults lists the injected faults.
+	faults []string
+	tasks  sync.WaitGroup
 }
 
 type use struct {
@@ -59,57 +59,57 @@
 	cost float64
 }
 
-type entryModel struct {
-	index   int
-	address netip.AddrPort
-	limiter *Limiter
-	alive   bool
-	frozen  bool
-	life    uint64
-	heard   map[int]time.Time
-	started time.Time
-	waiting [][2]any
-	// limit is what the entry knows of the limit.
+type simEntry struct {
+	index       int
+	address     netip.AddrPort
+	limiter     *Limiter
+	alive       bool
+	suspended   bool
+	incarnation uint64
+	lastHeard   map[int]time.Time
+	startedAt   time.Time
+	inbox       [][2]any
+	// limit is the limit that the entry knows.
 	limit Limit
 }
 
-func newFleet(t *testing.T, n int, limit Limit, seed uint64) *fleetModel {
-	f := &fleetModel{t: t, random: rand.New(rand.NewPCG(seed, 1)), limit: limit, cut: func(int, int) bool { return false }, began: time.Now()}
+func newFleet(t *testing.T, n int, limit Limit, seed uint64) *fleetSim {
+	f := &fleetSim{t: t, random: rand.New(rand.NewPCG(seed, 1)), limit: limit, cut: func(int, int) bool { return false }, start: time.Now()}
 	for range n {
 		f.add()
 	}
 	return f
 }
 
-func (f *fleetModel) add() *entryModel {
+func (f *fleetSim) add() *simEntry {
 	i := len(f.entries)
-	e := &entryModel{index: i, address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7)}
+	e := &simEntry{index: i, address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7)}
 	f.mu.Lock()
 	f.entries = append(f.entries, e)
 	f.mu.Unlock()
-	f.start(e)
+	f.restart(e)
 	return e
 }
 
-// start begins a life of an entry, which knows nothing.
-func (f *fleetModel) start(e *entryModel) {
+// restart starts a new incarnation of an entry without any state.
+func (f *fleetSim) restart(e *simEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e.life++
-	e.alive, e.frozen, e.heard, e.started, e.limit = true, false, map[int]time.Time{}, time.Now(), f.limit
-	e.limiter = newLimiter(Options{Listen: e.address, Incarnation: uint64(e.index)<<16 | e.life, LimitOf: func(string) Limit {
+	e.incarnation++
+	e.alive, e.suspended, e.lastHeard, e.startedAt, e.limit = true, false, map[int]time.Time{}, time.Now(), f.limit
+	e.limiter = newLimiter(Options{Listen: e.address, Incarnation: uint64(e.index)<<16 | e.incarnation, LimitOf: func(string) Limit {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return e.limit
 	}, Now: time.Now}, func(data []byte, to netip.AddrPort) { f.transmit(e, data, to) })
 }
 
-func (f *fleetModel) transmit(from *entryModel, data []byte, to netip.AddrPort) {
+func (f *fleetSim) transmit(from *simEntry, data []byte, to netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.messages++
 	copies := 1
-	if f.random.Float64() < f.doubled {
+	if f.random.Float64() < f.duplication {
 		copies = 2
 	}
 	for range copies {
@@ -121,17 +121,17 @@
 	}
 }
 
-func (f *fleetModel) deliver(from *entryModel, data []byte, to netip.AddrPort, delay time.Duration) {
+func (f *fleetSim) deliver(from *simEntry, data []byte, to netip.AddrPort, delay time.Duration) {
 	time.Sleep(delay)
 	f.mu.Lock()
-	i := slices.IndexFunc(f.entries, func(e *entryModel) bool { return e.address == to })
+	i := slices.IndexFunc(f.entries, func(e *simEntry) bool { return e.address == to })
 	if i < 0 || f.cut(from.index, i) || !f.entries[i].alive {
 		f.mu.Unlock()
 		return
 	}
 	e := f.entries[i]
-	if e.frozen {
-		e.waiting = append(e.waiting, [2]any{from.address, data})
+	if e.suspended {
+		e.inbox = append(e.inbox, [2]any{from.address, data})
 		f.mu.Unlock()
 		return
 	}
@@ -139,12 +139,12 @@
 	f.mu.Unlock()
 	m := &peerv1.RateMessage{}
 	if proto.Unmarshal(data, m) == nil {
-		l.receive(from.address, m)
+		l.handleMessage(from.address, m)
 	}
 }
 
-// kill ends an entry's life.
-func (f *fleetModel) kill(entries ...*entryModel) {
+// kill ends the entries' incarnations.
+func (f *fleetSim) kill(entries ...*simEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range entries {
@@ -152,87 +152,87 @@
 	}
 }
 
-// part puts entries out of touch with each other.
-func (f *fleetModel) part(cut func(a, b int) bool) {
+// partition cuts entries off from each other.
+func (f *fleetSim) partition(cut func(a, b int) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut = cut
 }
 
-// together brings all in touch.
-func (f *fleetModel) together() { f.part(func(int, int) bool { return false }) }
+// heal ends the partition.
+func (f *fleetSim) heal() { f.partition(func(int, int) bool { return false }) }
 
-// thaw lets a frozen entry go on, with all that was sent to it meanwhile.
-func (f *fleetModel) thaw(e *entryModel) {
+// resume continues a suspended entry and delivers the messages sent to it meanwhile.
+func (f *fleetSim) resume(e *simEntry) {
 	f.mu.Lock()
-	e.frozen = false
-	waiting := e.waiting
-	e.waiting = nil
+	e.suspended = false
+	inbox := e.inbox
+	e.inbox = nil
 	l := e.limiter
 	f.mu.Unlock()
-	for _, w := range waiting {
+	for _, message := range inbox {
 		m := &peerv1.RateMessage{}
-		if proto.Unmarshal(w[1].([]byte), m) == nil {
-			l.receive(w[0].(netip.AddrPort), m)
+		if proto.Unmarshal(message[1].([]byte), m) == nil {
+			l.handleMessage(message[0].(netip.AddrPort), m)
 		}
 	}
 }
 
-// beat lets all that live hear each other.
-func (f *fleetModel) beat() {
+// exchangeHeartbeats lets all running entries hear each other.
+func (f *fleetSim) exchangeHeartbeats() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, a := range f.entries {
 		for _, b := range f.entries {
-			if a != b && a.alive && b.alive && !a.frozen && !b.frozen && !f.cut(a.index, b.index) {
-				a.heard[b.index] = time.Now()
+			if a != b && a.alive && b.alive && !a.suspended && !b.suspended && !f.cut(a.index, b.index) {
+				a.lastHeard[b.index] = time.Now()
 			}
 		}
 	}
 }
 
-// look tells the limiters which entries live.
-func (f *fleetModel) look() {
+// updateMembers updates the limiters' members from the heartbeats.
+func (f *fleetSim) updateMembers() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.entries {
-		if !e.alive || e.frozen {
+		if !e.alive || e.suspended {
 			continue
 		}
-		m := &Members{AsOf: time.Now(), Self: e.address, Live: []netip.AddrPort{e.address}, Known: 1, StartedAt: e.started, HeardPeer: len(e.heard) > 0 || e.life == 1}
-		for i, at := range e.heard { // in random order, as in the mesh
-			silent := time.Since(at)
-			if silent > modelForget {
+		m := &Members{AsOf: time.Now(), Self: e.address, Live: []netip.AddrPort{e.address}, Known: 1, StartedAt: e.startedAt, HeardPeer: len(e.lastHeard) > 0 || e.incarnation == 1}
+		for i, at := range e.lastHeard { // in random order, as in the mesh
+			age := time.Since(at)
+			if age > forgetAfter {
 				continue
 			}
 			m.Known++
-			if silent > modelSilent/2 {
+			if age > deadAfter/2 {
 				m.Unreachable++
 			}
-			if silent <= modelSilent {
+			if age <= deadAfter {
 				m.Live = append(m.Live, f.entries[i].address)
 			}
 		}
 		l := e.limiter
 		f.mu.Unlock()
 		l.SetMembers(m)
-		l.report(time.Now())
+		l.sendReports(time.Now())
 		f.mu.Lock()
 	}
 }
 
-// request lets a caller ask at an entry; after a refusal it comes back once.
-func (f *fleetModel) request(at int, cost float64, patience time.Duration) {
+// request sends a caller's request to an entry; the caller retries once after a refusal.
+func (f *fleetSim) request(entry int, cost float64, maxWait time.Duration) {
 	f.mu.Lock()
-	e := f.entries[at]
-	if !e.alive || e.frozen {
+	e := f.entries[entry]
+	if !e.alive || e.suspended {
 		f.mu.Unlock()
 		return
 	}
-	f.asked++
-	l, r := e.limiter, Request{Workspace: "w", Limit: e.limit, Cost: cost, MaxWait: patience}
+	f.requests++
+	l, r := e.limiter, Request{Workspace: "w", Limit: e.limit, Cost: cost, MaxWait: maxWait}
 	f.mu.Unlock()
-	came := time.Since(f.began)
+	arrived := time.Since(f.start)
 	f.tasks.Go(func() {
 		for range 2 {
 			d := Decision{Admitted: true}
@@ -241,11 +241,11 @@
 			}
 			if d.Admitted {
 				f.mu.Lock()
-				f.used = append(f.used, use{time.Since(f.began), cost})
+				f.used = append(f.used, use{time.Since(f.start), cost})
 				f.mu.Unlock()
 				return
 			}
-			if d.RetryAfter > patience {
+			if d.RetryAfter > maxWait {
 				break
 			}
 			time.Sleep(d.RetryAfter)
@@ -253,32 +253,33 @@
 		}
 		f.mu.Lock()
 		f.refused++
-		f.lastRefused = max(f.lastRefused, came)
+		f.lastRefused = max(f.lastRefused, arrived)
 		f.mu.Unlock()
 	})
 }
 
-// demand is what callers ask of one entry at a time: tokens a second, in requests of a cost.
+// demand is the load that callers send to an entry at a time: tokens per second, in requests of
+// the given cost.
 type demand func(entry int, at time.Duration) (perSecond, cost float64)
 
-// run plays a time of demand; act is called at each step.
-func (f *fleetModel) run(length time.Duration, d demand, act func(at time.Duration)) {
-	start := time.Since(f.began)
-	for at := time.Duration(0); at < length; at += modelStep {
-		time.Sleep(modelStep)
-		if at%modelBeat == 0 {
-			f.beat()
+// run simulates demand for a duration and calls onStep at each step.
+func (f *fleetSim) run(duration time.Duration, d demand, onStep func(at time.Duration)) {
+	start := time.Since(f.start)
+	for at := time.Duration(0); at < duration; at += simStep {
+		time.Sleep(simStep)
+		if at%heartbeatInterval == 0 {
+			f.exchangeHeartbeats()
 		}
-		if at%modelView == 0 {
-			f.look()
+		if at%membersInterval == 0 {
+			f.updateMembers()
 		}
-		act(at)
+		onStep(at)
 		for i := range f.entries {
 			perSecond, cost := d(i, start+at)
 			f.mu.Lock()
-			comes := f.random.Float64() < perSecond/cost*modelStep.Seconds()
+			arrives := f.random.Float64() < perSecond/cost*simStep.Seconds()
 			f.mu.Unlock()
-			if comes {
+			if arrives {
 				f.request(i, cost, time.Second)
 			}
 		}
@@ -286,8 +287,8 @@
 	f.tasks.Wait()
 }
 
-// most is the largest use in any window that begins at or after a time.
-func (f *fleetModel) most(from time.Duration) float64 {
+// maxUse returns the largest use in any window that starts at or after a time.
+func (f *fleetSim) maxUse(from time.Duration) float64 {
 	slices.SortFunc(f.used, func(a, b use) int { return int(a.at - b.at) })
 	sum, most, first := 0.0, 0.0, 0
 	for _, u := range f.used {
@@ -305,23 +306,23 @@
 	return most
 }
 
-// allowed is what users count as within a limit.
-func allowed(l Limit) float64 {
-	return (l.PerSecond*window.Seconds()+l.Burst)*(1+overshoot) + slack
+// allowedUse is the use allowed in a window.
+func allowedUse(l Limit) float64 {
+	return (l.PerSecond*window.Seconds()+l.Burst)*(1+tolerance) + slack
 }
 
-func (f *fleetModel) within(l Limit, from time.Duration) {
+func (f *fleetSim) checkUse(l Limit, from time.Duration) {
 	f.t.Helper()
-	if got := f.most(from); got > allowed(l) {
-		f.t.Errorf("%.0f tokens used within %s, allowed are %.0f", got, window, allowed(l))
+	if got := f.maxUse(from); got > allowedUse(l) {
+		f.t.Errorf("%.0f tokens used within %s, allowed are %.0f", got, window, allowedUse(l))
 	}
 }
 
-// usual is a workspace's limit, and about 2.2 times what its callers use.
-var usual = Limit{PerSecond: 300_000, Burst: 300_000}
+// testLimit is about 2.2 times the ordinary demand of 135,000 tokens per second.
+var testLimit = Limit{PerSecond: 300_000, Burst: 300_000}
 
-// callers spreads a workspace's demand over some entries, unevenly: most behind few.
-func callers(perSecond float64, n int) demand {
+// skewedDemand spreads demand unevenly over the first n entries.
+func skewedDemand(perSecond float64, n int) demand {
 	return func(entry int, _ time.Duration) (float64, float64) {
 		cost := 2_400.0
 		if entry%2 == 1 {
@@ -335,61 +336,58 @@
 	}
 }
 
-func nothing(time.Duration) {}
+func noop(time.Duration) {}
 
-// A workspace asks for less than half of its limit, at a third of the entries, most of it
-// behind a few. Nobody is refused: equal parts of the limit would refuse the callers behind
-// the busiest entries while the other entries' parts lie idle.
+// Guards against refusals below the limit when a few entries get most of the demand, as a static
+// split of the limit would cause.
 func TestBelowTheLimitNobodyIsRefused(t *testing.T) {
 	for _, n := range []int{1, 2, 10, 30} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(t, n, usual, 1)
-				f.run(2*time.Second, callers(0, 0), nothing)
-				f.run(20*time.Second, callers(135_000, min(n, 10)), nothing)
+				f := newFleet(t, n, testLimit, 1)
+				f.run(2*time.Second, skewedDemand(0, 0), noop)
+				f.run(20*time.Second, skewedDemand(135_000, min(n, 10)), noop)
 				if f.refused > 0 {
-					t.Errorf("%d of %d requests refused", f.refused, f.asked)
+					t.Errorf("%d of %d requests refused", f.refused, f.requests)
 				}
-				t.Logf("%d requests, %.2f messages each", f.asked, float64(f.messages)/float64(f.asked))
+				t.Logf("%d requests, %.2f messages per request", f.requests, float64(f.messages)/float64(f.requests))
 			})
 		})
 	}
 }
 
-// All callers of a workspace stand behind one entry of thirty.
+// Guards against refusals below the limit when one entry gets all of the demand.
 func TestOneEntryMayUseTheWholeLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 30, usual, 1)
-		f.run(2*time.Second, callers(0, 0), nothing)
-		f.run(20*time.Second, callers(200_000, 1), nothing)
+		f := newFleet(t, 30, testLimit, 1)
+		f.run(2*time.Second, skewedDemand(0, 0), noop)
+		f.run(20*time.Second, skewedDemand(200_000, 1), noop)
 		if f.refused > 0 {
-			t.Errorf("%d of %d requests refused", f.refused, f.asked)
+			t.Errorf("%d of %d requests refused", f.refused, f.requests)
 		}
 	})
 }
 
-// A workspace sends seven times its usual, at all entries. What runs is its limit: no more
-// than users allow, and no less than nine tenths of it, since what is refused below the
-// limit is lost.
-func TestBeyondTheLimitNoMoreRuns(t *testing.T) {
+// Under overload the fleet must admit no more than allowed, and at least nine tenths of the limit.
+func TestOverloadUsesTheLimit(t *testing.T) {
 	for _, n := range []int{1, 4, 30, 103} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(t, n, usual, 1)
-				f.run(2*time.Second, callers(0, 0), nothing)
-				f.run(4*time.Second, callers(135_000, n), nothing)
-				f.run(20*time.Second, callers(7*135_000, n), nothing)
-				f.within(usual, 0)
+				f := newFleet(t, n, testLimit, 1)
+				f.run(2*time.Second, skewedDemand(0, 0), noop)
+				f.run(4*time.Second, skewedDemand(135_000, n), noop)
+				f.run(20*time.Second, skewedDemand(7*135_000, n), noop)
+				f.checkUse(testLimit, 0)
 				sum := 0.0
 				for _, u := range f.used {
 					if u.at > 10*time.Second {
 						sum += u.cost
 					}
 				}
-				if least := 0.9 * usual.PerSecond * 16; sum < least {
-					t.Errorf("%.0f tokens used within 16 s, at least %.0f might have been", sum, least)
+				if least := 0.9 * testLimit.PerSecond * 16; sum < least {
+					t.Errorf("%.0f tokens used within 16 s, want at least %.0f", sum, least)
 				}
-				t.Logf("most %.0f of %.0f, %d of %d refused, %.2f messages each", f.most(0), allowed(usual), f.refused, f.asked, float64(f.messages)/float64(f.asked))
+				t.Logf("at most %.0f used of %.0f allowed, %d of %d requests refused, %.2f messages per request", f.maxUse(0), allowedUse(testLimit), f.refused, f.requests, float64(f.messages)/float64(f.requests))
 			})
 		})
 	}
--- a/internal/gateway/ratelimit/limit.go
+++ b/internal/gateway/ratelimit/limit.go
@@ -1,20 +1,20 @@
-// Package ratelimit keeps each workspace within its rate limit over all entries together.
+// Package ratelimit enforces each workspace's rate limit across all entries.
 //
-// # How entries share one token bucket
+// # Sharing one token bucket
 //
-// Each workspace has one coordinator among the living entries: the one that a rank of
-// workspace and address puts first, which all compute alike and nobody elects. It keeps the
-// workspace's token bucket. The others ask it for what a request costs, and lease some
-// tokens ahead for the requests that follow, so that most are admitted without a question.
+// Each workspace has one coordinator among the live entries, chosen by rendezvous hashing of
+// workspace and address, so that no election is needed. The coordinator keeps the workspace's
+// token bucket. Other entries request the cost of a request from it and lease further tokens
+// ahead, so that most requests are admitted without a round trip.
 //
-// # Why the sum stays within the limit
+// # Staying within the limit
 //
-// Tokens leave the bucket before they are used, and leased ones count against its burst
-// until they are reported as used or have lapsed: a lost, late or doubled message wastes
-// tokens and makes none. A lease lapses by its holder's clock, counted from before it was
-// asked for, so that an entry which stood still wakes without credit. Where two entries
-// each believe to be the coordinator, each refills its bucket only by the share of the
-// known entries that it hears, and a bucket begins empty.
+// Tokens leave the bucket before they are used. Leased tokens count against its burst until
+// they are reported as used or the lease expires, so that lost, late or duplicate messages waste
+// tokens but never create any. The holder counts a lease from before it sent the request, and a
+// resumed process finds its leases expired. When a partition leaves a workspace with two
+// coordinators, each refills its bucket only by the share of the known entries that it can
+// reach. New buckets start empty.
 package ratelimit
 
 import (
@@ -22,19 +22,18 @@
 	"time"
 )
 
-// Limit is how fast a workspace may use what it is limited in: tokens of prompts and
-// answers, or requests.
+// Limit is the parameters of a token bucket, in the limit's unit.
 type Limit struct {
-	// PerSecond is the rate; zero for no limit.
+	// PerSecond is the refill rate; zero means no limit.
 	PerSecond float64
-	// Burst is how much may be used at once beyond the rate.
+	// Burst is how much may be used at once in excess of the rate.
 	Burst float64
 }
 
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Scaled is a share of the limit.
+// Scaled returns the given share of the limit.
 func (l Limit) Scaled(share float64) Limit {
 	return Limit{PerSecond: l.PerSecond * share, Burst: l.Burst * share}
 }
@@ -44,9 +43,9 @@
 
 // The units.
 const (
-	// Requests count one each.
+	// Requests counts each request as one.
 	Requests Unit = iota
-	// Tokens count a request by its prompt and the longest answer that it asks for.
+	// Tokens counts a request's prompt tokens plus its maximum output tokens.
 	Tokens
 )
 
@@ -58,41 +57,41 @@
 	return "requests"
 }
 
-// Policy are a workspace's limit with how its requests are counted.
+// Policy is a workspace's limit and how its requests are counted.
 type Policy struct {
 	Limit
 	Unit Unit
-	// DefaultCost is what a request counts that states no size.
+	// DefaultCost is the cost of a request that does not state its size.
 	DefaultCost int
 }
 
-// Cost is what a request counts; stated is set when it says its sizes. None is free: a
-// flood of requests without a size would never meet the limit.
-func (t Policy) Cost(stated bool, promptTokens, answerTokens int) float64 {
+// Cost returns the cost of a request; stated is set if it states its size. The cost is at least
+// one, so that no flood of requests is free.
+func (p Policy) Cost(stated bool, promptTokens, answerTokens int) float64 {
 	switch {
-	case t.Unit == Requests:
+	case p.Unit == Requests:
 		return 1
 	case !stated:
-		return math.Max(float64(t.DefaultCost), 1)
+		return math.Max(float64(p.DefaultCost), 1)
 	default:
 		return math.Max(float64(promptTokens)+float64(answerTokens), 1)
 	}
 }
 
-// leastBurst is the time of the rate that a bucket holds at least: without any, requests
-// would have to come evenly spaced.
-const leastBurst = 100 * time.Millisecond
+// minBurstTime is the least bucket capacity, as time at the refill rate. Without any, requests
+// would have to arrive evenly spaced.
+const minBurstTime = 100 * time.Millisecond
 
-// size is the bucket's.
-func (l Limit) size() float64 { return math.Max(l.Burst, l.PerSecond*leastBurst.Seconds()) }
+// capacity is the bucket's capacity.
+func (l Limit) capacity() float64 { return math.Max(l.Burst, l.PerSecond*minBurstTime.Seconds()) }
 
-// until is how long the rate takes to bring an amount.
-func (l Limit) until(amount float64) time.Duration {
+// refillTime is how long the rate takes to refill an amount, at most maxRetryDelay.
+func (l Limit) refillTime(amount float64) time.Duration {
 	if amount <= 0 || l.PerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(math.Min(amount/l.PerSecond, longestWait.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(amount/l.PerSecond, maxRetryDelay.Seconds()) * float64(time.Second))
 }
 
-// longestWait bounds the times to come back that callers are told.
-const longestWait = 10 * time.Second
+// maxRetryDelay bounds the retry delays given to callers.
+const maxRetryDelay = 10 * time.Second
--- a/internal/gateway/ratelimit/limiter.go
+++ b/internal/gateway/ratelimit/limiter.go
@@ -15,96 +15,98 @@
 )
 
 const (
-	// askTime is how long an answer is waited for: some round trips between availability
-	// zones, and a moment on a busy host.
-	askTime = 40 * time.Millisecond
-	// asks is how often the coordinator is asked before the next in rank is, and
-	// inPlaceRanks down to which rank one is asked: most processes may be killed at once.
-	asks         = 2
-	inPlaceRanks = 4
-	// quietAfter is after how many questions in a row without an answer an entry is not
-	// waited for, and quietFor how long.
-	quietAfter = 2
-	quietFor   = 2 * time.Second
-	// shortWait is the longest time that a request waits here for tokens: its caller would
-	// take longer to come back.
-	shortWait = 60 * time.Millisecond
-	// inPlaceShare is the part of a limit that the next in rank gives out while the
-	// coordinator does not answer an entry, inPlaceAtOnce the part of the burst that it
-	// begins with. ownShare is the part that all entries together use when nobody answers
-	// them. A coordinator that lives gives out the whole limit meanwhile: what comes to it
-	// stays within a tenth of what users count over some seconds.
-	inPlaceShare  = 0.06
-	inPlaceAtOnce = 0.3
-	ownShare      = 0.02
-	// inPlaceKept is how long after the last question it may begin with a burst again.
-	inPlaceKept = 10 * time.Second
-	// reportPeriod is how often it is looked whether use was not reported.
-	reportPeriod = 100 * time.Millisecond
+	// replyTimeout is how long to wait for a response: some round trips between availability
+	// zones, with a margin for a busy host.
+	replyTimeout = 40 * time.Millisecond
+	// coordinatorAttempts is how often the coordinator is tried before the entries with the
+	// next ranks, of which each is tried once. maxRanked bounds the number of entries tried,
+	// including the coordinator; more than one may be down.
+	coordinatorAttempts = 2
+	maxRanked           = 4
+	// missThreshold is the number of consecutive timeouts after which responses of an entry
+	// are not waited for, for missTimeout after the last one.
+	missThreshold = 2
+	missTimeout   = 2 * time.Second
+	// maxLocalWait is the longest retry delay for which a request waits in the entry instead
+	// of being refused.
+	maxLocalWait = 60 * time.Millisecond
+	// fallbackShare is the share of a limit that a fallback entry grants while the
+	// coordinator does not respond to some entry, fallbackBurstShare the share of the burst
+	// that it starts with. localShare is the share that all entries together grant by
+	// themselves when none responds. All three are small because the coordinator may be
+	// alive and grant the whole limit meanwhile.
+	fallbackShare      = 0.06
+	fallbackBurstShare = 0.3
+	localShare         = 0.02
+	// fallbackIdleTimeout is how long after its last request a fallback bucket starts with
+	// a burst again.
+	fallbackIdleTimeout = 10 * time.Second
+	// reportInterval is how often credits are checked for unreported use.
+	reportInterval = 100 * time.Millisecond
 )
 
-// Options are a limiter's surroundings.
+// Options configures a Limiter.
 type Options struct {
-	// Listen is where the entries' questions arrive; every entry has the same port.
+	// Listen is the address for messages of other entries. All entries use the same port.
 	Listen netip.AddrPort
-	// Incarnation tells this life of the process from others.
+	// Incarnation identifies this start of the process.
 	Incarnation uint64
-	// LimitOf returns a workspace's limit as it is in force here.
+	// LimitOf returns a workspace's current limit.
 	LimitOf func(workspace string) Limit
-	// Now is a clock that counts the time that the host was suspended.
+	// Now is a clock that includes time that the host was suspended.
 	Now func() time.Time
 }
 
-// Limiter is one entry's part in the limits: it admits the requests of its callers, and
-// coordinates the workspaces for which it ranks first. It is safe for concurrent use.
+// Limiter admits the requests of one entry's callers, and coordinates the workspaces for which
+// the entry has the highest rank. It is safe for concurrent use.
 type Limiter struct {
 	options Options
 	conn    *net.UDPConn
-	// transmit sends a datagram; one that cannot be sent is as good as lost.
+	// transmit sends a datagram. Errors are treated like lost messages.
 	transmit func(data []byte, to netip.AddrPort)
 	members  atomic.Pointer[Members]
-	// since is since when the set of living entries is as it is.
-	since atomic.Pointer[time.Time]
-	// share is the part of each limit that this entry gives out.
+	// liveSince is when the set of live entries last changed.
+	liveSince atomic.Pointer[time.Time]
+	// share is the share of each limit that this entry grants.
 	share atomic.Pointer[float64]
-	// shares are those of the last seconds; SetMembers alone uses them.
-	shares shares
-	// mine keeps the buckets that this entry coordinates, inPlace those that it keeps for
-	// entries whose coordinator does not answer, own those of its own callers when nobody
-	// answers it.
-	mine, inPlace, own *Coordinator
+	// shares holds recent shares; only SetMembers uses it.
+	shares shareHistory
+	// coordinator has the buckets that this entry coordinates, fallback those for entries
+	// whose coordinator does not respond, and local those for this entry's callers while no
+	// entry responds to it.
+	coordinator, fallback, local *Coordinator
 
-	mu      sync.Mutex
-	credits map[string]*credit
-	number  uint32
-	open    map[uint32]*question
-	misses  map[netip.AddrPort]miss
-	told    told
+	mu            sync.Mutex
+	credits       map[string]*credit
+	lastID        uint32
+	pending       map[uint32]*pendingRequest
+	misses        map[netip.AddrPort]miss
+	reportedKnown reportedKnown
 }
 
-// question awaits its answer.
-type question struct {
+// pendingRequest is a lease request without a response.
+type pendingRequest struct {
 	workspace string
 	to        netip.AddrPort
 	cost      float64
-	askedAt   time.Time
-	// answers takes the answer of one that is waited for; nil otherwise.
-	answers chan reply
+	sentAt    time.Time
+	// replies receives the response if a caller waits for it; nil otherwise.
+	replies chan reply
 }
 
-// reply is an answer as it came.
+// reply is a response as received.
 type reply struct {
 	LeaseResponse
-	notMine bool
+	notCoordinator bool
 }
 
-// miss counts questions in a row that an entry did not answer.
+// miss counts consecutive timeouts of requests to an entry.
 type miss struct {
 	count int
 	last  time.Time
 }
 
-// Open binds the address and begins to answer.
+// Open binds the listen address and returns a Limiter. The caller must run Serve.
 func Open(o Options) (*Limiter, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(o.Listen))
 	if err != nil {
@@ -117,88 +119,90 @@
 
 func newLimiter(o Options, transmit func([]byte, netip.AddrPort)) *Limiter {
 	l := &Limiter{
-		options: o, transmit: transmit, mine: NewCoordinator(keepFor), inPlace: NewCoordinator(inPlaceKept), own: NewCoordinator(inPlaceKept),
-		credits: map[string]*credit{}, open: map[uint32]*question{}, misses: map[netip.AddrPort]miss{},
+		options: o, transmit: transmit, coordinator: NewCoordinator(defaultIdleTimeout), fallback: NewCoordinator(fallbackIdleTimeout), local: NewCoordinator(fallbackIdleTimeout),
+		credits: map[string]*credit{}, pending: map[uint32]*pendingRequest{}, misses: map[netip.AddrPort]miss{},
 	}
 	now := o.Now()
 	l.members.Store(&Members{Self: o.Listen, AsOf: now, StartedAt: now})
-	l.since.Store(&now)
+	l.liveSince.Store(&now)
 	l.share.Store(new(float64))
 	return l
 }
 
-// Request is what a caller asks for.
+// Request is a caller's request for admission.
 type Request struct {
 	Workspace string
 	Limit     Limit
 	Cost      float64
-	// IsRetry is set when the caller was probably refused before, Patience is the longest
-	// time after which it would come back.
+	// IsRetry is set if the caller was probably refused before. MaxWait is the longest time
+	// after which it would retry.
 	IsRetry bool
 	MaxWait time.Duration
 }
 
-// Source says whose tokens a request was admitted by, or who refused it.
+// Source identifies who decided on a request.
 type Source string
 
 // The sources.
 const (
-	// Leased tokens were held here.
+	// Leased means that the request used leased tokens.
 	Leased Source = "leased"
-	// Coordinated decisions are those of the workspace's coordinator.
+	// Coordinated means that the workspace's coordinator decided.
 	Coordinated Source = "coordinator"
-	// Fallback ones are those of the next in rank, where the coordinator did not answer.
+	// Fallback means that an entry with a lower rank decided, because the coordinator did
+	// not respond.
 	Fallback Source = "in_place"
-	// OwnShare is the share that this entry has while nobody answers it.
+	// OwnShare means that the entry decided by its own share, because no entry responded.
 	OwnShare Source = "own_share"
-	// CachedRefusal is a refusal that was given to another caller a moment ago.
+	// CachedRefusal means that another caller was refused a moment ago.
 	CachedRefusal Source = "known_empty"
 )
 
-// Decision is whether a request may go on.
+// Decision is the result of Admit.
 type Decision struct {
 	Admitted bool
 	Source   Source
-	// Level is what the bucket held, as far as that was asked.
+	// Level is the bucket's level, if the bucket was asked.
 	Level float64
-	// RetryAfter is after what time the caller would be admitted.
+	// RetryAfter is the time after which a refused request would be admitted.
 	RetryAfter time.Duration
-	// Took is how long the decision took.
+	// Took is the duration of the decision.
 	Took time.Duration
-	// until is when leased tokens lapse.
-	until time.Time
+	// expiresAt is when tokens given back to the leases expire.
+	expiresAt time.Time
 }
 
-// Admit takes a request's cost out of its workspace's limit, or refuses the request.
+// Admit takes a request's cost from its workspace's limit, or refuses the request.
 func (l *Limiter) Admit(ctx context.Context, r Request) Decision {
-	began := l.options.Now()
-	d := l.admitHere(r, began)
+	start := l.options.Now()
+	d := l.admitLocally(r, start)
 	if d.Source == "" {
-		d = l.admitByOthers(ctx, r)
+		d = l.admitRemotely(ctx, r)
 	}
-	d.Took = l.options.Now().Sub(began)
+	d.Took = l.options.Now().Sub(start)
 	return d
 }
 
-// admitHere decides by what is held here; without a source it cannot.
-func (l *Limiter) admitHere(r Request, now time.Time) Decision {
+// admitLocally decides by leased tokens and cached refusals. It returns a Decision without a
+// Source if these do not suffice.
+func (l *Limiter) admitLocally(r Request, now time.Time) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.credit(r.Workspace)
-	c.note(r.Cost, now)
+	c.recordDemand(r.Cost, now)
 	if c.spend(r.Cost, now) {
-		if c.asksAhead(now) {
-			l.askAhead(r.Workspace, c, now)
+		if c.shouldLeaseAhead(now) {
+			l.leaseAhead(r.Workspace, c, now)
 		}
-		return Decision{Admitted: true, Source: Leased, until: now.Add(leaseFor / 2)}
+		return Decision{Admitted: true, Source: Leased, expiresAt: now.Add(leaseDuration / 2)}
 	}
-	if !r.IsRetry && now.Before(c.emptyUntil) {
-		return Decision{Source: CachedRefusal, RetryAfter: max(c.backAt.Sub(now), leastWait)}
+	if !r.IsRetry && now.Before(c.refusedUntil) {
+		return Decision{Source: CachedRefusal, RetryAfter: max(c.retryAt.Sub(now), minRetryDelay)}
 	}
 	return Decision{}
 }
 
-// credit returns what is held of a workspace. The caller holds mu.
+// credit returns a workspace's credit, creating it if needed. The caller holds mu.
 func (l *Limiter) credit(workspace string) *credit {
 	c := l.credits[workspace]
 	if c == nil {
@@ -208,28 +212,28 @@
 	return c
 }
 
-// admitByOthers asks the coordinator, then the next in rank, and at last goes by the share
-// that this entry has by itself.
-func (l *Limiter) admitByOthers(ctx context.Context, r Request) Decision {
-	ranked := l.members.Load().Ranked(r.Workspace, inPlaceRanks)
+// admitRemotely requests a decision from the coordinator, then from the entries with the next
+// ranks. If none responds it decides by the entry's own share.
+func (l *Limiter) admitRemotely(ctx context.Context, r Request) Decision {
+	ranked := l.members.Load().Ranked(r.Workspace, maxRanked)
 	for i, to := range ranked {
-		inPlace, times := i > 0, 1
-		if !inPlace {
-			times = asks
+		fallback, attempts := i > 0, 1
+		if !fallback {
+			attempts = coordinatorAttempts
 		}
-		for range times {
-			if answer, ok := l.ask(ctx, to, r, inPlace); ok {
-				return l.decide(ctx, r, answer, to, sourceOf(inPlace))
+		for range attempts {
+			if resp, ok := l.requestLease(ctx, to, r, fallback); ok {
+				return l.waitOrDecide(ctx, r, resp, to, sourceOf(fallback))
 			}
 		}
 	}
 	now := l.options.Now()
-	part := ownShare / float64(max(len(l.members.Load().Live), 1))
-	return l.conclude(r, l.own.Handle(r.Workspace, l.self(), l.nextAsk(r, now), r.Limit.Scaled(part), now, now), OwnShare)
+	share := localShare / float64(max(len(l.members.Load().Live), 1))
+	return l.decide(r, l.local.Handle(r.Workspace, l.self(), l.newRequest(r, now), r.Limit.Scaled(share), now, now), OwnShare)
 }
 
-func sourceOf(inPlace bool) Source {
-	if inPlace {
+func sourceOf(fallback bool) Source {
+	if fallback {
 		return Fallback
 	}
 	return Coordinated
@@ -239,30 +243,31 @@
 	return Holder{Address: l.options.Listen, Incarnation: l.options.Incarnation}
 }
 
-// decide takes in an answer. A request that would be admitted within a moment waits for it
-// once, and comes back in its caller's place.
-func (l *Limiter) decide(ctx context.Context, r Request, a LeaseResponse, from netip.AddrPort, source Source) Decision {
-	if a.Admitted || a.RetryDelay > shortWait || !sleep.For(ctx, a.RetryDelay) {
-		return l.conclude(r, a, source)
+// waitOrDecide returns the decision for a response. If the retry delay is short it waits and
+// retries once on the caller's behalf.
+func (l *Limiter) waitOrDecide(ctx context.Context, r Request, resp LeaseResponse, from netip.AddrPort, source Source) Decision {
+	if resp.Admitted || resp.RetryDelay > maxLocalWait || !sleep.For(ctx, resp.RetryDelay) {
+		return l.decide(r, resp, source)
 	}
 	r.IsRetry = true
-	again, ok := l.ask(ctx, from, r, source == Fallback)
+	second, ok := l.requestLease(ctx, from, r, source == Fallback)
 	if !ok {
-		return l.conclude(r, a, source)
+		return l.decide(r, resp, source)
 	}
-	return l.conclude(r, again, source)
+	return l.decide(r, second, source)
 }
 
-func (l *Limiter) conclude(r Request, a LeaseResponse, source Source) Decision {
-	if !a.Admitted {
+// decide returns the decision for a response, and records a refusal.
+func (l *Limiter) decide(r Request, resp LeaseResponse, source Source) Decision {
+	if !resp.Admitted {
 		l.mu.Lock()
-		l.credit(r.Workspace).empty(a.RetryDelay, l.options.Now())
+		l.credit(r.Workspace).recordRefusal(resp.RetryDelay, l.options.Now())
 		l.mu.Unlock()
 	}
-	return Decision{Admitted: a.Admitted, Source: source, Level: a.Level, RetryAfter: a.RetryDelay}
+	return Decision{Admitted: resp.Admitted, Source: source, Level: resp.Level, RetryAfter: resp.RetryDelay}
 }
 
-// GiveBack returns the cost of a request that was sent nowhere.
+// GiveBack refunds the cost of an admitted request that did not run.
 func (l *Limiter) GiveBack(r Request, d Decision) {
 	if !d.Admitted {
 		return
@@ -272,53 +277,53 @@
 	c := l.credit(r.Workspace)
 	switch d.Source {
 	case Leased:
-		c.unspend(r.Cost, d.until)
+		c.undoSpend(r.Cost, d.expiresAt)
 	case Coordinated:
-		c.returned += r.Cost
+		c.refunded += r.Cost
 	}
 }
 
-// Charge takes the cost of a run out that was not asked for: of leased tokens if there are
-// enough, else the coordinator hears of it afterwards.
+// Charge takes the cost of a run that is not subject to admission, from leased tokens if there
+// are enough. Otherwise the cost is reported to the coordinator as an overdraft.
 func (l *Limiter) Charge(r Request) {
 	now := l.options.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.credit(r.Workspace)
 	if !c.spend(r.Cost, now) {
-		c.extra += r.Cost
+		c.overdraft += r.Cost
 	}
 }
 
-// SetMembers takes in which entries live. Those that come back after a silence may have used
-// their part of each limit meanwhile: the part that this entry gives out was lowered when
-// they fell silent, and rises late.
+// SetMembers updates the set of entries. The share that this entry grants falls at once when
+// others become unreachable, but rises only after shareWindow, because entries that are reachable
+// again may have used their own share until now.
 func (l *Limiter) SetMembers(m *Members) {
 	l.mu.Lock()
-	m.ReportedKnown = l.told.most(m.AsOf)
+	m.ReportedKnown = l.reportedKnown.recentMax(m.AsOf)
 	l.mu.Unlock()
-	l.shares.add(m.inTouch(), m.AsOf)
-	part := min(l.shares.least(), m.Share(m.AsOf), m.ofTold())
-	l.share.Store(&part)
-	if before := l.members.Swap(m); sameEntries(before.Live, m.Live) {
+	l.shares.add(m.reachableShare(), m.AsOf)
+	share := min(l.shares.lowest(), m.Share(m.AsOf), m.reportedShare())
+	l.share.Store(&share)
+	if previous := l.members.Swap(m); sameEntries(previous.Live, m.Live) {
 		return
 	}
-	l.since.Store(&m.AsOf)
-	l.mine.Retain(func(workspace string) bool { return m.Coordinator(workspace) == m.Self })
+	l.liveSince.Store(&m.AsOf)
+	l.coordinator.Retain(func(workspace string) bool { return m.Coordinator(workspace) == m.Self })
 }
 
-// sameEntries reports whether two lists without repeats hold the same entries.
+// sameEntries reports whether two lists without duplicates have the same entries.
 func sameEntries(a, b []netip.AddrPort) bool {
 	return len(a) == len(b) && !slices.ContainsFunc(a, func(entry netip.AddrPort) bool { return !slices.Contains(b, entry) })
 }
 
-// Stats returns what this entry knows of the workspaces that it coordinates, and the part of
-// each limit that it gives out.
+// Stats returns the stats of the buckets that this entry coordinates, and the share of each limit
+// that it grants.
 func (l *Limiter) Stats() ([]BucketStats, float64) {
-	return l.mine.Stats(l.options.Now()), *l.share.Load()
+	return l.coordinator.Stats(l.options.Now()), *l.share.Load()
 }
 
-// Coordinator is the workspace's, as this entry knows; not valid when none is known.
+// Coordinator returns the workspace's coordinator; it is invalid if none is known.
 func (l *Limiter) Coordinator(workspace string) netip.AddrPort {
 	return l.members.Load().Coordinator(workspace)
 }
--- a/internal/gateway/ratelimit/members.go
+++ b/internal/gateway/ratelimit/members.go
@@ -10,43 +10,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Members are the entries that a process knows, as of a time.
+// Members is the set of entries that a process knows.
 type Members struct {
-	// AsOf is when this was known.
+	// AsOf is when the set was determined.
 	AsOf time.Time
-	// Self is this process; Live are the entries that it hears, itself among them unless it
-	// is stopping.
+	// Self is this process. Live are the reachable entries, including Self unless it is
+	// stopping.
 	Self netip.AddrPort
 	Live []netip.AddrPort
-	// Known is how many entries were heard lately, this one included, and Unreachable how many of
-	// them are not any more, without a word of leaving: they may live on out of touch, and
-	// use their share. One may be silent and still count as living.
+	// Known is the number of entries heard recently, including Self. Unreachable is how many
+	// of them missed heartbeats without announcing that they leave: they may be partitioned
+	// and use their share. An entry may count as both unreachable and live.
 	Known, Unreachable int
-	// ReportedKnown is how many entries others said lately that they know: a process that started
-	// while some were out of touch has not heard them itself.
+	// ReportedKnown is the largest Known that other entries reported recently. A process that
+	// started during a partition has not heard the entries beyond it.
 	ReportedKnown int
-	// HeardPeer is set once another entry was heard, or none is to be expected.
+	// HeardPeer is set once another entry was heard, or if none is expected.
 	HeardPeer bool
-	// StartedAt is when this process began to listen to the others.
+	// StartedAt is when this process began to listen to other entries.
 	StartedAt time.Time
 }
 
 const (
-	// settleFor is how long after its start an entry coordinates nothing for its own callers:
-	// others may still do, of whom it has not heard. Where all have started anew, all callers
-	// wait for that.
-	settleFor = 200 * time.Millisecond
-	// staleAfter is the age at which a picture of the members says nothing any more: the
-	// process has stood still.
-	staleAfter = time.Second
-	// aloneFor is how long an entry that has heard no other since its start takes only
-	// unheardShare: it may have started out of touch with many.
-	aloneFor     = 10 * time.Second
-	unheardShare = 1.0 / 8
+	// startupDelay is how long after its start an entry does not coordinate for its own
+	// callers, because it may not have heard the current coordinator.
+	startupDelay = 200 * time.Millisecond
+	// maxMembersAge is the age from which Members is outdated because the process was
+	// suspended.
+	maxMembersAge = time.Second
+	// isolationTime is how long an entry that has not heard any other since its start uses
+	// only isolatedShare: it may have started in a small partition.
+	isolationTime = 10 * time.Second
+	isolatedShare = 1.0 / 8
 )
 
-// rank is where an entry stands for a workspace, by the hash of its name; the highest is its
-// coordinator.
+// rank is an entry's rendezvous hash for a workspace's hash. The entry with the highest rank is
+// the workspace's coordinator.
 func rank(workspace uint64, entry netip.AddrPort) uint64 {
 	var key [8 + 16 + 2]byte
 	host := entry.Addr().As16()
@@ -56,29 +55,29 @@
 	return xxhash.Sum64(key[:])
 }
 
-// Coordinator is the workspace's coordinator; not valid when no entry is known.
+// Coordinator returns the workspace's coordinator; it is invalid if no entry is known.
 func (m *Members) Coordinator(workspace string) netip.AddrPort {
 	var first netip.AddrPort
 	var highest uint64
-	name := xxhash.Sum64String(workspace)
+	hash := xxhash.Sum64String(workspace)
 	for _, entry := range m.Live {
-		if r := rank(name, entry); !first.IsValid() || r > highest {
+		if r := rank(hash, entry); !first.IsValid() || r > highest {
 			first, highest = entry, r
 		}
 	}
 	return first
 }
 
-// Ranked returns the first n entries of a workspace's rank, or fewer.
+// Ranked returns up to n entries with the highest ranks for a workspace, highest first.
 func (m *Members) Ranked(workspace string, n int) []netip.AddrPort {
 	type ranked struct {
 		entry netip.AddrPort
 		rank  uint64
 	}
 	all := make([]ranked, len(m.Live))
-	name := xxhash.Sum64String(workspace)
+	hash := xxhash.Sum64String(workspace)
 	for i, entry := range m.Live {
-		all[i] = ranked{entry, rank(name, entry)}
+		all[i] = ranked{entry, rank(hash, entry)}
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
 	first := make([]netip.AddrPort, 0, n)
@@ -88,93 +87,89 @@
 	return first
 }
 
-// Share is the part of each limit that this process may give out: the part of the known
-// entries that it hears. Of two groups that are cut off from each other each so keeps to
-// its own part.
+// Share returns the share of each limit that this process may grant: the share of known entries
+// that it can reach. Each side of a partition thereby stays within its own share.
 func (m *Members) Share(now time.Time) float64 {
 	switch {
 	case len(m.Live) == 0:
 		return 0
-	case !m.HeardPeer && now.Sub(m.StartedAt) < aloneFor:
-		return unheardShare
+	case !m.HeardPeer && now.Sub(m.StartedAt) < isolationTime:
+		return isolatedShare
 	default:
-		return m.inTouch()
+		return m.reachableShare()
 	}
 }
 
-// inTouch is the part of the entries heard lately that are still heard.
-func (m *Members) inTouch() float64 { return float64(m.Known-m.Unreachable) / float64(m.Known) }
+// reachableShare is the share of known entries that are reachable.
+func (m *Members) reachableShare() float64 { return float64(m.Known-m.Unreachable) / float64(m.Known) }
 
-// ofTold is the part of the entries that others know which this process hears. It is low for
-// a moment after a start, and stays so where the process has started out of touch with many.
-func (m *Members) ofTold() float64 {
+// reportedShare is the share of the entries known to others that this process can reach. It is
+// low for a moment after a start, and stays low if the process started in a small partition.
+func (m *Members) reportedShare() float64 {
 	return min(float64(m.Known-m.Unreachable)/float64(max(m.ReportedKnown, 1)), 1)
 }
 
-// sharesFor is how long a share holds down those that follow: as long as others may take
-// entries for living that they no longer hear.
-const sharesFor = 3 * time.Second
+// shareWindow is how long a low share limits later ones: the time for which others may count
+// entries as live that they no longer hear.
+const shareWindow = 3 * time.Second
 
-// toldFor is how long it counts how many entries another process knows.
-const toldFor = 2 * time.Second
+// reportedKnownTTL is how long another process's report of its Known counts.
+const reportedKnownTTL = 2 * time.Second
 
-// told remembers how many entries others said that they know.
-type told struct {
+// reportedKnown tracks the largest Known that other processes reported.
+type reportedKnown struct {
 	known int
 	at    time.Time
 }
 
-// add takes in what one process said.
-func (t *told) add(known int, now time.Time) {
-	if known >= t.known || now.Sub(t.at) > toldFor {
-		t.known, t.at = min(known, mostEntries), now
+// add records one process's report.
+func (r *reportedKnown) add(known int, now time.Time) {
+	if known >= r.known || now.Sub(r.at) > reportedKnownTTL {
+		r.known, r.at = min(known, maxEntries), now
 	}
 }
 
-// most is the largest number that was said lately.
-func (t *told) most(now time.Time) int {
-	if now.Sub(t.at) > toldFor {
+// recentMax returns the largest recent report; zero if there is none.
+func (r *reportedKnown) recentMax(now time.Time) int {
+	if now.Sub(r.at) > reportedKnownTTL {
 		return 0
 	}
-	return t.known
+	return r.known
 }
 
-// mostEntries bounds what another process may say.
-const mostEntries = 10_000
+// maxEntries bounds the reports of other processes.
+const maxEntries = 10_000
 
-// shares remembers the shares of a time.
-type shares struct {
-	taken []share
+// shareHistory holds the shares within shareWindow.
+type shareHistory struct {
+	samples []shareSample
 }
 
-type share struct {
-	at   time.Time
-	part float64
+type shareSample struct {
+	at    time.Time
+	value float64
 }
 
-// add takes in the share that holds from now on.
-func (s *shares) add(part float64, now time.Time) {
-	for len(s.taken) > 0 && now.Sub(s.taken[0].at) > sharesFor {
-		s.taken = s.taken[1:]
+// add records the share that applies from now on.
+func (h *shareHistory) add(share float64, now time.Time) {
+	for len(h.samples) > 0 && now.Sub(h.samples[0].at) > shareWindow {
+		h.samples = h.samples[1:]
 	}
-	s.taken = append(s.taken, share{now, part})
+	h.samples = append(h.samples, shareSample{now, share})
 }
 
-// least is the lowest share of the time.
-//
-// The failure guarded against: entries that were cut off from each other meet others first.
-// For a while each of two groups counts entries that the other counts too, and both would
-// give out the whole limit.
-func (s *shares) least() float64 {
-	least := 1.0
-	for _, taken := range s.taken {
-		least = min(least, taken.part)
+// lowest returns the lowest share of the window. It guards against both sides of a healing
+// partition granting the whole limit while each counts entries that the other counts, too.
+func (h *shareHistory) lowest() float64 {
+	lowest := 1.0
+	for _, s := range h.samples {
+		lowest = min(lowest, s.value)
 	}
-	return least
+	return lowest
 }
 
-// CanCoordinate reports whether this process may coordinate: it has listened for long enough,
-// and has not stood still since.
+// CanCoordinate reports whether this process may coordinate: it has listened for startupDelay
+// and was not suspended since.
 func (m *Members) CanCoordinate(now time.Time) bool {
-	return now.Sub(m.StartedAt) >= settleFor && now.Sub(m.AsOf) < staleAfter
+	return now.Sub(m.StartedAt) >= startupDelay && now.Sub(m.AsOf) < maxMembersAge
 }
--- a/internal/gateway/ratelimit/message.go
+++ b/internal/gateway/ratelimit/message.go
@@ -7,44 +7,44 @@
 	peerv1 "github.com/toucanwell/toucanwell/api/peer/v1"
 )
 
-// maxDatagram bounds a message; it fits into one packet of an Ethernet network.
-const maxDatagram = 1400
+// maxDatagramSize bounds the size of a message, so that it fits into one Ethernet frame.
+const maxDatagramSize = 1400
 
-// mostTokens bounds an amount that a message states: more is no cost of a request.
-const mostTokens = 1 << 40
+// maxTokens bounds the amounts in a message; no request costs more.
+const maxTokens = 1 << 40
 
-func tokensOut(tokens float64) uint64 {
-	return uint64(math.Min(math.Max(tokens, 0), mostTokens))
+func encodeTokens(tokens float64) uint64 {
+	return uint64(math.Min(math.Max(tokens, 0), maxTokens))
 }
 
-func tokensIn(tokens uint64) float64 { return float64(min(tokens, mostTokens)) }
+func decodeTokens(tokens uint64) float64 { return float64(min(tokens, maxTokens)) }
 
-func msOut(d time.Duration) uint32 {
-	return uint32(min(max(d, 0), longestWait) / time.Millisecond)
+func encodeMs(d time.Duration) uint32 {
+	return uint32(min(max(d, 0), maxRetryDelay) / time.Millisecond)
 }
 
-func msIn(ms uint32) time.Duration {
-	return min(time.Duration(ms)*time.Millisecond, longestWait)
+func decodeMs(ms uint32) time.Duration {
+	return min(time.Duration(ms)*time.Millisecond, maxRetryDelay)
 }
 
-func askOut(a LeaseRequest, inPlace bool) *peerv1.RateAsk {
+func encodeRequest(r LeaseRequest, fallback bool) *peerv1.RateAsk {
 	return &peerv1.RateAsk{
-		Need: tokensOut(a.RequestCost), Want: tokensOut(a.Ahead), Spent: tokensOut(a.Spent), Returned: tokensOut(a.Refunded), Extra: tokensOut(a.Overdraft),
-		ComesBack: a.IsRetry, PatienceMs: msOut(a.MaxWait), InPlace: inPlace,
+		Need: encodeTokens(r.RequestCost), Want: encodeTokens(r.Ahead), Spent: encodeTokens(r.Spent), Returned: encodeTokens(r.Refunded), Extra: encodeTokens(r.Overdraft),
+		ComesBack: r.IsRetry, PatienceMs: encodeMs(r.MaxWait), InPlace: fallback,
 	}
 }
 
-func askIn(number uint32, m *peerv1.RateAsk) LeaseRequest {
+func decodeRequest(id uint32, m *peerv1.RateAsk) LeaseRequest {
 	return LeaseRequest{
-		ID: number, RequestCost: tokensIn(m.Need), Ahead: tokensIn(m.Want), Spent: tokensIn(m.Spent), Refunded: tokensIn(m.Returned), Overdraft: tokensIn(m.Extra),
-		IsRetry: m.ComesBack, MaxWait: msIn(m.PatienceMs),
+		ID: id, RequestCost: decodeTokens(m.Need), Ahead: decodeTokens(m.Want), Spent: decodeTokens(m.Spent), Refunded: decodeTokens(m.Returned), Overdraft: decodeTokens(m.Extra),
+		IsRetry: m.ComesBack, MaxWait: decodeMs(m.PatienceMs),
 	}
 }
 
-func answerOut(a LeaseResponse) *peerv1.RateAnswer {
-	return &peerv1.RateAnswer{Admitted: a.Admitted, Leased: tokensOut(a.Leased), WaitMs: msOut(a.RetryDelay), Level: tokensOut(a.Level)}
+func encodeResponse(r LeaseResponse) *peerv1.RateAnswer {
+	return &peerv1.RateAnswer{Admitted: r.Admitted, Leased: encodeTokens(r.Leased), WaitMs: encodeMs(r.RetryDelay), Level: encodeTokens(r.Level)}
 }
 
-func answerIn(number uint32, m *peerv1.RateAnswer) LeaseResponse {
-	return LeaseResponse{ID: number, Admitted: m.Admitted, Leased: tokensIn(m.Leased), RetryDelay: msIn(m.WaitMs), Level: tokensIn(m.Level)}
+func decodeResponse(id uint32, m *peerv1.RateAnswer) LeaseResponse {
+	return LeaseResponse{ID: id, Admitted: m.Admitted, Leased: decodeTokens(m.Leased), RetryDelay: decodeMs(m.WaitMs), Level: decodeTokens(m.Level)}
 }
