--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -54,7 +54,7 @@
 	if v.Estate == nil {
 		return 0, "", false
 	}
-	return v.Estate.Version, string(v.EstateText), true
+	return v.Estate.Version, string(v.RawEstate), true
 }
 
 // ready reports whether the process does its part: an entry takes callers, a
@@ -91,7 +91,7 @@
 	switch {
 	case t.Leaving:
 		return oas.TargetStateLeaving
-	case t.Doubtful || v.Silent[t.Address]:
+	case t.Unconfirmed || v.Unresponsive[t.Address]:
 		return oas.TargetStateSuspect
 	default:
 		return oas.TargetStateLive
@@ -157,12 +157,12 @@
 
 func rate(c *oas.PlacementCandidate, k *placement.Candidate, r *placement.Rating) {
 	inMs := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, inMs(r.Choice.Wait), inMs(r.Choice.Read), inMs(r.Choice.Fetch)
-	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.Held, r.Choice.Fetched, k.Work.Running, k.Version
-	if r.Filtered != "" {
-		c.Filtered = oas.NewOptString(r.Filtered)
+	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, inMs(r.Choice.Wait), inMs(r.Choice.Prefill), inMs(r.Choice.Fetch)
+	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.CachedTokens, r.Choice.FetchedTokens, k.Work.Running, k.Version
+	if r.FilterReason != "" {
+		c.Filtered = oas.NewOptString(r.FilterReason)
 	}
-	for mark, set := range map[string]bool{"rested": k.Rested, "emptying": k.Emptying, "other zone": !k.Near, "loads soon": k.Loads, "old weights": k.Behind > 0} {
+	for mark, set := range map[string]bool{"rested": k.Ejected, "emptying": k.Draining, "other zone": !k.SameZone, "loads soon": k.LoadScheduled, "old weights": k.StaleFor > 0} {
 		if set {
 			c.Marks = append(c.Marks, mark)
 		}
--- a/internal/gateway/adminlimits.go
+++ b/internal/gateway/adminlimits.go
@@ -21,7 +21,7 @@
 		byName[u.Workspace] = u
 	}
 	var all []oas.WorkspaceLimit
-	for _, w := range v.Estate.Limited() {
+	for _, w := range v.Estate.RateLimited() {
 		row := oas.WorkspaceLimit{
 			Workspace: w.Name, Unit: oas.WorkspaceLimitUnit(w.Rate.Unit.String()), PerSecond: w.Rate.PerSecond, Burst: w.Rate.Burst,
 			Coordinator: limiter.Coordinator(w.Name).String(),
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -58,9 +58,9 @@
 	// estateText is the record that the estate was read from.
 	estateText []byte
 	wanted     map[string]weights.History
-	words      map[fleet.Life]view.EngineWord
+	words      map[fleet.Incarnation]view.EngineReport
 	// unlisted are the reported lives that the list lacks.
-	unlisted map[fleet.Life]fleet.Standing
+	unlisted map[fleet.Incarnation]fleet.UnlistedState
 	// outageEnded is the end of the last outage that was logged.
 	outageEnded time.Time
 	// silent holds since when the sidecars of silent engines were heard last.
@@ -94,16 +94,16 @@
 func newBeliefs(s *Settings, p Platform, loop *control.Loop, clock *hostclock.Clock, logger logr.Logger, peers *http.Client, called func(string, time.Duration, error)) *beliefs {
 	b := &beliefs{
 		settings: s, platform: p, loop: loop, clock: clock, logger: logger, peers: peers,
-		directory: fleet.NewDirectory(), wanted: map[string]weights.History{}, words: map[fleet.Life]view.EngineWord{}, unlisted: map[fleet.Life]fleet.Standing{}, silent: map[netip.AddrPort]time.Time{},
+		directory: fleet.NewDirectory(), wanted: map[string]weights.History{}, words: map[fleet.Incarnation]view.EngineReport{}, unlisted: map[fleet.Incarnation]fleet.UnlistedState{}, silent: map[netip.AddrPort]time.Time{},
 		welcomed: map[netip.AddrPort]uint64{}, pulling: map[string]bool{}, pulledAt: map[string]time.Time{}, digests: map[string]uint64{}, refused: map[string]string{}, changed: func() {}, inForce: func(int64) {}, entryRefused: func() {},
 	}
-	b.operators = feed.NewFollower(loop, p.Operators(), feed.NewCopy(outageGap), feed.Options{
-		Name: topicOperators, Wait: operatorsWait, Reads: b.readsOperators, Changed: b.operatorsChanged,
-		Called: called, Regained: func() {}, Logger: logger, Now: clock.Now,
+	b.operators = feed.NewFollower(loop, p.Operators(), feed.NewReplica(outageGap), feed.Options{
+		Name: topicOperators, Wait: operatorsWait, ShouldRead: b.readsOperators, OnChange: b.operatorsChanged,
+		OnCall: called, OnRecovered: func() {}, Logger: logger, Now: clock.Now,
 	})
-	b.targets = feed.NewFollower(loop, p.Targets(), feed.NewCopy(outageGap), feed.Options{
-		Name: topicTargets, Reads: b.readsTargets, Changed: b.targetsChanged,
-		Called: called, Regained: b.operators.Again, Logger: logger, Now: clock.Now,
+	b.targets = feed.NewFollower(loop, p.Targets(), feed.NewReplica(outageGap), feed.Options{
+		Name: topicTargets, ShouldRead: b.readsTargets, OnChange: b.targetsChanged,
+		OnCall: called, OnRecovered: b.operators.RestartCall, Logger: logger, Now: clock.Now,
 	})
 	return b
 }
@@ -127,7 +127,7 @@
 
 func (b *beliefs) operatorsChanged(keys []string) {
 	for _, key := range keys {
-		r, ok := b.operators.Copy().Get(key)
+		r, ok := b.operators.Replica().Get(key)
 		if !ok {
 			continue
 		}
@@ -140,14 +140,14 @@
 		b.declare(d, r)
 	}
 	b.post()
-	b.mesh.Tell()
+	b.mesh.Broadcast()
 }
 
 func (b *beliefs) declare(d Declaration, r feed.Record) {
 	if d.Estate != nil && (b.estate == nil || d.Estate.Version > b.estate.Version) {
 		b.estate, b.estateText = d.Estate, r.Value
 		b.inForce(d.Estate.Version)
-		b.logger.Info("estate_in_force", "estate", d.Estate.Version, "offset", r.Offset, "routes", len(d.Estate.Routes()), "services", len(d.Estate.Services()), "stores", len(d.Estate.Stores()), "limited", len(d.Estate.Limited()))
+		b.logger.Info("estate_in_force", "estate", d.Estate.Version, "offset", r.Offset, "routes", len(d.Estate.Routes()), "services", len(d.Estate.Services()), "stores", len(d.Estate.Stores()), "limited", len(d.Estate.RateLimited()))
 	}
 	if d.Model == "" || d.Version <= b.wanted[d.Model].Newest() {
 		return
@@ -159,13 +159,13 @@
 func (b *beliefs) targetsChanged(keys []string) {
 	changed := false
 	for _, key := range keys {
-		r, ok := b.targets.Copy().Get(key)
+		r, ok := b.targets.Replica().Get(key)
 		if !ok {
 			delete(b.refused, key)
 			b.digestOf(key, 0)
-			if b.directory.Drop(key, b.listedAt()) {
+			if b.directory.Remove(key, b.listedAt()) {
 				changed = true
-				b.logger.Info("target_gone", "target", key, "end", b.targets.Copy().End())
+				b.logger.Info("target_gone", "target", key, "end", b.targets.Replica().End())
 			}
 			continue
 		}
@@ -202,15 +202,15 @@
 // list takes in a listing and reports whether it changed what matters.
 func (b *beliefs) list(l fleet.Listing, offset uint64) bool {
 	old, known := b.directory.Find(l.Instance)
-	returned := b.directory.Gone(old.Life)
-	if !b.directory.List(l, offset, b.clock.Now()) {
-		b.logger.Info("target_late_word", "target", l.Life, "newest", old.Life, "offset", offset)
+	returned := b.directory.Gone(old.Incarnation)
+	if !b.directory.Add(l, offset, b.clock.Now()) {
+		b.logger.Info("target_late_word", "target", l.Incarnation, "newest", old.Incarnation, "offset", offset)
 		return false
 	}
 	if known && !returned && listingDigest(&old.Listing) == listingDigest(&l) {
 		return false
 	}
-	b.logger.Info("target_listed", "target", l.Life, "service", l.Service, "address", l.Address, "zone", l.Zone,
+	b.logger.Info("target_listed", "target", l.Incarnation, "service", l.Service, "address", l.Address, "zone", l.Zone,
 		"leaving", l.Leaving, "weights", l.Weights, "returned", returned, "offset", offset)
 	return true
 }
@@ -229,14 +229,14 @@
 	following := b.following(now)
 	b.noteOutage(following)
 	v := &view.View{
-		Estate: b.estate, EstateText: b.estateText, Targets: b.directory.Targets(b.declared, now, following),
-		ListedAt: b.targets.Copy().CurrentAt(), DeclaredAt: b.currentAt(topicOperators), Engines: map[fleet.Life]view.EngineWord{}, Silent: map[netip.AddrPort]bool{}, Wanted: map[string]weights.History{},
-		Entries: 1 + len(b.mesh.Live(true)), EntriesBefore: b.entriesBefore(), Stopping: b.stopping, PicksFrom: b.picksFrom, EndsAt: b.endsAt,
+		Estate: b.estate, RawEstate: b.estateText, Targets: b.directory.Targets(b.declared, now, following),
+		TargetsCurrentAt: b.targets.Replica().CurrentAt(), EstateCurrentAt: b.currentAt(topicOperators), Engines: map[fleet.Incarnation]view.EngineReport{}, Unresponsive: map[netip.AddrPort]bool{}, Wanted: map[string]weights.History{},
+		EntryCount: 1 + len(b.mesh.Live(true)), EntryRank: b.entriesBefore(), Stopping: b.stopping, SelectiveFrom: b.picksFrom, ShutdownAt: b.endsAt,
 	}
 	b.sizeUp(v.Targets)
-	v.Large = b.large.Load()
+	v.LargeFleet = b.large.Load()
 	for life, word := range b.words {
-		if now.Sub(word.HeardAt) <= wordFor {
+		if now.Sub(word.ReceivedAt) <= wordFor {
 			v.Engines[life] = word
 		} else {
 			delete(b.words, life)
@@ -244,12 +244,12 @@
 	}
 	for address, heard := range b.silent {
 		if now.Sub(heard) <= wordFor {
-			v.Silent[address] = true
+			v.Unresponsive[address] = true
 		} else {
 			delete(b.silent, address)
 		}
 	}
-	b.noteUnlisted(v, b.directory.Correct(v.Targets, living(v.Engines), following, now))
+	b.noteUnlisted(v, b.directory.ApplyReports(v.Targets, living(v.Engines), following, now))
 	for model, w := range b.wanted {
 		v.Wanted[model] = w
 	}
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -44,7 +44,7 @@
 type caches struct {
 	process  *process
 	engine   *holdings.Follower
-	life     fleet.Life
+	life     fleet.Incarnation
 	stores   map[netip.AddrPort]*holdings.Follower
 	telling  map[*holdings.Follower]bool
 	newcomer map[netip.AddrPort]uint64
@@ -68,7 +68,7 @@
 }
 
 // followEngine follows the cache of the engine's present life.
-func (c *caches) followEngine(address netip.AddrPort, life fleet.Life) {
+func (c *caches) followEngine(address netip.AddrPort, life fleet.Incarnation) {
 	if life.Instance == "" || life == c.life {
 		return
 	}
@@ -93,16 +93,16 @@
 
 func (c *caches) follow(address netip.AddrPort, name string, room int) *holdings.Follower {
 	var f *holdings.Follower
-	f = holdings.Follow(name, c.process.loop, c.process.platform.Cache(address), holdings.NewCache(room), c.gather, func() { c.tellSoon(f) }, c.process.logger)
+	f = holdings.Follow(name, c.process.loop, c.process.platform.Cache(address), holdings.NewContents(room), c.gather, func() { c.tellSoon(f) }, c.process.logger)
 	return f
 }
 
 // gather is the least time between two questions to a cache.
 func (c *caches) gather() time.Duration {
 	if c.process.beliefs.large.Load() {
-		return holdings.GatherTimeAsked
+		return holdings.LocalPollInterval
 	}
-	return holdings.GatherTime
+	return holdings.BroadcastPollInterval
 }
 
 // chooseStores follows the stores that are this sidecar's to follow: each sidecar
@@ -165,7 +165,7 @@
 		return
 	}
 	for {
-		held := f.Cache.TakeChanged(toldParts)
+		held := f.Contents.TakeUpdates(toldParts)
 		if len(held) == 0 {
 			return
 		}
@@ -187,25 +187,25 @@
 	return all
 }
 
-func (c *caches) tell(f *holdings.Follower, held []holdings.Held) {
+func (c *caches) tell(f *holdings.Follower, held []holdings.CachedPart) {
 	if len(held) == 0 {
 		return
 	}
 	if f == c.engine {
 		for _, h := range held {
-			c.process.sidecar.tracker.Learn(h.Part, h.Tokens)
+			c.process.sidecar.tracker.SetCached(h.Part, h.Tokens)
 		}
 	}
 	if c.process.beliefs.large.Load() {
 		return
 	}
-	c.process.beliefs.mesh.TellEntries(func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
+	c.process.beliefs.mesh.BroadcastToEntries(func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
 }
 
 // repeat says a slice of each cache again.
 func (c *caches) repeat() {
 	for _, f := range c.all() {
-		c.tell(f, f.Cache.Repeat(min(f.Cache.Len()/repeatSlices+1, toldParts)))
+		c.tell(f, f.Contents.NextRefresh(min(f.Contents.Len()/repeatSlices+1, toldParts)))
 	}
 }
 
@@ -216,13 +216,13 @@
 	}
 	c.newcomer[m.Address] = m.Incarnation
 	for _, f := range c.all() {
-		for held := range slices.Chunk(f.Cache.All(newcomerParts), toldParts) {
-			c.process.beliefs.mesh.TellMember(m.Address, func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
+		for held := range slices.Chunk(f.Contents.List(newcomerParts), toldParts) {
+			c.process.beliefs.mesh.SendTo(m.Address, func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
 		}
 	}
 }
 
-func cacheState(f *holdings.Follower, held []holdings.Held) *peerv1.CacheState {
+func cacheState(f *holdings.Follower, held []holdings.CachedPart) *peerv1.CacheState {
 	state := &peerv1.CacheState{Cache: uint32(fleet.IDOf(f.Name))}
 	for _, h := range held {
 		state.Parts = append(state.Parts, uint32(h.Part))
--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/caches_test.go
@@ -16,10 +16,10 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/probe"
 )
 
-func heldParts(n int) []holdings.Held {
-	var held []holdings.Held
+func heldParts(n int) []holdings.CachedPart {
+	var held []holdings.CachedPart
 	for i := range n {
-		held = append(held, holdings.Held{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
+		held = append(held, holdings.CachedPart{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
 	}
 	return held
 }
@@ -41,27 +41,27 @@
 // What an entry is told of a cache is what the sidecar knows of it, and of work what the
 // other entry has.
 func TestToldStateIsHeardAlike(t *testing.T) {
-	e := &entry{parts: parts.NewBook(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
+	e := &entry{parts: parts.NewIndex(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
 	held := heldParts(3)
 	now := time.Unix(1000, 0)
-	e.learnCache(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
+	e.learnCache(&mesh.Member{Heartbeat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
 	for _, h := range held {
-		if got := e.parts.At(h.Part, h.Tokens, fleet.IDOf("c"), now); got != parts.Held {
+		if got := e.parts.StateAt(h.Part, h.Tokens, fleet.IDOf("c"), now); got != parts.Cached {
 			t.Errorf("part %d: state %v", h.Part, got)
 		}
 	}
-	work := ledger.Work{Running: 3, Reading: ledger.Lane(7, 250*time.Millisecond), Memory: ledger.Lane(2, 90_000)}
-	work.Reading[0] = time.Second
-	if got := probe.WorkIn(probe.LoadOut(1, work)); got != work {
+	work := ledger.Work{Running: 3, Prefill: ledger.AtPriority(7, 250*time.Millisecond), Memory: ledger.AtPriority(2, 90_000)}
+	work.Prefill[0] = time.Second
+	if got := probe.DecodeLoad(probe.EncodeLoad(1, work)); got != work {
 		t.Errorf("%+v, want %+v", got, work)
 	}
 }
 
 // BenchmarkLearnCache is what it costs an entry to take in one part of a cache's word.
 func BenchmarkLearnCache(b *testing.B) {
-	e := &entry{parts: parts.NewBook(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
-	member := &mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, heldParts(toldParts))}}
-	b.ReportMetric(float64(proto.Size(member.Beat))/toldParts, "bytes/part")
+	e := &entry{parts: parts.NewIndex(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
+	member := &mesh.Member{Heartbeat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, heldParts(toldParts))}}
+	b.ReportMetric(float64(proto.Size(member.Heartbeat))/toldParts, "bytes/part")
 	for b.Loop() {
 		e.learnCache(member, time.Unix(1000, 0))
 	}
@@ -74,10 +74,10 @@
 	for i := range 200 {
 		page.Changes = append(page.Changes, holdings.Change{Scope: "1.m.7.town", Part: fmt.Sprintf("part-%d", i), Tokens: 3000})
 	}
-	cache := holdings.NewCache(0)
+	cache := holdings.NewContents(0)
 	for b.Loop() {
 		cache.Apply(page)
-		cache.TakeChanged(len(page.Changes))
+		cache.TakeUpdates(len(page.Changes))
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(len(page.Changes)), "ns/change")
 }
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -21,7 +21,7 @@
 }
 
 func (b *beliefs) position(name string, f *feed.Follower, digest uint64) *peerv1.TopicPosition {
-	current, at := b.currentAt(name), f.Copy().Position()
+	current, at := b.currentAt(name), f.Replica().Position()
 	return &peerv1.TopicPosition{
 		Topic: name, End: at.End, SeenFrom: at.SeenFrom, DropEnd: at.DropEnd, AgeMs: uint32(b.clock.Now().Sub(current).Milliseconds()),
 		Unknown: current.IsZero(), Digest: digest,
@@ -32,11 +32,11 @@
 // that waits at the store is answered by the first record; as long as the store
 // answers other reads, none has come.
 func (b *beliefs) currentAt(topic string) time.Time {
-	own := b.targets.Copy().CurrentAt()
+	own := b.targets.Replica().CurrentAt()
 	if topic == topicTargets {
 		return own
 	}
-	at := b.operators.Copy().CurrentAt()
+	at := b.operators.Replica().CurrentAt()
 	if b.waitsForOperators() && !at.IsZero() && own.After(at) {
 		return own
 	}
@@ -46,7 +46,7 @@
 // heard takes in how far another process's copies are, and fetches what this
 // one lacks.
 func (b *beliefs) heard(m *mesh.Member) {
-	for _, p := range m.Beat.Topics {
+	for _, p := range m.Heartbeat.Topics {
 		if p.Unknown {
 			b.welcome(m, p.Topic)
 			continue
@@ -62,7 +62,7 @@
 // compare takes in how far a peer's copy of a topic is: this one is as new as the peer's, or
 // fetches what it lacks.
 func (b *beliefs) compare(peer netip.AddrPort, f *feed.Follower, p *peerv1.TopicPosition) {
-	c := f.Copy()
+	c := f.Replica()
 	at := b.clock.Now().Add(-time.Duration(p.AgeMs) * time.Millisecond)
 	theirs := feed.Position{End: p.End, SeenFrom: p.SeenFrom, DropEnd: p.DropEnd}
 	same := p.End == c.End()
@@ -71,7 +71,7 @@
 	}
 	switch {
 	case same && c.End() > 0 && c.CoveredBy(theirs):
-		c.Confirm(at)
+		c.MarkCurrent(at)
 	case !same && p.End > c.End():
 		b.pull(peer, p.Topic, f)
 	}
@@ -81,11 +81,11 @@
 // otherwise hear of it with a later heartbeat, and read the store itself before.
 func (b *beliefs) welcome(m *mesh.Member, topic string) {
 	f := b.follower(topic)
-	if f == nil || f.Copy().CurrentAt().IsZero() || b.welcomed[m.Address] == m.Incarnation {
+	if f == nil || f.Replica().CurrentAt().IsZero() || b.welcomed[m.Address] == m.Incarnation {
 		return
 	}
 	b.welcomed[m.Address] = m.Incarnation
-	b.mesh.TellMember(m.Address, func(*peerv1.Beat) {})
+	b.mesh.SendTo(m.Address, func(*peerv1.Beat) {})
 }
 
 func (b *beliefs) follower(topic string) *feed.Follower {
@@ -111,29 +111,29 @@
 		return
 	}
 	b.pulling[topic], b.pulledAt[topic] = true, now
-	offset := f.Copy().End()
+	offset := f.Replica().End()
 	const timeout = 800 * time.Millisecond
-	control.Do(b.loop, timeout, func(ctx context.Context) (mesh.Answer, error) {
+	control.Do(b.loop, timeout, func(ctx context.Context) (mesh.TopicPage, error) {
 		return mesh.Fetch(ctx, b.peers, from, topic, offset)
-	}, func(a mesh.Answer, err error) {
+	}, func(a mesh.TopicPage, err error) {
 		b.pulling[topic] = false
 		if err != nil {
 			b.logger.Info("fetch_failed", "topic", topic, "peer", from, "error", err.Error())
 			return
 		}
 		if a.End > 0 {
-			f.Adopt(a.Page, offset, b.clock.Now().Add(-a.Age))
+			f.ApplyPage(a.Page, offset, b.clock.Now().Add(-a.Age))
 		}
 	})
 }
 
 // answer serves another process's fetch.
-func (b *beliefs) answer(topic string, from uint64) (mesh.Answer, bool) {
+func (b *beliefs) answer(topic string, from uint64) (mesh.TopicPage, bool) {
 	f := b.follower(topic)
-	if f == nil || f.Copy().CurrentAt().IsZero() {
-		return mesh.Answer{}, false
+	if f == nil || f.Replica().CurrentAt().IsZero() {
+		return mesh.TopicPage{}, false
 	}
-	return mesh.Answer{
-		Page: f.Copy().Since(from), Age: b.clock.Now().Sub(b.currentAt(topic)),
+	return mesh.TopicPage{
+		Page: f.Replica().PageFrom(from), Age: b.clock.Now().Sub(b.currentAt(topic)),
 	}, true
 }
--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -76,7 +76,7 @@
 		if b.entriesBefore() == 0 || d.lease.Held(now) {
 			d.hold(now)
 		}
-		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceWoken() > freshAfter {
+		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceResume() > freshAfter {
 			d.orders.Step(engines, model, wanted, d.token)
 		}
 	}
@@ -96,10 +96,10 @@
 	for _, targets := range v.Targets {
 		for i := range targets {
 			t := &targets[i]
-			if _, serves := t.Weights[model]; !serves || t.Leaving || t.Doubtful {
+			if _, serves := t.Weights[model]; !serves || t.Leaving || t.Unconfirmed {
 				continue
 			}
-			found = append(found, weights.RemoteEngine{Life: t.Life, Engine: d.engineAt(t.Address), Versions: t.Weights})
+			found = append(found, weights.RemoteEngine{Incarnation: t.Incarnation, Engine: d.engineAt(t.Address), Versions: t.Weights})
 		}
 	}
 	return found
@@ -115,11 +115,11 @@
 // hold takes or keeps the lease.
 func (d *deputy) hold(now time.Time) {
 	switch d.lease.Next(now) {
-	case lease.Look:
+	case lease.ReadRecord:
 		control.Do(d.process.loop, leaseTimeout, d.process.platform.Lease, func(r lease.Record, err error) {
-			d.lease.Looked(r, err, d.process.clock.Now())
+			d.lease.ReadDone(r, err, d.process.clock.Now())
 		})
-	case lease.Write:
+	case lease.WriteRecord:
 		d.write()
 	case lease.Wait:
 	}
@@ -129,7 +129,7 @@
 }
 
 func (d *deputy) write() {
-	holder, end := d.lease.Holder(), d.lease.End()
+	holder, end := d.lease.Holder(), d.lease.NextOffset()
 	type result struct {
 		offset uint64
 		added  bool
@@ -140,7 +140,7 @@
 	}, func(r result, err error) {
 		now := d.process.clock.Now()
 		held := d.lease.Held(now)
-		d.lease.Wrote(r.offset, r.added, err, now)
+		d.lease.WriteDone(r.offset, r.added, err, now)
 		if d.lease.Held(now) != held {
 			d.process.logger.Info("order_lease", "held", d.lease.Held(now), "offset", r.offset, "added", r.added, "end", end)
 		}
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -32,9 +32,9 @@
 type entry struct {
 	beliefs   *beliefs
 	ledger    *ledger.Ledger
-	parts     *parts.Book
-	health    *health.Book
-	reach     *reach.Book
+	parts     *parts.Index
+	health    *health.Monitor
+	reach     *reach.Monitor
 	pool      *upstream.Pool
 	forwarder *forward.Forwarder
 	suspects  *suspects
@@ -50,8 +50,8 @@
 }
 
 func newEntry(p *process) *entry {
-	e := &entry{beliefs: p.beliefs, ledger: ledger.New(), parts: parts.NewBook(), reach: &reach.Book{}, caches: map[fleet.ID]time.Time{}, changed: map[fleet.ID]bool{}}
-	e.health = health.NewBook(func(life fleet.Life, until time.Time, failures, others float64, outcome health.Outcome) {
+	e := &entry{beliefs: p.beliefs, ledger: ledger.New(), parts: parts.NewIndex(), reach: &reach.Monitor{}, caches: map[fleet.ID]time.Time{}, changed: map[fleet.ID]bool{}}
+	e.health = health.NewMonitor(func(life fleet.Incarnation, until time.Time, failures, others float64, outcome health.Outcome) {
 		p.logger.Info("target_rested", "target", life, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
 			"failures", math.Round(100*failures)/100, "others", math.Round(100*others)/100, "outcome", outcome.String())
 	})
@@ -59,11 +59,11 @@
 	e.suspects = newSuspects(p)
 	e.forwarder = forward.New(forward.Deps{
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
-		Quarantine: e.suspects.book, Endings: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
+		Quarantine: e.suspects.book, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds: forward.Bounds{
-			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, Version: p.settings.Bounds.Weights.Duration,
+			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.Weights.Duration,
 		},
-		Zone: p.settings.AvailabilityZone, Logger: p.logger, Ordinary: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, TellWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
+		Zone: p.settings.AvailabilityZone, Logger: p.logger, RoutineLogger: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, AnnounceWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
 	})
 	return e
 }
@@ -119,7 +119,7 @@
 // so that the balancer turns to others.
 func (e *entry) ready() bool {
 	v, ok := e.currentView()
-	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.CutOff(e.beliefs.clock.Now())
+	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.Partitioned(e.beliefs.clock.Now())
 }
 
 // compose adds to a heartbeat what other entries want to know.
@@ -130,11 +130,11 @@
 
 func (e *entry) composeWork(beat *peerv1.Beat) {
 	if e.beliefs.large.Load() {
-		e.parts.DropFresh()
+		e.parts.DropUpdates()
 		return
 	}
 	for target, w := range e.ledger.Own(e.beliefs.clock.Now()) {
-		beat.Loads = append(beat.Loads, probe.LoadOut(target, w))
+		beat.Loads = append(beat.Loads, probe.EncodeLoad(target, w))
 	}
 }
 
@@ -169,9 +169,9 @@
 
 func (e *entry) tellChanged() {
 	now := e.beliefs.clock.Now()
-	e.beliefs.mesh.TellEntries(func(beat *peerv1.Beat) {
+	e.beliefs.mesh.BroadcastToEntries(func(beat *peerv1.Beat) {
 		for target := range e.changed {
-			beat.Loads = append(beat.Loads, probe.LoadOut(target, e.ledger.OwnAt(target, now)))
+			beat.Loads = append(beat.Loads, probe.EncodeLoad(target, e.ledger.OwnAt(target, now)))
 		}
 		beat.Parts = e.freshFacts()
 	})
@@ -181,7 +181,7 @@
 // freshFacts returns what the other entries were not told yet of parts.
 func (e *entry) freshFacts() []*peerv1.PartHeld {
 	var facts []*peerv1.PartHeld
-	for _, f := range e.parts.TakeFresh(maxFacts) {
+	for _, f := range e.parts.TakeUpdates(maxFacts) {
 		facts = append(facts, &peerv1.PartHeld{Part: uint32(f.Part), Target: uint32(f.Target), Done: f.Done})
 	}
 	return facts
@@ -190,15 +190,15 @@
 func (e *entry) heard(m *mesh.Member) {
 	now := e.beliefs.clock.Now()
 	if !m.Entry {
-		e.reach.Heard(now)
+		e.reach.HeartbeatReceived(now)
 	}
 	if m.Entry && e.limits != nil {
 		e.limits.heard(m)
 	}
 	if m.Entry {
-		e.ledger.Told(m.Address, loadsOf(m.Beat), m.Beat.Partial, now)
-		for _, p := range m.Beat.Parts {
-			e.parts.Told(parts.Fact{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
+		e.ledger.ApplyReport(m.Address, loadsOf(m.Heartbeat), m.Heartbeat.Partial, now)
+		for _, p := range m.Heartbeat.Parts {
+			e.parts.Apply(parts.Update{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
 		}
 		e.suspects.heard(m)
 	}
@@ -214,7 +214,7 @@
 
 // learnCache takes in what a cache holds by its own word.
 func (e *entry) learnCache(m *mesh.Member, now time.Time) {
-	c := m.Beat.Cache
+	c := m.Heartbeat.Cache
 	if c == nil || len(c.Parts) != len(c.Tokens) {
 		return
 	}
@@ -224,14 +224,14 @@
 	}
 	e.caches[fleet.ID(c.Cache)] = now
 	for i, part := range c.Parts {
-		e.parts.Learn(fleet.ID(c.Cache), parts.Key(part), int(c.Tokens[i]), now)
+		e.parts.RecordReport(fleet.ID(c.Cache), parts.Key(part), int(c.Tokens[i]), now)
 	}
 }
 
 func loadsOf(beat *peerv1.Beat) map[fleet.ID]ledger.Work {
 	loads := make(map[fleet.ID]ledger.Work, len(beat.Loads))
 	for _, l := range beat.Loads {
-		loads[fleet.ID(l.Target)] = probe.WorkIn(l)
+		loads[fleet.ID(l.Target)] = probe.DecodeLoad(l)
 	}
 	return loads
 }
--- a/internal/gateway/forward/answer.go
+++ b/internal/gateway/forward/answer.go
@@ -52,7 +52,7 @@
 // entry stops or is cut off: a kept connection stays with its entry. The view is
 // read anew, because the process may have begun to stop since.
 func (fl *flow) sendElsewhere(header http.Header) {
-	if v, ok := fl.View(); ok && v.Stopping || fl.Reach.CutOff(fl.Now()) {
+	if v, ok := fl.View(); ok && v.Stopping || fl.Reach.Partitioned(fl.Now()) {
 		header.Set("Connection", "close")
 	}
 }
--- a/internal/gateway/forward/dark.go
+++ b/internal/gateway/forward/dark.go
@@ -94,7 +94,7 @@
 		w.again(darkCheck)
 		return
 	}
-	w.fl.Logger.Info("send_given_up", "request_id", w.fl.request.ID, "target", w.to.target.Life, "cause", errDark.Error())
+	w.fl.Logger.Info("send_given_up", "request_id", w.fl.request.ID, "target", w.to.target.Incarnation, "cause", errDark.Error())
 	w.cancel(errDark)
 }
 
@@ -115,7 +115,7 @@
 
 // isDark reports whether an engine's sidecar says that the engine does not answer it.
 func (fl *flow) isDark(ctx context.Context, to *destination) bool {
-	if v, ok := fl.View(); ok && v.Silent[to.target.Address] {
+	if v, ok := fl.View(); ok && v.Unresponsive[to.target.Address] {
 		return true
 	}
 	if !to.probed {
--- a/internal/gateway/forward/explain.go
+++ b/internal/gateway/forward/explain.go
@@ -42,7 +42,7 @@
 // Explain decides on a request of a workspace as if it came now. Nothing is sent
 // and nothing is kept of it.
 func (f *Forwarder) Explain(ctx context.Context, host, path, workspace string, request wire.Request) (*Explanation, *errkind.Error) {
-	fl := &flow{Forwarder: f, arrived: time.Now(), request: request, excluded: map[fleet.Life]bool{}}
+	fl := &flow{Forwarder: f, arrived: time.Now(), request: request, excluded: map[fleet.Incarnation]bool{}}
 	var ok bool
 	if fl.view, ok = f.View(); !ok || fl.view.Estate == nil {
 		return nil, errkind.After(errkind.ConfigurationMissing, noEstateRetry, "")
@@ -54,7 +54,7 @@
 		return nil, errkind.New(errkind.UnknownWorkspace, "%q", workspace)
 	}
 	x := &Explanation{
-		Route: fl.routeName(), Service: fl.serviceName(), Estate: fl.estateVersion(), ListAge: fl.since(fl.view.ListedAt),
+		Route: fl.routeName(), Service: fl.serviceName(), Estate: fl.estateVersion(), ListAge: fl.since(fl.view.TargetsCurrentAt),
 		Targets: fl.view.Targets[fl.service.Name],
 	}
 	to, refusal := fl.choose(ctx)
@@ -62,7 +62,7 @@
 	if to != nil {
 		x.Chosen = to.target.Instance
 	}
-	if fl.service.Engine != nil && fl.route.Prompted {
+	if fl.service.Engine != nil && fl.route.HasPrompts {
 		x.rate(ctx, fl)
 	}
 	return x, nil
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -51,7 +51,7 @@
 	RetrySlack float64
 	// Version is the age of wanted weights from which no request begins on
 	// older ones.
-	Version time.Duration
+	MaxStaleness time.Duration
 }
 
 // Deps are what a forwarder needs.
@@ -60,13 +60,13 @@
 	View     func() (*view.View, bool)
 	Pool     *upstream.Pool
 	Ledger   *ledger.Ledger
-	Parts    *parts.Book
-	Health   *health.Book
-	Reach    *reach.Book
+	Parts    *parts.Index
+	Health   *health.Monitor
+	Reach    *reach.Monitor
 	// Quarantine holds what is known of requests that were under way when targets ended,
 	// Endings tells such ends from others.
-	Quarantine *quarantine.Book
-	Endings    *quarantine.Endings
+	Quarantine    *quarantine.Registry
+	CrashDetector *quarantine.CrashDetector
 	// Sidecars answer for engines in large fleets; nil where probes are off.
 	Sidecars Sidecars
 	// Limits keep workspaces within their rate limits; nil where there are none.
@@ -76,11 +76,11 @@
 	Logger logr.Logger
 	// Ordinary writes lines of what goes well. Under load they are dropped before
 	// the others.
-	Ordinary logr.Logger
-	Metrics  Metrics
+	RoutineLogger logr.Logger
+	Metrics       Metrics
 	// TellWork tells the other entries at once of the work at a target.
-	TellWork func(target fleet.ID)
-	Now      func() time.Time
+	AnnounceWork func(target fleet.ID)
+	Now          func() time.Time
 	// Seed makes this entry's random choices its own.
 	Seed uint64
 }
@@ -89,7 +89,7 @@
 // that were sent there.
 type Sidecars interface {
 	// Ask returns the answers in the order of the engines, with which of them came.
-	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Answer, []bool)
+	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Response, []bool)
 	// Sent returns the number under which the prompt's progress is told.
 	Sent(engine netip.AddrPort, s probe.Send) uint32
 	Progressed(engine netip.AddrPort, number uint32, p probe.Progress)
@@ -129,15 +129,15 @@
 	inFlight atomic.Int64
 	random   atomic.Uint64
 	budgets  sync.Map // service to *retry.Budget
-	readTime *readtime.Meter
-	paces    *readtime.Paces
-	turnover parts.Turnover
+	readTime *readtime.Predictor
+	paces    *readtime.Slowdowns
+	turnover parts.RetentionEstimator
 	usual    usualTimes
 }
 
 // New returns a forwarder.
 func New(d Deps) *Forwarder {
-	f := &Forwarder{Deps: d, readTime: readtime.New(), paces: readtime.NewPaces()}
+	f := &Forwarder{Deps: d, readTime: readtime.NewPredictor(), paces: readtime.NewSlowdowns()}
 	f.random.Store(d.Seed)
 	return f
 }
@@ -165,9 +165,9 @@
 	most := f.Bounds.RetrySlack * slackShare / float64(max(entries, 1))
 	b, ok := f.budgets.Load(service)
 	if !ok {
-		b, _ = f.budgets.LoadOrStore(service, retry.NewBudgetOf(most))
+		b, _ = f.budgets.LoadOrStore(service, retry.NewBudgetWithLimit(most))
 	}
-	b.(*retry.Budget).SetMost(most)
+	b.(*retry.Budget).SetLimit(most)
 	return b.(*retry.Budget)
 }
 
@@ -183,9 +183,9 @@
 	request   wire.Request
 	body      []byte
 	// print names the request across its caller's tries.
-	print quarantine.Print
+	print quarantine.Fingerprint
 	// standing is what was held against it at the last look.
-	standing quarantine.Standing
+	standing quarantine.Status
 	arrived  time.Time
 	deadline time.Time
 	retries  *retry.Budget
@@ -197,7 +197,7 @@
 	// totals is the work at all targets, as the last choice saw it.
 	totals map[fleet.ID]ledger.Work
 	// excluded targets are not tried again.
-	excluded map[fleet.Life]bool
+	excluded map[fleet.Incarnation]bool
 	// lastEvent is the event that the caller has; begun is set once it has any
 	// byte of the answer.
 	lastEvent string
@@ -291,7 +291,7 @@
 	if refusal := fl.readBody(fl.view.Estate.Limits.BodyBytes); refusal != nil {
 		return refusal
 	}
-	fl.print = quarantine.PrintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
+	fl.print = quarantine.FingerprintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
 	return fl.mayRun()
 }
 
@@ -301,8 +301,8 @@
 	if fl.route = e.Match(host, path); fl.route == nil {
 		return errkind.New(errkind.UnknownRoute, "host %q, path %q", host, path)
 	}
-	fl.service = e.Service(fl.route.Backend(float64(xxhash.Sum64String(fl.request.ID)>>11) / (1 << 53)))
-	fl.retries = fl.budget(fl.service.Name, fl.view.Entries)
+	fl.service = e.Service(fl.route.PickBackend(float64(xxhash.Sum64String(fl.request.ID)>>11) / (1 << 53)))
+	fl.retries = fl.budget(fl.service.Name, fl.view.EntryCount)
 	fl.deadline = fl.arrived.Add(noDeadline)
 	fl.returns = fl.usual.returns(fl.route.Name, fl.request.TimeLeft)
 	if fl.request.TimeLeft > 0 {
@@ -328,10 +328,10 @@
 func (fl *flow) mayOutlast() *errkind.Error {
 	v := fl.view
 	longest := min(fl.timeLeft(), readingTime+time.Duration(fl.request.MaxTokens)*tokenTime)
-	if !v.Stopping || fl.arrived.Before(v.PicksFrom) || time.Now().Add(longest).Before(v.EndsAt) {
+	if !v.Stopping || fl.arrived.Before(v.SelectiveFrom) || time.Now().Add(longest).Before(v.ShutdownAt) {
 		return nil
 	}
-	return errkind.After(errkind.Stopping, fl.comeBack(elsewherePause), "the entry ends in %s", time.Until(v.EndsAt).Round(time.Millisecond))
+	return errkind.After(errkind.Stopping, fl.comeBack(elsewherePause), "the entry ends in %s", time.Until(v.ShutdownAt).Round(time.Millisecond))
 }
 
 const (
@@ -383,8 +383,8 @@
 // run sends the request until it is answered, or until no further send is
 // possible. A nil result means that the caller has the answer.
 func (fl *flow) run(ctx context.Context) *errkind.Error {
-	fl.excluded = map[fleet.Life]bool{}
-	fl.lastEvent = fl.request.LastEvent
+	fl.excluded = map[fleet.Incarnation]bool{}
+	fl.lastEvent = fl.request.LastEventID
 	var last *errkind.Error
 	for {
 		if refusal := fl.mayStart(ctx, last); refusal != nil {
@@ -465,7 +465,7 @@
 	if fl.begun && !(fl.route.Resumable && fl.lastEvent != "") {
 		return false // a new run would begin the stream again
 	}
-	return v.notRun || fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts
+	return v.notRun || fl.route.Retryable() && fl.runs < fl.route.MaxAttempts
 }
 
 // comeBack spreads a time to come back by half, so that callers who were
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -190,7 +190,7 @@
 	serve := func(self **target) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			(*self).streamHead(w, r)
-			if last := r.Header.Get(wiretest.LastEvent); last != "" {
+			if last := r.Header.Get(wiretest.LastEventID); last != "" {
 				if last != "2" {
 					t.Errorf("the rest was asked for after event %s", last)
 				}
@@ -428,8 +428,8 @@
 func TestEntryThatIsCutOffRefusesAtOnce(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	w := startWorld(t, tg)
-	w.Reach.Heard(time.Now().Add(-time.Second))
-	w.Reach.Failed(time.Now())
+	w.Reach.HeartbeatReceived(time.Now().Add(-time.Second))
+	w.Reach.ConnectFailed(time.Now())
 	resp, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil {
 		t.Fatal(err)
@@ -452,7 +452,7 @@
 	var tg *target
 	tg = startTarget(t, "i1", func(w io.Writer, r *http.Request, _ string) bool { return tg.whole(w, r, 200, "answer") })
 	w := startWorld(t, tg)
-	w.view.Stopping, w.view.PicksFrom, w.view.EndsAt = true, time.Now(), time.Now().Add(time.Second)
+	w.view.Stopping, w.view.SelectiveFrom, w.view.ShutdownAt = true, time.Now(), time.Now().Add(time.Second)
 	resp, body, err := w.ask(t, "/again/x", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "stopping") {
 		t.Errorf("a request of two seconds: %v %s %v", resp, body, err)
@@ -469,8 +469,8 @@
 func TestPromptWhoseCallerWouldLeaveIsRefused(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	w := startWorld(t, tg)
-	w.view.Estate.Match(host, "/prompt/").Patience = 300 * time.Millisecond
-	busy := w.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Reading: ledger.Lane(0, 2*time.Second)}, time.Hour, time.Now())
+	w.view.Estate.Match(host, "/prompt/").MaxWait = 300 * time.Millisecond
+	busy := w.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Prefill: ledger.AtPriority(0, 2*time.Second)}, time.Hour, time.Now())
 	defer busy.End()
 	resp, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "deadline_unmeetable") || resp.Header.Get("Retry-After") == "" {
--- a/internal/gateway/forward/limited.go
+++ b/internal/gateway/forward/limited.go
@@ -19,7 +19,7 @@
 	}
 	terms := fl.workspace.Rate
 	fl.use = ratelimit.Request{
-		Workspace: fl.workspace.Name, Limit: terms.Limit, Cost: terms.Cost(fl.request.Sized, fl.request.PromptTokens, fl.request.MaxTokens),
+		Workspace: fl.workspace.Name, Limit: terms.Limit, Cost: terms.Cost(fl.request.HasSizes, fl.request.PromptTokens, fl.request.MaxTokens),
 		IsRetry: fl.returns, MaxWait: time.Duration(patienceShare * float64(fl.timeLeft())),
 	}
 	d := fl.Limits.Admit(fl.r.Context(), fl.use)
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -63,7 +63,7 @@
 		return min(aloneWait, time.Duration(aloneShare*float64(fl.timeLeft())))
 	}
 	wait := min(maxPlaceWait, time.Duration(waitShare*float64(fl.timeLeft())))
-	if fl.view.Large && fl.route.Prompted && fl.route.TargetLatency > 0 {
+	if fl.view.LargeFleet && fl.route.HasPrompts && fl.route.TargetLatency > 0 {
 		wait = min(wait, time.Duration(unnoticedShare*float64(fl.route.TargetLatency)))
 	}
 	return wait
@@ -97,9 +97,9 @@
 	now := fl.Now()
 	for i, k := range to.keys {
 		held, coming := false, false
-		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
-			held = held || s == parts.Held
-			coming = coming || s == parts.Coming
+		fl.Parts.VisitLocations(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
+			held = held || s == parts.Cached
+			coming = coming || s == parts.InProgress
 		})
 		if !held {
 			return coming
@@ -109,10 +109,10 @@
 }
 
 func (fl *flow) choose(ctx context.Context) (*destination, *errkind.Error) {
-	if fl.service.Engine != nil && fl.Reach.CutOff(fl.Now()) {
+	if fl.service.Engine != nil && fl.Reach.Partitioned(fl.Now()) {
 		return nil, errkind.After(errkind.CutOff, fl.comeBack(elsewherePause), "no engine and no sidecar was heard lately")
 	}
-	if fl.service.Engine != nil && fl.route.Prompted {
+	if fl.service.Engine != nil && fl.route.HasPrompts {
 		return fl.chooseEngine(ctx)
 	}
 	return fl.choosePlain()
@@ -122,12 +122,12 @@
 // availability zone with the least work, else the least loaded elsewhere.
 func (fl *flow) choosePlain() (*destination, *errkind.Error) {
 	totals := fl.Ledger.Totals(fl.Now())
-	rested := fl.Health.Rested(fl.Now())
+	rested := fl.Health.Ejected(fl.Now())
 	best, lowest := -1, math.Inf(1)
 	targets := fl.view.Targets[fl.service.Name]
 	for i := range targets {
 		t := &targets[i]
-		if t.Leaving || fl.excluded[t.Life] {
+		if t.Leaving || fl.excluded[t.Incarnation] {
 			continue
 		}
 		if fl.mustAvoid(t) {
@@ -141,7 +141,7 @@
 		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "no target of %s", fl.service.Name)
 	}
 	to := &destination{target: targets[best], work: ledger.Work{Running: 1}}
-	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
+	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		to.patience = fl.timeLeft() / 2
 	}
 	return to, nil
@@ -160,20 +160,20 @@
 	doubtfulRequests = 100
 )
 
-func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, rested map[fleet.Life]time.Time) float64 {
+func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, rested map[fleet.Incarnation]time.Time) float64 {
 	cost := float64(w.Running) + fl.uniform()/2
 	if key := fl.apartKey(); key != 0 {
 		cost = placement.Rank(key, t.Hash)
-	} else if fl.view.Large {
+	} else if fl.view.LargeFleet {
 		cost += fl.uniform() * blindSpread
 	}
 	if t.Zone != fl.Zone && fl.apartKey() == 0 {
 		cost += farRequests
 	}
-	if t.Doubtful {
+	if t.Unconfirmed {
 		cost += doubtfulRequests
 	}
-	if _, ok := rested[t.Life]; ok {
+	if _, ok := rested[t.Incarnation]; ok {
 		cost += restedRequests
 	}
 	if over := w.Running + 1 - t.Slots; t.Slots > 0 && over > 0 {
@@ -193,7 +193,7 @@
 			if p.saved() {
 				to.saveTo = ""
 			}
-			to.coming = p.coming && to.choice.Held+to.choice.Fetched < q.Shared
+			to.coming = p.coming && to.choice.CachedTokens+to.choice.FetchedTokens < q.SharedTokens
 		}
 		return to, refusal
 	}
@@ -202,7 +202,7 @@
 }
 
 // settle turns a choice among candidates into a destination, or into a refusal.
-func (fl *flow) settle(q *placement.Question, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
+func (fl *flow) settle(q *placement.Input, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
 	if choice.Index < 0 {
 		return nil, errkind.After(errkind.NoTarget, fl.comeBack(fl.noEnginePause(q)), "no engine of %s may take the request now", fl.service.Name)
 	}
@@ -212,8 +212,8 @@
 	c := &candidates[choice.Index]
 	to := fl.toEngine(targets[choice.Index], c, choice, q)
 	to.carry = choice.Fetch
-	if choice.Fetched == 0 && choice.FetchFrom.IsValid() {
-		missing := probableShare * float64(max(q.Shared-choice.Held, 0))
+	if choice.FetchedTokens == 0 && choice.FetchFrom.IsValid() {
+		missing := probableShare * float64(max(q.SharedTokens-choice.CachedTokens, 0))
 		to.carry = time.Duration(c.Source.FetchMs(int(missing)) * float64(time.Millisecond))
 	}
 	return to, nil
@@ -224,8 +224,8 @@
 const fullPause = 1500 * time.Millisecond
 
 // noEnginePause is when a caller comes back whose prompt no engine may take.
-func (fl *flow) noEnginePause(q *placement.Question) time.Duration {
-	if q.MemoryShare > 0 {
+func (fl *flow) noEnginePause(q *placement.Input) time.Duration {
+	if q.MaxMemoryShare > 0 {
 		return fullPause
 	}
 	return retryPause
@@ -234,10 +234,10 @@
 // firstEventWithin is the time within which the first event must come: callers of
 // streams leave before their deadline when none does.
 func (fl *flow) firstEventWithin() time.Duration {
-	if fl.route.Patience == 0 {
+	if fl.route.MaxWait == 0 {
 		return fl.timeLeft()
 	}
-	return min(fl.timeLeft(), fl.route.Patience-time.Since(fl.arrived))
+	return min(fl.timeLeft(), fl.route.MaxWait-time.Since(fl.arrived))
 }
 
 // candidates are the engines of the prompt's service, in the order of the view.
@@ -247,7 +247,7 @@
 	candidates := make([]placement.Candidate, len(targets))
 	totals := fl.Ledger.Totals(fl.Now())
 	fl.totals = totals
-	rested := fl.Health.Rested(fl.Now())
+	rested := fl.Health.Ejected(fl.Now())
 	kept := fl.keptFor(targets, totals)
 	schedule := fl.schedule(targets)
 	prompts := fl.promptsByVersion(kept)
@@ -255,31 +255,31 @@
 		t := &targets[i]
 		c := &candidates[i]
 		*c = placement.Candidate{
-			Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone,
-			Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Emptying: fl.view.Phase(t) == weights.Draining, Version: fl.view.Version(t, fl.request.Model),
+			Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone,
+			Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Draining: fl.view.Phase(t) == weights.Draining, Version: fl.view.Version(t, fl.request.Model),
 			Slots: t.Slots, Memory: fl.service.Engine.CacheTokens, Work: totals[t.ID],
 		}
-		c.LoadsIn, c.Loads = schedule[t.Life]
-		c.Pace = fl.paces.Of(t.Life, fl.Now())
-		c.Behind = wanted.StaleFor(c.Version, fl.Now())
+		c.LoadStartsIn, c.LoadScheduled = schedule[t.Incarnation]
+		c.Slowdown = fl.paces.Factor(t.Incarnation, fl.Now())
+		c.StaleFor = wanted.StaleFor(c.Version, fl.Now())
 		if c.Slots == 0 {
 			c.Slots = fl.service.Engine.Slots
 		}
-		_, c.Rested = rested[t.Life]
-		c.Rested = c.Rested || t.Doubtful || fl.view.Silent[t.Address]
+		_, c.Ejected = rested[t.Incarnation]
+		c.Ejected = c.Ejected || t.Unconfirmed || fl.view.Unresponsive[t.Address]
 		prompts.at(c.Version).addTo(c, t)
 	}
 	return candidates
 }
 
 // schedule returns in how long engines load the weights that operators want.
-func (fl *flow) schedule(targets []fleet.Target) map[fleet.Life]time.Duration {
+func (fl *flow) schedule(targets []fleet.Target) map[fleet.Incarnation]time.Duration {
 	wanted := fl.view.Wanted[fl.request.Model].Newest()
 	engines := make([]weights.EngineView, len(targets))
 	behind := false
 	for i := range targets {
 		t := &targets[i]
-		engines[i] = weights.EngineView{Life: t.Life, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
+		engines[i] = weights.EngineView{Incarnation: t.Incarnation, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
 		behind = behind || engines[i].Version < wanted
 	}
 	if !behind {
@@ -292,26 +292,26 @@
 func (fl *flow) keptFor(targets []fleet.Target, totals map[fleet.ID]ledger.Work) time.Duration {
 	running := 0
 	for i := range targets {
-		running += totals[targets[i].ID].Memory.All()
+		running += totals[targets[i].ID].Memory.Total()
 	}
 	room := fl.service.Engine.CacheTokens - running/max(len(targets), 1)
-	return fl.turnover.Kept(fl.view.Entries, len(targets), max(room, 0), fl.Now())
+	return fl.turnover.Retention(fl.view.EntryCount, len(targets), max(room, 0), fl.Now())
 }
 
-func (fl *flow) question() *placement.Question {
-	q := &placement.Question{Aim: fl.route.TargetLatency - time.Since(fl.arrived), VersionBound: fl.Bounds.Version, FarCost: placement.FarCost, ReadTime: fl.readTime.Of, MaxTokens: fl.request.MaxTokens}
-	q.Urgency, q.LateUrgency = fl.urgency(false), fl.urgency(true)
-	q.Apart = fl.apartKey()
+func (fl *flow) question() *placement.Input {
+	q := &placement.Input{Objective: fl.route.TargetLatency - time.Since(fl.arrived), MaxStaleness: fl.Bounds.MaxStaleness, CrossZoneCost: placement.CrossZoneCost, PrefillTime: fl.readTime.PrefillTime, MaxTokens: fl.request.MaxTokens}
+	q.Priority, q.LatePriority = fl.urgency(false), fl.urgency(true)
+	q.PinKey = fl.apartKey()
 	for i, p := range fl.request.Parts {
 		if i < len(fl.request.Parts)-1 {
-			q.Shared += p.Tokens
+			q.SharedTokens += p.Tokens
 			q.Family = xxhash.Sum64String(p.ID)
 		}
 		if i == 0 {
-			q.Outer = xxhash.Sum64String(fl.isolated() + "\x00" + p.ID)
+			q.FirstPart = xxhash.Sum64String(fl.isolated() + "\x00" + p.ID)
 		}
 	}
-	q.Own = max(fl.request.PromptTokens-q.Shared, 0)
+	q.OwnTokens = max(fl.request.PromptTokens-q.SharedTokens, 0)
 	return q
 }
 
@@ -319,19 +319,19 @@
 // on the mean: callers state bounds, not lengths.
 const answerShare = 2
 
-func (fl *flow) toEngine(t fleet.Target, c *placement.Candidate, choice placement.Choice, q *placement.Question) *destination {
+func (fl *flow) toEngine(t fleet.Target, c *placement.Candidate, choice placement.Choice, q *placement.Input) *destination {
 	scope := fl.scopeAt(c.Version)
 	keys := parts.Keys(scope, fl.request.Parts)
-	slower := max(c.Pace, 1)
+	slower := max(c.Slowdown, 1)
 	to := &destination{
 		slower:   slower,
-		expected: time.Duration(float64(choice.Wait+choice.Read)/slower) + choice.Fetch,
+		expected: time.Duration(float64(choice.Wait+choice.Prefill)/slower) + choice.Fetch,
 		target:   t, scope: scope, weights: c.Version, choice: choice, fetchFrom: choice.FetchFrom, keys: keys, saveTo: fl.saveTo(keys, q),
-		work: ledger.Work{Running: 1, Reading: ledger.Lane(choice.Urgency, choice.Read)},
+		work: ledger.Work{Running: 1, Prefill: ledger.AtPriority(choice.Priority, choice.Prefill)},
 	}
-	to.intake = choice.ReadTokens + choice.Fetched + q.MaxTokens/answerShare
-	to.work.Memory = ledger.Lane(choice.Urgency, to.intake)
-	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
+	to.intake = choice.PrefillTokens + choice.FetchedTokens + q.MaxTokens/answerShare
+	to.work.Memory = ledger.AtPriority(choice.Priority, to.intake)
+	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		to.patience = patience(choice, fl.timeLeft())
 	}
 	return to
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -36,7 +36,7 @@
 	// taken are the engines that were asked, by their index among the service's targets.
 	taken      map[int]bool
 	targets    []fleet.Target
-	answers    []probe.Answer
+	answers    []probe.Response
 	known      []bool
 	candidates []placement.Candidate
 	choice     placement.Choice
@@ -47,40 +47,40 @@
 // probeEngines asks the sidecars of a prompt's first engines, and of others when those
 // are busy. It returns nil when none answers: entries then go by the list and by what
 // they sent themselves.
-func (fl *flow) probeEngines(ctx context.Context, q *placement.Question) *probes {
-	if !fl.view.Large || fl.Sidecars == nil {
+func (fl *flow) probeEngines(ctx context.Context, q *placement.Input) *probes {
+	if !fl.view.LargeFleet || fl.Sidecars == nil {
 		return nil
 	}
-	q.FarCost = placement.FarCostAsked
+	q.CrossZoneCost = placement.CrossZoneCostProbed
 	switch {
 	case fl.route.Priority == 0: // engines make room for them
 	case fl.returns:
-		q.MemoryShare = placement.ReturnMemoryShare
+		q.MaxMemoryShare = placement.RetryMemoryShare
 	default:
-		q.MemoryShare = placement.LaterMemoryShare
+		q.MaxMemoryShare = placement.LowPriorityMemoryShare
 	}
 	p := &probes{fl: fl, taken: map[int]bool{}}
 	ranked := fl.ranked()
-	if q.Apart != 0 {
+	if q.PinKey != 0 {
 		return p.askApart(ctx, q, ranked)
 	}
-	p.askMore(ctx, placement.Shortlist(q.Outer, q.Family, ranked, familyRanks, nearRanks))
+	p.askMore(ctx, placement.Shortlist(q.FirstPart, q.Family, ranked, familyRanks, nearRanks))
 	if !p.any() {
 		return nil
 	}
 	p.pick(q)
-	if p.choice.Index >= 0 && !p.choice.Late && p.choice.Estimate <= time.Duration(busyShare*float64(q.Aim)) {
+	if p.choice.Index >= 0 && !p.choice.Late && p.choice.Estimate <= time.Duration(busyShare*float64(q.Objective)) {
 		return p
 	}
-	p.askMore(ctx, placement.Draw(ranked, p.taken, spreadRanks, fl.uniform))
+	p.askMore(ctx, placement.Sample(ranked, p.taken, spreadRanks, fl.uniform))
 	p.pick(q)
 	return p
 }
 
 // askApart asks for the engines that rank first for a request that is kept apart, the same
 // ones at every entry.
-func (p *probes) askApart(ctx context.Context, q *placement.Question, ranked []placement.Ranked) *probes {
-	p.askMore(ctx, placement.Shortlist(q.Apart, q.Apart, ranked, familyRanks, 0))
+func (p *probes) askApart(ctx context.Context, q *placement.Input, ranked []placement.RankedEngine) *probes {
+	p.askMore(ctx, placement.Shortlist(q.PinKey, q.PinKey, ranked, familyRanks, 0))
 	if !p.any() {
 		return nil
 	}
@@ -89,14 +89,14 @@
 }
 
 // ranked are the engines of the prompt's service, as the ranking needs them.
-func (fl *flow) ranked() []placement.Ranked {
+func (fl *flow) ranked() []placement.RankedEngine {
 	targets := fl.view.Targets[fl.service.Name]
-	rested := fl.Health.Rested(fl.Now())
-	ranked := make([]placement.Ranked, len(targets))
+	rested := fl.Health.Ejected(fl.Now())
+	ranked := make([]placement.RankedEngine, len(targets))
 	for i := range targets {
 		t := &targets[i]
-		_, ill := rested[t.Life]
-		ranked[i] = placement.Ranked{Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || ill || t.Doubtful || fl.excluded[t.Life] || fl.view.Silent[t.Address]}
+		_, ill := rested[t.Incarnation]
+		ranked[i] = placement.RankedEngine{Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || ill || t.Unconfirmed || fl.excluded[t.Incarnation] || fl.view.Unresponsive[t.Address]}
 	}
 	return ranked
 }
@@ -118,7 +118,7 @@
 }
 
 // pick makes candidates of the answers and chooses among them.
-func (p *probes) pick(q *placement.Question) {
+func (p *probes) pick(q *placement.Input) {
 	p.adoptLives()
 	p.coming = false
 	prompts := map[int64]*prompt{}
@@ -130,15 +130,15 @@
 		}
 		prompts[c.Version].addTo(&c, &p.targets[i])
 		p.candidates[i] = c
-		p.coming = p.coming || p.known[i] && p.answers[i].Coming
+		p.coming = p.coming || p.known[i] && p.answers[i].PrefillInProgress
 	}
 	p.choice = placement.Pick(q, p.candidates)
 }
 
 // wordOf is what a sidecar answered; its report's age is unknown when it did not.
-func (p *probes) wordOf(i int) probe.Answer {
+func (p *probes) wordOf(i int) probe.Response {
 	if !p.known[i] {
-		return probe.Answer{ReportAge: unknownAge}
+		return probe.Response{ReportAge: unknownAge}
 	}
 	return p.answers[i]
 }
@@ -148,9 +148,9 @@
 func (p *probes) adoptLives() {
 	for i := range p.targets {
 		t := &p.targets[i]
-		if life := p.answers[i].Life; p.known[i] && life.Instance != "" && life != t.Life {
+		if life := p.answers[i].Incarnation; p.known[i] && life.Instance != "" && life != t.Incarnation {
 			listing := t.Listing
-			listing.Life = life
+			listing.Incarnation = life
 			*t = fleet.NewTarget(listing)
 		}
 	}
@@ -161,24 +161,24 @@
 func (p *probes) candidate(i int) placement.Candidate {
 	fl, t, a := p.fl, &p.targets[i], &p.answers[i]
 	c := placement.Candidate{
-		Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t),
+		Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t),
 		Version: fl.view.Version(t, fl.request.Model), Slots: t.Slots, Memory: fl.service.Engine.CacheTokens,
 	}
 	if c.Slots == 0 {
 		c.Slots = fl.service.Engine.Slots
 	}
 	if p.known[i] {
-		c.Work, c.Arriving, c.Pace, c.Held = a.Work, a.Arriving, a.Pace, a.Held
-		c.Loading, c.Emptying = a.Phase == weights.Loading, a.Phase == weights.Draining
-		c.Rested = a.Ill || a.ReportAge > reportStale || t.Doubtful
+		c.Work, c.OfferedLoad, c.Slowdown, c.CachedTokens = a.Work, a.OfferedLoad, a.Slowdown, a.CachedTokens
+		c.Loading, c.Draining = a.Phase == weights.Loading, a.Phase == weights.Draining
+		c.Ejected = a.Unhealthy || a.ReportAge > reportStale || t.Unconfirmed
 		c.Excluded = c.Excluded || a.Phase == weights.Unresponsive
-		if version, ok := a.Weights[fl.request.Model]; ok {
+		if version, ok := a.WeightVersions[fl.request.Model]; ok {
 			c.Version = version
 		}
 	} else {
-		c.Work, c.Rested = fl.Ledger.OwnAt(t.ID, fl.Now()), true
+		c.Work, c.Ejected = fl.Ledger.OwnAt(t.ID, fl.Now()), true
 	}
-	c.Behind = fl.view.Wanted[fl.request.Model].StaleFor(c.Version, fl.Now())
+	c.StaleFor = fl.view.Wanted[fl.request.Model].StaleFor(c.Version, fl.Now())
 	return c
 }
 
@@ -189,18 +189,18 @@
 // most of a prompt, also of one that is never saved. Asked before an engine that surely
 // holds the part that all prompts of a route begin with, they brought nothing, and each
 // engine read that part anew after each load of weights.
-func (p *probes) lookUp(q *placement.Question, version int64) *prompt {
+func (p *probes) lookUp(q *placement.Input, version int64) *prompt {
 	fl := p.fl
 	out := &prompt{held: map[fleet.ID]int{}, shared: fl.sharedTokens()}
 	for i := range p.targets {
 		t, a := &p.targets[i], &p.answers[i]
-		if !p.known[i] || a.Held == 0 || a.Weights[fl.request.Model] != version {
+		if !p.known[i] || a.CachedTokens == 0 || a.WeightVersions[fl.request.Model] != version {
 			continue
 		}
-		out.held[t.ID] = a.Held
+		out.held[t.ID] = a.CachedTokens
 		if a.Phase != weights.Unresponsive && a.ReportAge <= reportStale {
 			out.sources = append(out.sources, source{
-				id: t.ID, address: t.Address, zone: t.Zone, peer: true, tokens: a.Held, rate: fl.linkRate(fl.service.Engine.LinkMbps),
+				id: t.ID, address: t.Address, zone: t.Zone, peer: true, tokens: a.CachedTokens, rate: fl.linkRate(fl.service.Engine.LinkMbps),
 			})
 		}
 	}
@@ -217,12 +217,12 @@
 	fl := p.fl
 	for i := range p.answers {
 		a := &p.answers[i]
-		if !a.Holder.IsValid() || a.Weights[fl.request.Model] != version || p.asked(a.Holder) {
+		if !a.Holder.IsValid() || a.WeightVersions[fl.request.Model] != version || p.asked(a.Holder) {
 			continue
 		}
 		targets := fl.view.Targets[fl.service.Name]
 		at := slices.IndexFunc(targets, func(t fleet.Target) bool { return t.Address == a.Holder })
-		if at < 0 || fl.view.Silent[a.Holder] {
+		if at < 0 || fl.view.Unresponsive[a.Holder] {
 			continue
 		}
 		out.sources = append(out.sources, source{
@@ -264,12 +264,12 @@
 
 // saved reports whether one of the engines has saved the prompt's parts lately.
 func (p *probes) saved() bool {
-	return slices.ContainsFunc(p.answers, func(a probe.Answer) bool { return a.Saved })
+	return slices.ContainsFunc(p.answers, func(a probe.Response) bool { return a.Offloaded })
 }
 
 // sharedParts names the prompt's shared parts.
 func (fl *flow) sharedParts() probe.Prompt {
-	p := probe.Prompt{Model: fl.request.Model, Isolated: fl.isolated()}
+	p := probe.Prompt{Model: fl.request.Model, IsolatedWorkspace: fl.isolated()}
 	if n := len(fl.request.Parts) - 1; n > 0 {
 		p.Parts = fl.request.Parts[:n]
 	}
@@ -287,12 +287,12 @@
 		return
 	}
 	to.number = fl.Sidecars.Sent(to.target.Address, probe.Send{
-		Prompt: fl.sharedParts(), Weights: to.weights, Read: time.Duration(to.slower * float64(fl.readTime.Occupies(to.choice.ReadTokens))),
-		Urgency: to.choice.Urgency, Memory: to.choice.Held + to.intake, Saved: to.saveTo != "",
+		Prompt: fl.sharedParts(), WeightVersion: to.weights, PrefillTime: time.Duration(to.slower * float64(fl.readTime.BlockingTime(to.choice.PrefillTokens))),
+		Priority: to.choice.Priority, Memory: to.choice.CachedTokens + to.intake, Offloaded: to.saveTo != "",
 		Lifetime: min(fl.timeLeft(), to.choice.Estimate+time.Duration(fl.request.MaxTokens)*tokenTime+lifetimeMargin),
 	})
-	if to.first != to.target.Address && to.choice.ReadTokens > fl.request.PromptTokens-fl.sharedTokens() {
-		to.firstNumber = fl.Sidecars.Sent(to.first, probe.Send{Prompt: fl.sharedParts(), Weights: to.weights, Saved: to.saveTo != "", Holder: to.target.Address})
+	if to.first != to.target.Address && to.choice.PrefillTokens > fl.request.PromptTokens-fl.sharedTokens() {
+		to.firstNumber = fl.Sidecars.Sent(to.first, probe.Send{Prompt: fl.sharedParts(), WeightVersion: to.weights, Offloaded: to.saveTo != "", Holder: to.target.Address})
 	}
 }
 
@@ -301,9 +301,9 @@
 	if !to.probed {
 		return
 	}
-	read := probe.Progress{Read: true}
-	if to.choice.ReadTokens > 0 {
-		read.Took, read.Expected = time.Since(fl.sentAt), to.expected
+	read := probe.Progress{PrefillDone: true}
+	if to.choice.PrefillTokens > 0 {
+		read.Latency, read.ExpectedLatency = time.Since(fl.sentAt), to.expected
 	}
 	fl.tellProgress(to, read)
 }
@@ -326,5 +326,5 @@
 // judge takes in what a send says of its target.
 func (fl *flow) judge(to *destination, o health.Outcome) {
 	fl.outcome = o
-	fl.Health.Note(fl.service.Name, to.target.Life, o, fl.Now())
+	fl.Health.Record(fl.service.Name, to.target.Incarnation, o, fl.Now())
 }
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -21,7 +21,7 @@
 // fakeSidecars answers for engines by their address, and keeps what it is told.
 type fakeSidecars struct {
 	mu      sync.Mutex
-	answers map[netip.AddrPort]probe.Answer
+	answers map[netip.AddrPort]probe.Response
 	asked   int
 	sends   map[netip.AddrPort][]probe.Send
 	told    map[netip.AddrPort][]probe.Progress
@@ -30,14 +30,14 @@
 }
 
 func newFakeSidecars() *fakeSidecars {
-	return &fakeSidecars{answers: map[netip.AddrPort]probe.Answer{}, sends: map[netip.AddrPort][]probe.Send{}, told: map[netip.AddrPort][]probe.Progress{}}
+	return &fakeSidecars{answers: map[netip.AddrPort]probe.Response{}, sends: map[netip.AddrPort][]probe.Send{}, told: map[netip.AddrPort][]probe.Progress{}}
 }
 
-func (s *fakeSidecars) Ask(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Answer, []bool) {
+func (s *fakeSidecars) Ask(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Response, []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asked++
-	answers, known := make([]probe.Answer, len(engines)), make([]bool, len(engines))
+	answers, known := make([]probe.Response, len(engines)), make([]bool, len(engines))
 	for i, engine := range engines {
 		answers[i], known[i] = s.answers[engine]
 	}
@@ -60,7 +60,7 @@
 	s.told[engine] = append(s.told[engine], p)
 }
 
-func (s *fakeSidecars) say(engine netip.AddrPort, a probe.Answer) {
+func (s *fakeSidecars) say(engine netip.AddrPort, a probe.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers[engine] = a
@@ -71,10 +71,10 @@
 	t.Helper()
 	w := startWorld(t, targets...)
 	sidecars := newFakeSidecars()
-	w.view.Large, w.Forwarder.Sidecars = true, sidecars
+	w.view.LargeFleet, w.Forwarder.Sidecars = true, sidecars
 	for i := range w.view.Targets["engines"] {
 		tg := &w.view.Targets["engines"][i]
-		sidecars.answers[tg.Address] = probe.Answer{Life: tg.Life, Weights: map[string]int64{model: 3}, Pace: 1}
+		sidecars.answers[tg.Address] = probe.Response{Incarnation: tg.Incarnation, WeightVersions: map[string]int64{model: 3}, Slowdown: 1}
 		// All engines serve the family of the tests.
 		tg.Hash = 0
 	}
@@ -131,7 +131,7 @@
 	busy, idle := streamOf(t, "busy"), streamOf(t, "idle")
 	w, sidecars := probedWorld(t, busy, idle)
 	a := sidecars.answers[addressOf(busy)]
-	a.Work = ledger.Work{Running: 30, Reading: ledger.Lane(0, 3*time.Second)}
+	a.Work = ledger.Work{Running: 30, Prefill: ledger.AtPriority(0, 3*time.Second)}
 	sidecars.say(addressOf(busy), a)
 	if resp := askPrompt(t, w); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
@@ -142,11 +142,11 @@
 	w.server.Close()
 	sidecars.mu.Lock()
 	defer sidecars.mu.Unlock()
-	if sends := sidecars.sends[addressOf(idle)]; len(sends) != 1 || sends[0].Weights != 3 || len(sends[0].Prompt.Parts) != 2 {
+	if sends := sidecars.sends[addressOf(idle)]; len(sends) != 1 || sends[0].WeightVersion != 3 || len(sends[0].Prompt.Parts) != 2 {
 		t.Errorf("its sidecar was told of %+v", sends)
 	}
 	told := sidecars.told[addressOf(idle)]
-	if len(told) != 2 || !told[0].Read || !told[1].Ended || told[1].Outcome != health.Good {
+	if len(told) != 2 || !told[0].PrefillDone || !told[1].Ended || told[1].Outcome != health.Good {
 		t.Errorf("and of %+v", told)
 	}
 }
@@ -157,7 +157,7 @@
 func TestSidecarsWordOfLifeAndWeightsGoesBeforeTheList(t *testing.T) {
 	tg, got := streamKeepingHeader(t, "old")
 	w, sidecars := probedWorld(t, tg)
-	sidecars.say(addressOf(tg), probe.Answer{Life: fleet.Life{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
+	sidecars.say(addressOf(tg), probe.Response{Incarnation: fleet.Incarnation{Instance: "new"}, WeightVersions: map[string]int64{model: 4}, Slowdown: 1})
 	askPrompt(t, w)
 	if got.Get(wiretest.Instance) != "new" || got.Get(wiretest.Weights) != "4" {
 		t.Errorf("asked for %q with weights %q", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
@@ -200,18 +200,18 @@
 	w, sidecars := probedWorld(t, tg)
 	holder := netip.MustParseAddrPort("127.0.0.2:7")
 	listing := w.view.Targets["engines"][0].Listing
-	listing.Life, listing.Address = fleet.Life{Instance: "holder"}, holder
+	listing.Incarnation, listing.Address = fleet.Incarnation{Instance: "holder"}, holder
 	other := fleet.NewTarget(listing)
 	other.Leaving = true // not asked itself
 	w.view.Targets["engines"] = append(w.view.Targets["engines"], other)
 	a := sidecars.answers[addressOf(tg)]
-	a.Holder, a.Saved = holder, true
+	a.Holder, a.Offloaded = holder, true
 	sidecars.say(addressOf(tg), a)
 	askPrompt(t, w)
-	if got.Get(wiretest.Fetch) != holder.String() {
-		t.Errorf("fetched from %q", got.Get(wiretest.Fetch))
+	if got.Get(wiretest.FetchFrom) != holder.String() {
+		t.Errorf("fetched from %q", got.Get(wiretest.FetchFrom))
 	}
-	if got.Get(wiretest.Save) != "" {
+	if got.Get(wiretest.OffloadTo) != "" {
 		t.Error("saved again")
 	}
 }
@@ -231,7 +231,7 @@
 	defer close(dark)
 	w, sidecars := probedWorld(t, tg)
 	w.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
-	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Answer{Phase: weights.Unresponsive} }
+	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Response{Phase: weights.Unresponsive} }
 	began := time.Now()
 	_, body, err := w.ask(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err == nil {
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -33,12 +33,12 @@
 // targets. It is refused at once: it waits for no place, and takes nothing of the retry
 // budget.
 func (fl *flow) mayRun() *errkind.Error {
-	fl.standing = fl.Quarantine.Standing(fl.print, fl.Now())
+	fl.standing = fl.Quarantine.Status(fl.print, fl.Now())
 	if fl.standing.Verdict != quarantine.Refused {
 		return nil
 	}
 	hold := min(fl.standing.Until.Sub(fl.Now()), longestHold)
-	return errkind.After(errkind.Quarantined, fl.comeBack(hold), "%d targets ended under request %s; it is held until %s", fl.standing.Ends, fl.print, hold.Round(time.Second))
+	return errkind.After(errkind.Quarantined, fl.comeBack(hold), "%d targets ended under request %s; it is held until %s", fl.standing.Crashes, fl.print, hold.Round(time.Second))
 }
 
 // apartKey ranks the targets for a request that is kept apart; zero for all others.
@@ -52,7 +52,7 @@
 // mustAvoid reports whether another suspect runs at a target to which this one may not go
 // at the same time: if the target ended, neither could be told from the other.
 func (fl *flow) mustAvoid(t *fleet.Target) bool {
-	return fl.standing.Verdict == quarantine.Alone && fl.Quarantine.Occupied(t.ID, fl.print, fl.Now())
+	return fl.standing.Verdict == quarantine.Alone && fl.Quarantine.RunsOtherSuspect(t.ID, fl.print, fl.Now())
 }
 
 // chooseForStanding chooses a target by what is held against the request now, and begins
@@ -62,14 +62,14 @@
 		return nil, refusal
 	}
 	if fl.standing.Verdict == quarantine.Held {
-		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%d targets ended under the request: it is held for a moment", fl.standing.Ends)
+		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%d targets ended under the request: it is held for a moment", fl.standing.Crashes)
 	}
 	to, refusal := fl.choose(ctx)
 	if refusal != nil || fl.standing.Verdict != quarantine.Alone {
 		return to, refusal
 	}
-	if !fl.Quarantine.Begin(fl.print, to.target.ID, fl.Now()) {
-		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%d targets ended under the request, and another try of it runs", fl.standing.Ends)
+	if !fl.Quarantine.StartProbationRun(fl.print, to.target.ID, fl.Now()) {
+		return nil, errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%d targets ended under the request, and another try of it runs", fl.standing.Crashes)
 	}
 	to.trial = true
 	return to, nil
@@ -79,28 +79,28 @@
 // same request. One that runs at most once is kept: it may have begun.
 func (fl *flow) startRun(to *destination, cancel context.CancelCauseFunc) *quarantine.Run {
 	var giveUp func()
-	if fl.route.Repeatable() {
+	if fl.route.Retryable() {
 		giveUp = func() { cancel(errApart) }
 	}
-	return fl.Quarantine.Start(fl.print, to.target.ID, giveUp)
+	return fl.Quarantine.StartRun(fl.print, to.target.ID, giveUp)
 }
 
 // endRun notes that the send has ended.
 func (fl *flow) endRun(to *destination, run *quarantine.Run) {
-	fl.Quarantine.Done(run)
+	fl.Quarantine.EndRun(run)
 	fl.endTrial(to)
 }
 
 func (fl *flow) endTrial(to *destination) {
 	if to.trial {
-		fl.Quarantine.End(fl.print, to.target.ID)
+		fl.Quarantine.EndProbationRun(fl.print, to.target.ID)
 	}
 }
 
 // served notes that a target answered the request whole, and lives. It is counted for
 // requests that may run anywhere, too: one that is asked for all the time would otherwise
 // be refused after its third crash within the hour, whatever it was served between.
-func (fl *flow) served() { fl.Quarantine.Served(fl.print) }
+func (fl *flow) served() { fl.Quarantine.MarkServed(fl.print) }
 
 // brokeOff reports whether an error is how the end of a target's process shows: its host
 // closes or resets the connection. A host that is dark or cut off answers nothing at all.
@@ -109,10 +109,10 @@
 }
 
 // doubt is that the target has ended under the request now.
-func (fl *flow) doubt(to *destination) quarantine.Doubt {
-	return quarantine.Doubt{
-		Print: fl.print, Who: quarantine.Who{Workspace: fl.workspaceName(), Route: fl.routeName()},
-		Target: to.target, Unlisted: !quarantine.Lists(fl.view, &to.target), Step: to.standing.Step, At: fl.Now(), Ran: time.Since(fl.sentAt), RequestID: fl.request.ID,
+func (fl *flow) doubt(to *destination) quarantine.SuspectedCrash {
+	return quarantine.SuspectedCrash{
+		Fingerprint: fl.print, Caller: quarantine.Caller{Workspace: fl.workspaceName(), Route: fl.routeName()},
+		Target: to.target, Unlisted: !quarantine.IsListed(fl.view, &to.target), Step: to.standing.Step, At: fl.Now(), Elapsed: time.Since(fl.sentAt), RequestID: fl.request.ID,
 	}
 }
 
@@ -127,25 +127,25 @@
 		return
 	}
 	d := fl.doubt(to)
-	evidence := fl.Endings.Ended(ctx, v, d)
-	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.print, "target", to.target.Life, "evidence", string(evidence),
-		"list_age", fl.since(v.ListedAt), "step", d.Step, "ran", tenth(time.Since(fl.sentAt)))
+	evidence := fl.CrashDetector.Detect(ctx, v, d)
+	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.print, "target", to.target.Incarnation, "evidence", string(evidence),
+		"list_age", fl.since(v.TargetsCurrentAt), "step", d.Step, "ran", tenth(time.Since(fl.sentAt)))
 	if evidence != quarantine.NoEvidence {
-		fl.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
+		fl.Quarantine.AttributeCrash(d.Fingerprint, d.Caller, quarantine.Crash{Target: d.Target.ID, Step: d.Step, At: d.At, Elapsed: d.Elapsed})
 	}
 }
 
 // Settle looks again at requests whose targets may have ended, by the newest view, and at
 // those that are held.
-func (f *Forwarder) Settle() {
-	defer func() { f.Quarantine.Settle(f.Now()) }()
+func (f *Forwarder) RecheckCrashes() {
+	defer func() { f.Quarantine.Reevaluate(f.Now()) }()
 	v, ok := f.View()
 	if !ok {
 		return
 	}
-	doubts, evidence := f.Endings.Settle(v, f.Now())
+	doubts, evidence := f.CrashDetector.Resolve(v, f.Now())
 	for i, d := range doubts {
-		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Print, "target", d.Target.Life, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
-		f.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
+		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Fingerprint, "target", d.Target.Incarnation, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
+		f.Quarantine.AttributeCrash(d.Fingerprint, d.Caller, quarantine.Crash{Target: d.Target.ID, Step: d.Step, At: d.At, Elapsed: d.Elapsed})
 	}
 }
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -29,22 +29,22 @@
 // when the process ends in the middle of the answer. It names what decided: the
 // versions and ages of the beliefs, and the estimate.
 func (fl *flow) logSend(to *destination) {
-	log := fl.Ordinary
+	log := fl.RoutineLogger
 	if fl.cause != "" {
 		log = fl.Logger
 	}
-	heard := fl.view.Engines[to.target.Life]
-	phase, age := heard.Phase, fl.since(heard.HeardAt)
+	heard := fl.view.Engines[to.target.Incarnation]
+	phase, age := heard.Phase, fl.since(heard.ReceivedAt)
 	if to.probed {
 		phase, age = to.word.Phase, to.word.ReportAge
 	}
 	log.Info("request_sent", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "cause", fl.cause, "last_event", fl.lastEvent,
 		"route", fl.routeName(), "service", fl.serviceName(), "workspace", fl.workspaceName(), "estate", fl.estateVersion(),
-		"target", to.target.Life, "address", to.target.Address, "zone", to.target.Zone,
-		"list_age", fl.since(fl.view.ListedAt), "listed", !to.target.Unlisted, "asked", to.asked, "word_age", age, "phase", phase.String(),
+		"target", to.target.Incarnation, "address", to.target.Address, "zone", to.target.Zone,
+		"list_age", fl.since(fl.view.TargetsCurrentAt), "listed", !to.target.Unlisted, "asked", to.asked, "word_age", age, "phase", phase.String(),
 		"weights", to.weights, "wanted", fl.view.Wanted[fl.request.Model].Newest(),
-		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", family(to), "answer", fl.request.MaxTokens, "held", to.choice.Held, "fetched", to.choice.Fetched, "fetch_from", to.fetchFrom, "save_to", to.saveTo,
-		"late", to.choice.Late, "urgency", to.choice.Urgency, "wait", tenth(to.choice.Wait), "read", tenth(to.choice.Read), "fetch", tenth(to.choice.Fetch),
+		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", family(to), "answer", fl.request.MaxTokens, "held", to.choice.CachedTokens, "fetched", to.choice.FetchedTokens, "fetch_from", to.fetchFrom, "save_to", to.saveTo,
+		"late", to.choice.Late, "urgency", to.choice.Priority, "wait", tenth(to.choice.Wait), "read", tenth(to.choice.Prefill), "fetch", tenth(to.choice.Fetch),
 		"patience", tenth(to.patience), "kept", tenth(time.Since(fl.arrived)), "left", fl.timeLeft().Round(time.Millisecond))
 }
 
@@ -69,7 +69,7 @@
 	if err != nil {
 		detail = err.Error()
 	}
-	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "target", to.target.Life,
+	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.print, "send", fl.sends, "target", to.target.Incarnation,
 		"status", status, "error", detail, "after", tenth(time.Since(fl.sentAt)))
 }
 
@@ -88,7 +88,7 @@
 	if len(to.keys) == 0 {
 		return
 	}
-	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, to.choice.Held+to.choice.Fetched, fl.wasted(to))
+	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, to.choice.CachedTokens+to.choice.FetchedTokens, fl.wasted(to))
 }
 
 // wasted is how many of a prompt's shared tokens the engine reads although another
@@ -97,14 +97,14 @@
 	tokens := 0
 	for i, k := range to.keys {
 		elsewhere := false
-		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, fl.Now(), func(target fleet.ID, s parts.State) {
-			elsewhere = elsewhere || s == parts.Held && target != to.target.ID
+		fl.Parts.VisitLocations(k, fl.request.Parts[i].Tokens, fl.Now(), func(target fleet.ID, s parts.State) {
+			elsewhere = elsewhere || s == parts.Cached && target != to.target.ID
 		})
 		if elsewhere {
 			tokens += fl.request.Parts[i].Tokens
 		}
 	}
-	return max(tokens-to.choice.Held-to.choice.Fetched, 0)
+	return max(tokens-to.choice.CachedTokens-to.choice.FetchedTokens, 0)
 }
 
 // sharedTokens is the length of the prompt's parts that others use too.
@@ -173,7 +173,7 @@
 // logDone writes the line that ends a request's story.
 func (fl *flow) logDone(e *errkind.Error) {
 	outcome, detail, back := "answered", "", time.Duration(0)
-	log := fl.Ordinary
+	log := fl.RoutineLogger
 	if e != nil {
 		outcome, detail, back = e.Kind.String(), e.Detail, e.RetryAfter
 	}
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -67,7 +67,7 @@
 	if ctx.Err() != nil && !gaveUp(ctx) {
 		return verdict{end: true, refusal: fl.ended(ctx)}
 	}
-	fl.excluded[to.target.Life] = true
+	fl.excluded[to.target.Incarnation] = true
 	fl.judgeBroken(ctx, to, err)
 	kind := errkind.TargetFailed
 	if fl.begun {
@@ -78,7 +78,7 @@
 
 // relayStream passes a stream on event by event. The head is held until the
 // first event, so that a target that fails before it costs the caller nothing.
-func (fl *flow) relayStream(ctx context.Context, to *destination, resp *upstream.Response, item *ledger.Item, patience *time.Timer, watch *darkWatch, run *quarantine.Run) verdict {
+func (fl *flow) relayStream(ctx context.Context, to *destination, resp *upstream.Response, item *ledger.Request, patience *time.Timer, watch *darkWatch, run *quarantine.Run) verdict {
 	reader := events.NewReader(resp)
 	flusher := http.NewResponseController(fl.w)
 	first := true
@@ -92,11 +92,11 @@
 		}
 		if first {
 			first = false
-			fl.Quarantine.Begun(run)
-			item.Read()
+			fl.Quarantine.MarkResponding(run)
+			item.PrefillDone()
 			fl.tellRead(to)
 			if fl.noteParts(to, true) {
-				fl.TellWork(to.target.ID)
+				fl.AnnounceWork(to.target.ID)
 			}
 			if patience != nil {
 				patience.Stop()
@@ -153,19 +153,19 @@
 
 // learnReadTime takes in how long an engine took to read a prompt.
 func (fl *flow) learnReadTime(to *destination) {
-	if to.choice.ReadTokens > 0 {
-		fl.paces.Note(to.target.Life, time.Since(fl.sentAt), to.expected, fl.Now())
+	if to.choice.PrefillTokens > 0 {
+		fl.paces.Record(to.target.Incarnation, time.Since(fl.sentAt), to.expected, fl.Now())
 	}
-	if to.choice.Wait > unhindered || to.choice.ReadTokens == 0 {
+	if to.choice.Wait > unhindered || to.choice.PrefillTokens == 0 {
 		return
 	}
-	fl.readTime.Note(to.choice.ReadTokens, time.Since(fl.sentAt)-to.choice.Fetch)
+	fl.readTime.Record(to.choice.PrefillTokens, time.Since(fl.sentAt)-to.choice.Fetch)
 }
 
 // streamEnded judges a stream that came to its end.
 func (fl *flow) streamEnded(to *destination) verdict {
 	if !fl.begun {
-		fl.excluded[to.target.Life] = true
+		fl.excluded[to.target.Incarnation] = true
 		return verdict{refusal: errkind.New(errkind.TargetFailed, "the stream ended without an event")}
 	}
 	fl.judge(to, health.Good)
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -41,14 +41,14 @@
 	expected time.Duration
 	// standing is what was held against the request when the target was chosen, and trial
 	// is set when the send is the only one of it that may run.
-	standing quarantine.Standing
+	standing quarantine.Status
 	trial    bool
 	// probed is set when sidecars were asked, coming when an engine among theirs reads
 	// what the prompt lacks.
 	probed, coming bool
 	// asked is how many sidecars were, word what the chosen engine's answered.
 	asked int
-	word  probe.Answer
+	word  probe.Response
 	// first is the family's first engine, whose sidecar knows where its parts are read;
 	// firstNumber is the send's number there, zero when it was not told.
 	first       netip.AddrPort
@@ -63,7 +63,7 @@
 
 // sendRecord is what the log tells of the last send.
 type sendRecord struct {
-	life   fleet.Life
+	life   fleet.Incarnation
 	status int
 }
 
@@ -98,7 +98,7 @@
 	// The following are taken back when they turn out not to be so.
 	fl.arrivals++
 	fl.runs++
-	fl.last = sendRecord{life: to.target.Life}
+	fl.last = sendRecord{life: to.target.Incarnation}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	to.standing = fl.standing
@@ -109,15 +109,15 @@
 		patience = time.AfterFunc(to.patience, func() { cancel(errImpatient) })
 		defer patience.Stop()
 	}
-	fl.turnover.Intake(to.intake, fl.Now())
+	fl.turnover.AddTokens(to.intake, fl.Now())
 	item := fl.Ledger.Begin(to.target.ID, to.work, to.choice.Wait+to.choice.Fetch, fl.Now())
 	defer item.End()
 	fl.tellSent(to)
 	defer fl.tellEnded(to)
 	link := fl.beginFetch(to)
 	defer link.End()
-	if fl.noteParts(to, false) || to.choice.Read > tellFrom {
-		fl.TellWork(to.target.ID)
+	if fl.noteParts(to, false) || to.choice.Prefill > tellFrom {
+		fl.AnnounceWork(to.target.ID)
 	}
 	fl.sentAt = time.Now()
 	fl.logSend(to)
@@ -131,12 +131,12 @@
 	}
 	defer resp.Close()
 	if fl.service.Engine != nil {
-		fl.Reach.Answered(fl.Now())
+		fl.Reach.EngineResponded(fl.Now())
 	}
 	fl.last.status = resp.Status
 	reply := fl.Protocol.ReadReply(resp.Status, resp.Header)
 	if reply.IdleTimeout > 0 {
-		fl.Pool.LimitIdle(to.target.Address, reply.IdleTimeout)
+		fl.Pool.SetIdleLimit(to.target.Address, reply.IdleTimeout)
 	}
 	if reply.NotRun {
 		return fl.notRunBy(to, resp, reply)
@@ -152,28 +152,28 @@
 
 // beginFetch counts what the send fetches against its source's link, so that others do
 // not all wait for the same one.
-func (fl *flow) beginFetch(to *destination) *ledger.Item {
-	return fl.Ledger.Begin(linkID(to.fetchFrom), ledger.Work{Reading: ledger.Lane(0, to.carry)}, fl.linkQueue(to.fetchFrom), fl.Now())
+func (fl *flow) beginFetch(to *destination) *ledger.Request {
+	return fl.Ledger.Begin(linkID(to.fetchFrom), ledger.Work{Prefill: ledger.AtPriority(0, to.carry)}, fl.linkQueue(to.fetchFrom), fl.Now())
 }
 
 // noteParts notes that the engine, and the store that it saves to, read the
 // prompt's parts or have read them.
 // It reports whether the other entries should hear of it.
 func (fl *flow) noteParts(to *destination, done bool) bool {
-	news := fl.Parts.Note(to.target.ID, to.keys, done, fl.Now())
+	news := fl.Parts.Record(to.target.ID, to.keys, done, fl.Now())
 	if to.saveTo != "" {
-		news = fl.Parts.Note(storeID(to.saveTo), to.keys, done, fl.Now()) || news
+		news = fl.Parts.Record(storeID(to.saveTo), to.keys, done, fl.Now()) || news
 	}
 	return news
 }
 
 func (fl *flow) upstreamRequest(to *destination) *upstream.Request {
-	send := wire.Send{
-		TimeLeft: fl.timeLeft(), Instance: to.target.Instance, Urgency: -1,
-		CacheScope: to.scope, Weights: to.weights, SaveTo: to.saveTo,
+	send := wire.Attempt{
+		TimeLeft: fl.timeLeft(), Instance: to.target.Instance, Priority: -1,
+		CacheScope: to.scope, Weights: to.weights, OffloadTo: to.saveTo,
 	}
 	if fl.route.Resumable {
-		send.LastEvent = fl.lastEvent
+		send.LastEventID = fl.lastEvent
 	}
 	if fl.workspace != nil {
 		send.Workspace = fl.workspace.Name
@@ -182,12 +182,12 @@
 		send.FetchFrom = to.fetchFrom.String()
 	}
 	if fl.service.Engine != nil {
-		send.Urgency = to.choice.Urgency
+		send.Priority = to.choice.Priority
 	}
 	return &upstream.Request{
-		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Repeatable(),
-		Mine: func(status int, h http.Header) bool {
+		Method: fl.r.Method, RequestURI: fl.r.RequestURI, Host: fl.r.Host,
+		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Retryable(),
+		Matches: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
 		},
@@ -197,7 +197,7 @@
 const (
 	// ranks is how many ranks requests that can be in time have; as many follow for
 	// those that cannot.
-	ranks = ledger.Urgencies / 2
+	ranks = ledger.Priorities / 2
 	// routeStep is by how much a workspace's priority outweighs a route's.
 	routeStep = 2
 )
@@ -225,12 +225,12 @@
 	if ctx.Err() != nil && !gaveUp(ctx) {
 		return verdict{end: true, refusal: fl.ended(ctx)}
 	}
-	fl.excluded[to.target.Life] = true
+	fl.excluded[to.target.Incarnation] = true
 	if errors.Is(err, upstream.ErrNotSent) {
 		fl.runs--
 		fl.arrivals--
 		if fl.service.Engine != nil {
-			fl.Reach.Failed(fl.Now())
+			fl.Reach.ConnectFailed(fl.Now())
 		}
 		fl.judge(to, health.Unreachable)
 		return verdict{notRun: true, refusal: errkind.After(errkind.NoTarget, fl.comeBack(retryPause), "%v", err)}
@@ -243,7 +243,7 @@
 // given up for the sake of another target says nothing of its own.
 func (fl *flow) judgeBroken(ctx context.Context, to *destination, err error) {
 	if errors.Is(context.Cause(ctx), errApart) {
-		fl.Endings.GivenUp(fl.doubt(to))
+		fl.CrashDetector.AddCancelled(fl.doubt(to))
 		return
 	}
 	fl.judge(to, health.Broken)
@@ -253,7 +253,7 @@
 // notRunBy judges a target's word that it did not run the request.
 func (fl *flow) notRunBy(to *destination, resp *upstream.Response, reply wire.Reply) verdict {
 	fl.runs--
-	fl.excluded[to.target.Life] = true
+	fl.excluded[to.target.Incarnation] = true
 	drain(resp)
 	refusal := errkind.After(errkind.Overloaded, fl.comeBack(retryPause), "the target refused with status %d", resp.Status)
 	if resp.Status == http.StatusMisdirectedRequest {
@@ -276,19 +276,19 @@
 	success := resp.Status < http.StatusMultipleChoices
 	if reply.Encoded || success && (!reply.Sealed || reply.ID != fl.request.ID) {
 		fl.judge(to, health.Broken)
-		fl.excluded[to.target.Life] = true
+		fl.excluded[to.target.Incarnation] = true
 		return verdict{refusal: errkind.New(errkind.TargetFailed, "the target's answer is not sealed or encoded")}, false
 	}
 	if resp.Status >= http.StatusInternalServerError {
 		fl.judge(to, health.Failed)
-		if fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts && !fl.begun && ctx.Err() == nil {
-			fl.excluded[to.target.Life] = true
+		if fl.route.Retryable() && fl.runs < fl.route.MaxAttempts && !fl.begun && ctx.Err() == nil {
+			fl.excluded[to.target.Incarnation] = true
 			drain(resp)
 			return verdict{refusal: errkind.New(errkind.TargetFailed, "the target answered with status %d", resp.Status)}, false
 		}
 	}
 	if fl.begun && !success {
-		fl.excluded[to.target.Life] = true
+		fl.excluded[to.target.Incarnation] = true
 		return verdict{refusal: errkind.New(errkind.StreamBroken, "continuing gave status %d", resp.Status)}, false
 	}
 	return verdict{}, true
--- a/internal/gateway/forward/sources.go
+++ b/internal/gateway/forward/sources.go
@@ -101,7 +101,7 @@
 			rate := fl.linkRate(min(s.Store.LinkMbps, fl.service.Engine.LinkMbps))
 			p.sources = append(p.sources, source{
 				id: id, address: s.Store.Address, zone: s.Store.Zone, tokens: tokens, rate: rate,
-				unknown: !fl.Parts.Known(id, fl.Now()) && fl.linkQueue(s.Store.Address) < fullLink,
+				unknown: !fl.Parts.ReportedRecently(id, fl.Now()) && fl.linkQueue(s.Store.Address) < fullLink,
 			})
 		}
 	}
@@ -113,7 +113,7 @@
 	for i := range targets {
 		t := &targets[i]
 		tokens := p.held[t.ID]
-		if tokens == 0 || fl.view.Silent[t.Address] || fl.view.Version(t, fl.request.Model) != version {
+		if tokens == 0 || fl.view.Unresponsive[t.Address] || fl.view.Version(t, fl.request.Model) != version {
 			continue
 		}
 		p.sources = append(p.sources, source{
@@ -132,7 +132,7 @@
 // linkQueue is the time until a link has carried what prompts of all entries wait for.
 func (fl *flow) linkQueue(address netip.AddrPort) time.Duration {
 	work := fl.totals[linkID(address)]
-	return work.Reading.All()
+	return work.Prefill.Total()
 }
 
 // linkRate is how many of the service's tokens a link carries in a millisecond.
@@ -143,7 +143,7 @@
 // addTo fills in what a candidate holds of the prompt, and from where it best fetches
 // the rest: from where most of it is, near by, and from an engine before a store.
 func (p *prompt) addTo(c *placement.Candidate, t *fleet.Target) {
-	c.Held = p.held[t.ID]
+	c.CachedTokens = p.held[t.ID]
 	best := -1
 	for i := range p.sources {
 		if p.sources[i].id != t.ID && (best < 0 || p.betterThan(&p.sources[i], &p.sources[best], t.Zone)) {
@@ -154,8 +154,8 @@
 		return
 	}
 	s := &p.sources[best]
-	c.Source = placement.Source{Address: s.address, Near: s.zone == t.Zone, Rate: s.rate}
-	c.Fetchable = s.tokens
+	c.Source = placement.Source{Address: s.address, SameZone: s.zone == t.Zone, TokensPerMs: s.rate}
+	c.FetchableTokens = s.tokens
 }
 
 // probableShare is the share of a prompt that a store of which nothing is known counts
@@ -207,13 +207,13 @@
 const minSharedShare = 0.4
 
 // saved reports whether prompts like this one are saved to stores.
-func saved(q *placement.Question) bool {
-	return float64(q.Shared) >= minSharedShare*float64(q.Shared+q.Own)
+func saved(q *placement.Input) bool {
+	return float64(q.SharedTokens) >= minSharedShare*float64(q.SharedTokens+q.OwnTokens)
 }
 
 // saveTo returns the store that the prompt's parts are to be sent to: one that
 // neither holds them nor is about to. Saving them again would fill its link.
-func (fl *flow) saveTo(keys []parts.Key, q *placement.Question) string {
+func (fl *flow) saveTo(keys []parts.Key, q *placement.Input) string {
 	if len(keys) == 0 || !saved(q) {
 		return ""
 	}
@@ -222,7 +222,7 @@
 		return ""
 	}
 	last := len(keys) - 1
-	if fl.Parts.At(keys[last], fl.request.Parts[last].Tokens, storeID(s.Store.Address.String()), fl.Now()) != parts.Absent {
+	if fl.Parts.StateAt(keys[last], fl.request.Parts[last].Tokens, storeID(s.Store.Address.String()), fl.Now()) != parts.Absent {
 		return ""
 	}
 	return s.Store.Address.String()
--- a/internal/gateway/forward/sources_test.go
+++ b/internal/gateway/forward/sources_test.go
@@ -22,22 +22,22 @@
 		p.addTo(&c, target)
 		return c
 	}
-	if got := choose(store, engine); got.Source.Rate != 101 || got.Fetchable != 0 {
+	if got := choose(store, engine); got.Source.TokensPerMs != 101 || got.FetchableTokens != 0 {
 		t.Errorf("%+v", got)
 	}
 	store.unknown = false
-	if got := choose(store, engine); got.Source.Rate != 102 || got.Fetchable != 500 {
+	if got := choose(store, engine); got.Source.TokensPerMs != 102 || got.FetchableTokens != 500 {
 		t.Errorf("%+v", got)
 	}
 	store.tokens = 6000
-	if got := choose(engine, store); got.Source.Rate != 101 || got.Fetchable != 6000 {
+	if got := choose(engine, store); got.Source.TokensPerMs != 101 || got.FetchableTokens != 6000 {
 		t.Errorf("%+v", got)
 	}
 	engine.tokens = 6000
-	if got := choose(store, engine); got.Source.Rate != 102 {
+	if got := choose(store, engine); got.Source.TokensPerMs != 102 {
 		t.Errorf("an engine that holds as much: %+v", got)
 	}
-	if got := choose(store, source{id: 3, tokens: 6000, zone: "a", peer: true}); got.Source.Rate != 101 {
+	if got := choose(store, source{id: 3, tokens: 6000, zone: "a", peer: true}); got.Source.TokensPerMs != 101 {
 		t.Errorf("the engine itself is its source: %+v", got)
 	}
 }
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -8,31 +8,31 @@
 )
 
 // following is how far this process has followed the list of targets.
-func (b *beliefs) following(now time.Time) fleet.Following {
-	c := b.targets.Copy()
-	f := fleet.Following{
-		Started: b.startedAt, Since: c.FollowedSince(), OutageBegan: c.OutageBegin(), OutageEnded: c.OutageEnd(),
+func (b *beliefs) following(now time.Time) fleet.SyncState {
+	c := b.targets.Replica()
+	f := fleet.SyncState{
+		StartedAt: b.startedAt, CompleteSince: c.CompleteSince(), OutageBegan: c.OutageBegin(), OutageEnded: c.OutageEnd(),
 		Current: now.Sub(c.CurrentAt()) <= b.patience()+outageGap,
 	}
 	if first := c.FirstCurrentAt(); first.Sub(b.startedAt) > outageGap {
-		f.Started = first // the store was away at the start
+		f.StartedAt = first // the store was away at the start
 	}
 	return f
 }
 
 // noteOutage logs the end of a time without word of the list, in which entries of living
 // targets may have lapsed.
-func (b *beliefs) noteOutage(f fleet.Following) {
+func (b *beliefs) noteOutage(f fleet.SyncState) {
 	if f.OutageEnded.After(b.outageEnded) {
-		b.logger.Info("list_regained", "without_for", f.OutageEnded.Sub(f.OutageBegan), "end", b.targets.Copy().End())
+		b.logger.Info("list_regained", "without_for", f.OutageEnded.Sub(f.OutageBegan), "end", b.targets.Replica().End())
 	}
 	b.outageEnded = f.OutageEnded
 }
 
 // noteUnlisted logs the reported lives that the list lacks and whether they are used. Before
 // the first copy of the list it lacks all of them, which is not said.
-func (b *beliefs) noteUnlisted(v *view.View, unlisted map[fleet.Life]fleet.Standing) {
-	if b.targets.Copy().FollowedSince().IsZero() {
+func (b *beliefs) noteUnlisted(v *view.View, unlisted map[fleet.Incarnation]fleet.UnlistedState) {
+	if b.targets.Replica().CompleteSince().IsZero() {
 		return
 	}
 	for life, standing := range unlisted {
@@ -40,8 +40,8 @@
 			continue
 		}
 		word := v.Engines[life]
-		b.logger.Info("target_unlisted", "target", life, "outcome", standing.String(), "began_within", b.age(word.BeganAfter), "word_age", b.age(word.HeardAt),
-			"list_age", b.age(v.ListedAt), "list_followed_for", b.age(b.targets.Copy().FollowedSince()), "started", b.age(b.startedAt))
+		b.logger.Info("target_unlisted", "target", life, "outcome", standing.String(), "began_within", b.age(word.StartedAfter), "word_age", b.age(word.ReceivedAt),
+			"list_age", b.age(v.TargetsCurrentAt), "list_followed_for", b.age(b.targets.Replica().CompleteSince()), "started", b.age(b.startedAt))
 	}
 	b.unlisted = unlisted
 }
@@ -55,11 +55,11 @@
 }
 
 // living are the engines that their sidecars report.
-func living(words map[fleet.Life]view.EngineWord) []fleet.Living {
-	all := make([]fleet.Living, 0, len(words))
+func living(words map[fleet.Incarnation]view.EngineReport) []fleet.Report {
+	all := make([]fleet.Report, 0, len(words))
 	for life, w := range words {
-		all = append(all, fleet.Living{
-			Life: life, Service: w.Service, Address: w.Address, Zone: w.Zone, Weights: w.Weights, BeganAfter: w.BeganAfter, HeardAt: w.HeardAt,
+		all = append(all, fleet.Report{
+			Incarnation: life, Service: w.Service, Address: w.Address, Zone: w.Zone, Weights: w.Weights, StartedAfter: w.StartedAfter, ReceivedAt: w.ReceivedAt,
 		})
 	}
 	return all
@@ -67,7 +67,7 @@
 
 // listedAt is the time of what the copy of the list shows.
 func (b *beliefs) listedAt() time.Time {
-	if at := b.targets.Copy().CurrentAt(); !at.IsZero() {
+	if at := b.targets.Replica().CurrentAt(); !at.IsZero() {
 		return at
 	}
 	return b.clock.Now()
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -117,8 +117,8 @@
 			return p.clock.Now().Sub(at(v)).Seconds()
 		}
 	}
-	p.metrics.Gauge("targets_age_seconds", "Age of the copy of the platform's list of targets.", age(func(v *view.View) time.Time { return v.ListedAt }))
-	p.metrics.Gauge("declarations_age_seconds", "Age of the copy of what operators declare.", age(func(v *view.View) time.Time { return v.DeclaredAt }))
+	p.metrics.Gauge("targets_age_seconds", "Age of the copy of the platform's list of targets.", age(func(v *view.View) time.Time { return v.TargetsCurrentAt }))
+	p.metrics.Gauge("declarations_age_seconds", "Age of the copy of what operators declare.", age(func(v *view.View) time.Time { return v.EstateCurrentAt }))
 	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(p.log.Dropped()) })
 	p.beliefs.entryRefused = p.metrics.TargetRefused
 	p.beliefs.inForce = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
@@ -129,8 +129,8 @@
 
 func (p *process) woke(pause time.Duration) {
 	p.logger.Info("host_woke", "suspended_for", pause)
-	p.beliefs.operators.Again()
-	p.beliefs.targets.Again()
+	p.beliefs.operators.RestartCall()
+	p.beliefs.targets.RestartCall()
 }
 
 // open binds the addresses and serves them.
@@ -140,7 +140,7 @@
 			Name: p.settings.Name, Incarnation: p.incarnation, Entry: p.entry != nil, Zone: p.settings.AvailabilityZone,
 		},
 		Listen: p.settings.mesh(), Seeds: p.settings.seedHosts(), Hosts: p.beliefs.hosts,
-		Compose: p.compose, Heard: p.heard, Period: p.period, Logger: p.logger, Now: p.clock.Now,
+		Compose: p.compose, OnHeartbeat: p.heard, Period: p.period, Logger: p.logger, Now: p.clock.Now,
 	})
 	if err != nil {
 		return err
@@ -190,7 +190,7 @@
 	p.listener = listener
 	p.callers = newCallers(p.entry.forwarder, listener.Addr(), p.logger)
 	p.beliefs.changed = func() {
-		p.entry.forwarder.Settle()
+		p.entry.forwarder.RecheckCrashes()
 		if p.entry.limits != nil {
 			p.entry.limits.refresh()
 		}
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -32,7 +32,7 @@
 	address netip.AddrPort
 	orders  *weights.Controller
 	// life, report and phase are the engine's as the controller said last.
-	life   fleet.Life
+	life   fleet.Incarnation
 	report weights.Report
 	phase  weights.Phase
 	known  bool
@@ -49,7 +49,7 @@
 	s.orders = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Environment{
 		Wanted: s.wanted, HealthPath: s.healthPath, Engines: s.engines, PartialView: s.beliefs.large.Load, OnChange: s.changed,
 		Token:    func() (uint64, bool) { return s.token, s.token > 0 },
-		UpToDate: func() bool { p.clock.Check(); return p.clock.SinceWoken() > freshAfter },
+		UpToDate: func() bool { p.clock.Check(); return p.clock.SinceResume() > freshAfter },
 	}, weights.Options{
 		Holder: p.settings.Name, MaxStaleness: p.settings.Bounds.Weights.Duration, Logger: p.logger, Now: p.clock.Now,
 		OnOutcome: func(o weights.Outcome) { p.metrics.Order(o.String()) },
@@ -63,8 +63,8 @@
 // wanted are the weights that the engine is to have: none while it may be leaving. A load
 // would change the weights under its last runs, whose answers are worth nothing then.
 func (s *sidecar) wanted() map[string]weights.History {
-	life := fleet.Living{Life: s.life, Address: s.address, BeganAfter: s.orders.StartedAfter()}
-	if b := s.beliefs; !b.directory.Stays(b.declared, &life, b.following(b.clock.Now()), b.clock.Now()) {
+	life := fleet.Report{Incarnation: s.life, Address: s.address, StartedAfter: s.orders.StartedAfter()}
+	if b := s.beliefs; !b.directory.Active(b.declared, &life, b.following(b.clock.Now()), b.clock.Now()) {
 		return nil
 	}
 	return s.beliefs.wanted
@@ -130,12 +130,12 @@
 	now := s.process.clock.Now()
 	var all []weights.EngineView
 	for _, t := range s.beliefs.listed(s.service()) {
-		v := weights.EngineView{Life: t.Life, Version: t.Weights[model], Age: never}
-		if word, ok := s.beliefs.words[t.Life]; ok {
-			v.Version, v.Age = word.Weights[model], now.Sub(word.HeardAt)
+		v := weights.EngineView{Incarnation: t.Incarnation, Version: t.Weights[model], Age: never}
+		if word, ok := s.beliefs.words[t.Incarnation]; ok {
+			v.Version, v.Age = word.Weights[model], now.Sub(word.ReceivedAt)
 			v.Phase, v.PhaseAge = word.Phase, now.Sub(word.PhaseSince)
 		}
-		if t.Life == s.life {
+		if t.Incarnation == s.life {
 			v.Version, v.Phase, v.Age = s.report.Weights[model], s.phase, 0
 		}
 		all = append(all, v)
@@ -144,7 +144,7 @@
 }
 
 func (s *sidecar) service() string {
-	if t, ok := s.beliefs.directory.At(s.beliefs.declared, s.address); ok {
+	if t, ok := s.beliefs.directory.ByAddress(s.beliefs.declared, s.address); ok {
 		return t.Service
 	}
 	return s.process.settings.Service
@@ -152,7 +152,7 @@
 
 // changed takes in the engine's newest report, and tells the others at once of
 // what they must not learn late.
-func (s *sidecar) changed(life fleet.Life, report weights.Report, phase weights.Phase) {
+func (s *sidecar) changed(life fleet.Incarnation, report weights.Report, phase weights.Phase) {
 	told := !s.known || phase != s.phase || life != s.life
 	for model, version := range report.Weights {
 		if s.report.Weights[model] != version {
@@ -161,11 +161,11 @@
 	}
 	s.caches.followEngine(s.address, life)
 	s.life, s.report, s.phase, s.known = life, report, phase, true
-	s.tracker.Set(tracker.State{
-		Life: life, Weights: report.Weights, Phase: phase, ReportedAt: report.ReceivedAt,
+	s.tracker.SetState(tracker.State{
+		Incarnation: life, Weights: report.Weights, Phase: phase, ReportedAt: report.ReceivedAt,
 	})
 	if told && !s.beliefs.large.Load() {
-		s.beliefs.mesh.Tell()
+		s.beliefs.mesh.Broadcast()
 	}
 }
 
@@ -175,7 +175,7 @@
 		return
 	}
 	e := &peerv1.EngineState{
-		Instance: s.life.Instance, Born: s.life.Born, Service: s.service(), Address: s.address.String(), Phase: peerv1.EnginePhase_ENGINE_PHASE_SERVING,
+		Instance: s.life.Instance, Born: s.life.StartedMs, Service: s.service(), Address: s.address.String(), Phase: peerv1.EnginePhase_ENGINE_PHASE_SERVING,
 		Running: uint32(s.report.Running), Queued: uint32(s.report.Queued),
 		MemoryUsed: uint32(s.report.MemoryUsed), MemoryTotal: uint32(s.report.MemoryTotal),
 	}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -41,7 +41,7 @@
 	p.loop.Post(func() {
 		p.beliefs.stop(endsAt)
 		p.beliefs.post()
-		p.beliefs.mesh.Tell()
+		p.beliefs.mesh.Broadcast()
 	})
 	if p.callers != nil {
 		sleep.For(ctx, balancerNotice)
@@ -111,7 +111,7 @@
 // to stop later, and so goes on until the first one is back.
 func takesCallers(m *mesh.Member, stopping, now time.Time) bool {
 	if !m.Leaving {
-		return now.Sub(m.Since) > balancerReturn
+		return now.Sub(m.AliveSince) > balancerReturn
 	}
-	return m.StopsSince.Sub(stopping) > stopGap
+	return m.StoppingSince.Sub(stopping) > stopGap
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -50,7 +50,7 @@
 // again when a request has met its second end here: the others may have refused it.
 type suspects struct {
 	process *process
-	book    *quarantine.Book
+	book    *quarantine.Registry
 	watch   *suspectWatch
 	// lookedAt is when the store was read last for a second end.
 	lookedAt time.Time
@@ -61,8 +61,8 @@
 func newSuspects(p *process) *suspects {
 	limits := p.settings.Quarantine
 	watch := &suspectWatch{logger: p.logger, ordinary: p.ordinary, metrics: p.metrics}
-	s := &suspects{process: p, watch: watch, book: quarantine.NewBook(quarantine.Limits{
-		Ends: limits.Ends, SuspectFor: limits.SuspectFor.Duration, HoldFor: limits.HoldFor.Duration, Records: limits.Records, Turn: p.beliefs.probationTurn,
+	s := &suspects{process: p, watch: watch, book: quarantine.NewRegistry(quarantine.Limits{
+		MaxCrashes: limits.Ends, SuspectFor: limits.SuspectFor.Duration, RefuseFor: limits.HoldFor.Duration, MaxRecords: limits.Records, ProbationDelay: p.beliefs.probationTurn,
 	}, watch)}
 	p.metrics.Gauge("quarantined_requests", "Requests that are refused because targets ended under them.", func() float64 {
 		refused, _ := s.book.Count()
@@ -85,12 +85,12 @@
 
 // probationTurn is how much later than the first entry this one may put a refused request
 // on probation.
-func (b *beliefs) probationTurn(quarantine.Print) time.Duration {
+func (b *beliefs) probationTurn(quarantine.Fingerprint) time.Duration {
 	v, ok := b.view.Get()
 	if !ok {
 		return longestTurn
 	}
-	return min(turnTime*time.Duration(v.EntriesBefore), longestTurn)
+	return min(turnTime*time.Duration(v.EntryRank), longestTurn)
 }
 
 func (s *suspects) start() {
@@ -104,7 +104,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.book.News():
+		case <-s.book.Updates():
 		}
 		if !sleep.For(ctx, suspectsGather) {
 			return
@@ -122,17 +122,17 @@
 	size := 0
 	flush := func() {
 		if len(batch) > 0 {
-			s.process.beliefs.mesh.TellEntries(func(beat *peerv1.Beat) { beat.Suspects = batch })
+			s.process.beliefs.mesh.BroadcastToEntries(func(beat *peerv1.Beat) { beat.Suspects = batch })
 		}
 		batch, size = nil, 0
 	}
 	now := s.process.clock.Now()
 	for {
-		records := s.book.TakeFresh(1)
+		records := s.book.TakeUpdates(1)
 		if len(records) == 0 {
 			break
 		}
-		m := quarantine.Message(&records[0], now)
+		m := quarantine.ToMessage(&records[0], now)
 		if size += proto.Size(m); size > suspectsBytes {
 			flush()
 			size = proto.Size(m)
@@ -146,8 +146,8 @@
 func (s *suspects) compose(beat *peerv1.Beat) {
 	now := s.process.clock.Now()
 	room := mesh.MaxDatagram - suspectsRoom - proto.Size(beat)
-	for _, r := range s.book.Next(suspectsTold, now) {
-		m := quarantine.Message(&r, now)
+	for _, r := range s.book.NextToAnnounce(suspectsTold, now) {
+		m := quarantine.ToMessage(&r, now)
 		if room -= proto.Size(m); room < 0 {
 			return
 		}
@@ -159,11 +159,11 @@
 // others at once, each passes news on: all know after a few hops.
 func (s *suspects) heard(m *mesh.Member) {
 	now := s.process.clock.Now()
-	passOn := len(m.Beat.Suspects) > 0 && len(s.process.beliefs.mesh.Live(true)) > mesh.FanOut
-	for _, told := range m.Beat.Suspects {
+	passOn := len(m.Heartbeat.Suspects) > 0 && len(s.process.beliefs.mesh.Live(true)) > mesh.FanOut
+	for _, told := range m.Heartbeat.Suspects {
 		s.book.Merge(quarantine.FromMessage(told, now), passOn, now)
 	}
-	s.book.Settle(now)
+	s.book.Reevaluate(now)
 }
 
 // lookAgain reads the store when that was not done lately.
@@ -213,7 +213,7 @@
 		age := time.Since(time.UnixMilli(m.WrittenUnixMs))
 		if dropped < mostDropped && age > s.process.settings.Quarantine.HoldFor.Duration && s.process.beliefs.entriesBefore() == 0 {
 			dropped++
-			s.keep(quarantine.Print(m.Print), true)
+			s.keep(quarantine.Fingerprint(m.Print), true)
 		}
 	}
 	s.process.logger.Info("quarantine_read", "records", len(records), "in_force", taken, "dropped", dropped)
@@ -252,11 +252,11 @@
 }
 
 // keep writes a request's record, or drops the one that stands.
-func (s *suspects) keep(print quarantine.Print, drop bool) {
+func (s *suspects) keep(print quarantine.Fingerprint, drop bool) {
 	p := s.process
 	var text []byte
 	if r, ok := s.book.Get(print); ok && !drop {
-		m := quarantine.Message(&r, p.clock.Now())
+		m := quarantine.ToMessage(&r, p.clock.Now())
 		m.WrittenUnixMs = time.Now().UnixMilli()
 		var err error
 		if text, err = proto.Marshal(m); err != nil {
@@ -284,13 +284,13 @@
 
 // keepNow writes or drops a record by what is found now: a call that failed may be
 // overtaken by the next finding.
-func (s *suspects) keepNow(print quarantine.Print) {
-	standing := s.book.Standing(print, s.process.clock.Now())
+func (s *suspects) keepNow(print quarantine.Fingerprint) {
+	standing := s.book.Status(print, s.process.clock.Now())
 	s.keep(print, standing.Verdict < quarantine.Held)
 }
 
 // release lets a request go, here and everywhere.
-func (s *suspects) release(print quarantine.Print) bool {
+func (s *suspects) release(print quarantine.Fingerprint) bool {
 	released := s.book.Release(print, s.process.clock.Now())
 	if released {
 		s.process.loop.Post(func() { s.keep(print, true) })
@@ -311,24 +311,24 @@
 
 // judgedRequest is a request for which another finding holds than before.
 type judgedRequest struct {
-	print quarantine.Print
+	print quarantine.Fingerprint
 	// told is set when no end that this process saw led to it, free when it may run again.
 	told, free bool
 }
 
 // Blamed implements quarantine.Observer.
-func (w *suspectWatch) Blamed(r *quarantine.Record, e quarantine.End, told bool) {
+func (w *suspectWatch) CrashAttributed(r *quarantine.Record, e quarantine.Crash, told bool) {
 	log, event := w.logger, "request_blamed"
 	if told {
 		log, event = w.ordinary, "request_blame_told"
 	}
 	w.metrics.Blamed(told)
-	if !told && len(r.Ends) == 2 {
+	if !told && len(r.Crashes) == 2 {
 		w.mu.Lock()
 		w.secondEnd = true
 		w.mu.Unlock()
 	}
-	log.Info(event, "print", r.Print, "ends", len(r.Ends), "step", e.Step, "target_id", uint32(e.Target), "workspace", r.Workspace, "route", r.Route, "generation", r.Generation)
+	log.Info(event, "print", r.Fingerprint, "ends", len(r.Crashes), "step", e.Step, "target_id", uint32(e.Target), "workspace", r.Workspace, "route", r.Route, "generation", r.Generation)
 }
 
 // findingEvents are the log lines of findings.
@@ -336,14 +336,14 @@
 
 // Judged implements quarantine.Observer. A request that must wait is written already: should
 // all entries end within the second until it is refused, it would end three targets more.
-func (w *suspectWatch) Judged(r *quarantine.Record, before, now quarantine.Finding, told bool) {
-	w.logger.Info(findingEvents[now], "print", r.Print, "ends", len(r.Ends), "served", r.Served, "workspace", r.Workspace, "route", r.Route, "told", told)
+func (w *suspectWatch) FindingChanged(r *quarantine.Record, before, now quarantine.Finding, told bool) {
+	w.logger.Info(findingEvents[now], "print", r.Fingerprint, "ends", len(r.Crashes), "served", r.Served, "workspace", r.Workspace, "route", r.Route, "told", told)
 	if before == quarantine.MustWait && now == quarantine.MustNotRun {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.judged = append(w.judged, judgedRequest{r.Print, told, now == 0})
+	w.judged = append(w.judged, judgedRequest{r.Fingerprint, told, now == 0})
 }
 
 // take returns the requests that were judged anew since the last call.
@@ -366,25 +366,25 @@
 
 // Cleared implements quarantine.Observer.
 func (w *suspectWatch) Cleared(r *quarantine.Record) {
-	w.ordinary.Info("request_cleared", "print", r.Print, "ends", len(r.Ends), "served", r.Served)
+	w.ordinary.Info("request_cleared", "print", r.Fingerprint, "ends", len(r.Crashes), "served", r.Served)
 }
 
 // Released implements quarantine.Observer.
 func (w *suspectWatch) Released(r *quarantine.Record, told bool) {
-	w.logger.Info("request_released", "print", r.Print, "told", told, "generation", r.Generation, "workspace", r.Workspace, "route", r.Route)
+	w.logger.Info("request_released", "print", r.Fingerprint, "told", told, "generation", r.Generation, "workspace", r.Workspace, "route", r.Route)
 }
 
 // Probation implements quarantine.Observer. The run is written down before it may end its
 // target: should all entries end with it, they would begin as many anew.
-func (w *suspectWatch) Probation(r *quarantine.Record) {
-	w.logger.Info("request_on_probation", "print", r.Print, "ends", len(r.Ends), "probations", r.Probations, "pardoned", r.Pardoned, "workspace", r.Workspace, "route", r.Route)
+func (w *suspectWatch) ProbationStarted(r *quarantine.Record) {
+	w.logger.Info("request_on_probation", "print", r.Fingerprint, "ends", len(r.Crashes), "probations", r.Probations, "pardoned", r.PardonedProbations, "workspace", r.Workspace, "route", r.Route)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.judged = append(w.judged, judgedRequest{print: r.Print})
+	w.judged = append(w.judged, judgedRequest{print: r.Fingerprint})
 }
 
 // Evicted implements quarantine.Observer.
 func (w *suspectWatch) Evicted(r *quarantine.Record) {
 	w.metrics.SuspectEvicted()
-	w.ordinary.Info("suspect_evicted", "print", r.Print, "ends", len(r.Ends))
+	w.ordinary.Info("suspect_evicted", "print", r.Fingerprint, "ends", len(r.Crashes))
 }
--- a/internal/gateway/weights/controller.go
+++ b/internal/gateway/weights/controller.go
@@ -55,7 +55,7 @@
 	Holder string
 	Token  uint64
 	// Incarnation is the incarnation of the engine that the request is meant for.
-	Incarnation fleet.Life
+	Incarnation fleet.Incarnation
 	// ExpectedLoads is how many load requests the engine must have accepted before this
 	// one. The engine rejects a delayed request that arrives after a newer one.
 	ExpectedLoads int64
@@ -115,7 +115,7 @@
 	// every engine's reports.
 	PartialView func() bool
 	// OnChange receives the engine's incarnation, newest report and phase.
-	OnChange func(incarnation fleet.Life, report Report, phase Phase)
+	OnChange func(incarnation fleet.Incarnation, report Report, phase Phase)
 	// Token returns the fencing token, once there is one.
 	Token func() (uint64, bool)
 	// UpToDate reports whether the process has run without suspension for long enough to
@@ -169,7 +169,7 @@
 	instance    string
 	identifying bool
 	// lastSeen is the last identified incarnation, lastSeenAt the time of its last report.
-	lastSeen   fleet.Life
+	lastSeen   fleet.Incarnation
 	lastSeenAt time.Time
 	// connRefusedSince and connRefusedAt are the first and the last of consecutive polls
 	// whose connection was refused.
@@ -220,7 +220,7 @@
 			c.options.Logger.Info("engine_silent", "instance", c.instance, "error", err.Error())
 		}
 		c.reachable, c.instance = false, ""
-		c.env.OnChange(fleet.Life{}, c.report, Unresponsive)
+		c.env.OnChange(fleet.Incarnation{}, c.report, Unresponsive)
 		return pollInterval
 	}
 	if !c.reachable {
@@ -250,8 +250,8 @@
 }
 
 // incarnation is the engine's current incarnation; its instance is empty until identified.
-func (c *Controller) incarnation() fleet.Life {
-	return fleet.Life{Instance: c.instance, Born: c.report.StartedAt}
+func (c *Controller) incarnation() fleet.Incarnation {
+	return fleet.Incarnation{Instance: c.instance, StartedMs: c.report.StartedAt}
 }
 
 // identifyInterval is the least time between two calls of the engine's health endpoint,
--- a/internal/gateway/weights/controller_test.go
+++ b/internal/gateway/weights/controller_test.go
@@ -110,9 +110,9 @@
 		Wanted:      func() map[string]History { return map[string]History{"m": h.history} },
 		HealthPath:  func() string { return "/health" },
 		Engines: func(string) []EngineView {
-			return []EngineView{{Life: fleet.Life{Instance: h.engine.instance, Born: h.engine.startedAt}, Version: h.engine.version}}
+			return []EngineView{{Incarnation: fleet.Incarnation{Instance: h.engine.instance, StartedMs: h.engine.startedAt}, Version: h.engine.version}}
 		},
-		OnChange: func(_ fleet.Life, _ Report, p Phase) {
+		OnChange: func(_ fleet.Incarnation, _ Report, p Phase) {
 			if len(h.phases) == 0 || h.phases[len(h.phases)-1] != p {
 				h.phases = append(h.phases, p)
 			}
@@ -264,7 +264,7 @@
 		time.Sleep(2 * time.Second)
 		h.stop()
 		last := h.engine.requests[len(h.engine.requests)-1]
-		if len(h.engine.requests) != 2 || last.Incarnation != (fleet.Life{Instance: "i1", Born: 200}) || last.ExpectedLoads != 0 {
+		if len(h.engine.requests) != 2 || last.Incarnation != (fleet.Incarnation{Instance: "i1", StartedMs: 200}) || last.ExpectedLoads != 0 {
 			t.Errorf("load requests %+v", h.engine.requests)
 		}
 		if h.engine.version != 2 {
--- a/internal/gateway/weights/partialview_test.go
+++ b/internal/gateway/weights/partialview_test.go
@@ -11,7 +11,7 @@
 func newEngineViews(n int) []EngineView {
 	engines := make([]EngineView, n)
 	for i := range engines {
-		engines[i] = EngineView{Life: fleet.Life{Instance: fmt.Sprintf("e%d", i)}, Version: 1, Age: time.Hour}
+		engines[i] = EngineView{Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: 1, Age: time.Hour}
 	}
 	return engines
 }
@@ -24,7 +24,7 @@
 	started := map[string]time.Duration{}
 	for elapsed := time.Duration(0); elapsed < maxStaleness; elapsed += 50 * time.Millisecond {
 		for _, e := range engines {
-			in := Input{Self: e.Life, Engines: engines, Wanted: 2, StaleFor: elapsed, KnownFor: elapsed, MaxStaleness: maxStaleness, PartialView: true}
+			in := Input{Self: e.Incarnation, Engines: engines, Wanted: 2, StaleFor: elapsed, KnownFor: elapsed, MaxStaleness: maxStaleness, PartialView: true}
 			if _, done := started[e.Instance]; !done && Decide(in) == LoadNow {
 				started[e.Instance] = elapsed
 			}
@@ -51,7 +51,7 @@
 // because it has been stale for long. It may do so only when it would be late.
 func TestRolloutOrderFollowsTheNewestVersion(t *testing.T) {
 	engines := newEngineViews(180)
-	last := RolloutOrder(engines, 3)[179].Life
+	last := RolloutOrder(engines, 3)[179].Incarnation
 	in := Input{Self: last, Engines: engines, Wanted: 3, StaleFor: 4 * time.Second, KnownFor: 100 * time.Millisecond, MaxStaleness: 10 * time.Second, PartialView: true}
 	if got := Decide(in); got != Wait {
 		t.Errorf("action %d, want Wait", got)
--- a/internal/gateway/weights/plan.go
+++ b/internal/gateway/weights/plan.go
@@ -38,7 +38,7 @@
 
 // EngineView is the state of one engine as a sidecar of its service knows it.
 type EngineView struct {
-	fleet.Life
+	fleet.Incarnation
 	// Version is the engine's version of the model.
 	Version int64
 	Phase   Phase
@@ -131,7 +131,7 @@
 // Input is the input of Decide.
 type Input struct {
 	// Self is the incarnation of the deciding sidecar's engine.
-	Self fleet.Life
+	Self fleet.Incarnation
 	// Engines are all engines of the service, including Self.
 	Engines []EngineView
 	// Wanted is the wanted version, StaleFor how long Self has been stale.
@@ -178,7 +178,7 @@
 		if e.Version >= in.Wanted && e.Phase == Serving || e.Age > unresponsiveAfter {
 			continue
 		}
-		if e.Life == in.Self {
+		if e.Incarnation == in.Self {
 			return actionAt(position, parallel, loadEndsSoon)
 		}
 		loadEndsSoon = loadEndsSoon || e.Phase == Loading && in.LoadTime-e.PhaseAge < drainLead
@@ -234,8 +234,8 @@
 
 // Schedule returns the time until each engine that lacks the wanted version is expected to
 // load it. Engines that have the version are left out.
-func Schedule(engines []EngineView, wanted int64) map[fleet.Life]time.Duration {
-	var schedule map[fleet.Life]time.Duration
+func Schedule(engines []EngineView, wanted int64) map[fleet.Incarnation]time.Duration {
+	var schedule map[fleet.Incarnation]time.Duration
 	parallel := MaxParallelLoads(len(engines))
 	position := 0
 	for _, e := range RolloutOrder(engines, wanted) {
@@ -243,9 +243,9 @@
 			continue
 		}
 		if schedule == nil {
-			schedule = map[fleet.Life]time.Duration{}
+			schedule = map[fleet.Incarnation]time.Duration{}
 		}
-		schedule[e.Life] = time.Duration(position/parallel) * typicalLoadTime
+		schedule[e.Incarnation] = time.Duration(position/parallel) * typicalLoadTime
 		position++
 	}
 	return schedule
--- a/internal/gateway/weights/plan_test.go
+++ b/internal/gateway/weights/plan_test.go
@@ -21,7 +21,7 @@
 		unfinished := 0
 		for i := range engines {
 			engines[i] = EngineView{
-				Life: fleet.Life{Instance: fmt.Sprintf("e%d", i)}, Version: rapid.Int64Range(1, 3).Draw(rt, "version"),
+				Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: rapid.Int64Range(1, 3).Draw(rt, "version"),
 				Phase: rapid.SampledFrom([]Phase{Serving, Loading}).Draw(rt, "phase"),
 			}
 			if engines[i].Version < 3 || engines[i].Phase == Loading {
@@ -33,7 +33,7 @@
 			if e.Version >= 3 && e.Phase == Serving {
 				continue
 			}
-			if Decide(Input{Self: e.Life, Engines: engines, Wanted: 3, MaxStaleness: 8 * time.Second}) == LoadNow {
+			if Decide(Input{Self: e.Incarnation, Engines: engines, Wanted: 3, MaxStaleness: 8 * time.Second}) == LoadNow {
 				loading++
 			}
 		}
@@ -50,10 +50,10 @@
 func TestUnresponsiveSidecarsAreNotWaitedFor(t *testing.T) {
 	var engines []EngineView
 	for i := range 9 {
-		engines = append(engines, EngineView{Life: fleet.Life{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
+		engines = append(engines, EngineView{Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
 	}
 	ordered := RolloutOrder(engines, 2)
-	in := Input{Self: ordered[2].Life, Engines: engines, Wanted: 2, MaxStaleness: 8 * time.Second}
+	in := Input{Self: ordered[2].Incarnation, Engines: engines, Wanted: 2, MaxStaleness: 8 * time.Second}
 	if Decide(in) != Wait {
 		t.Fatal("the third engine does not wait for the first two")
 	}
@@ -80,9 +80,9 @@
 func TestLateEngineLoadsRegardlessOfOthers(t *testing.T) {
 	var engines []EngineView
 	for i := range 9 {
-		engines = append(engines, EngineView{Life: fleet.Life{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
+		engines = append(engines, EngineView{Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
 	}
-	last := RolloutOrder(engines, 2)[8].Life
+	last := RolloutOrder(engines, 2)[8].Incarnation
 	in := Input{Self: last, Engines: engines, Wanted: 2, MaxStaleness: 8 * time.Second, StaleFor: 5 * time.Second}
 	if Decide(in) != LoadNow {
 		t.Error("the last engine still waits")
--- a/internal/gateway/weights/remote.go
+++ b/internal/gateway/weights/remote.go
@@ -13,7 +13,7 @@
 
 // RemoteEngine is an engine without a sidecar, as the platform lists it.
 type RemoteEngine struct {
-	fleet.Life
+	fleet.Incarnation
 	Engine Engine
 	// Versions maps each of the engine's models to its version.
 	Versions map[string]int64
@@ -47,13 +47,13 @@
 	logger    logr.Logger
 	now       func() time.Time
 	onOutcome func(Outcome)
-	progress  map[fleet.Life]*progress
+	progress  map[fleet.Incarnation]*progress
 }
 
 // NewRemoteController returns a controller that sends load requests for a holder. It calls
 // onOutcome with the outcome of each request.
 func NewRemoteController(loop *control.Loop, holder string, logger logr.Logger, now func() time.Time, onOutcome func(Outcome)) *RemoteController {
-	return &RemoteController{loop: loop, holder: holder, logger: logger, now: now, onOutcome: onOutcome, progress: map[fleet.Life]*progress{}}
+	return &RemoteController{loop: loop, holder: holder, logger: logger, now: now, onOutcome: onOutcome, progress: map[fleet.Incarnation]*progress{}}
 }
 
 // AnyStale reports whether any engine is known to lack a wanted version.
@@ -68,7 +68,7 @@
 
 func (c *RemoteController) stale(e *RemoteEngine, model string, wanted int64) bool {
 	version, served := e.Versions[model]
-	if p := c.progress[e.Life]; p != nil {
+	if p := c.progress[e.Incarnation]; p != nil {
 		version = max(version, p.version)
 	}
 	return served && version < wanted
@@ -80,32 +80,32 @@
 	c.expire()
 	slots := MaxParallelLoads(len(engines)) - c.loading()
 	views := make([]EngineView, len(engines))
-	byIncarnation := map[fleet.Life]*RemoteEngine{}
+	byIncarnation := map[fleet.Incarnation]*RemoteEngine{}
 	for i := range engines {
-		views[i] = EngineView{Life: engines[i].Life}
-		byIncarnation[engines[i].Life] = &engines[i]
+		views[i] = EngineView{Incarnation: engines[i].Incarnation}
+		byIncarnation[engines[i].Incarnation] = &engines[i]
 	}
 	for _, v := range c.failedLast(RolloutOrder(views, wanted)) {
-		e := byIncarnation[v.Life]
+		e := byIncarnation[v.Incarnation]
 		if slots <= 0 {
 			return
 		}
-		if c.blocked(e.Life) || !c.stale(e, model, wanted) {
+		if c.blocked(e.Incarnation) || !c.stale(e, model, wanted) {
 			continue
 		}
 		slots--
-		c.requestLoad(e, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.holder, Token: token, Incarnation: e.Life})
+		c.requestLoad(e, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.holder, Token: token, Incarnation: e.Incarnation})
 	}
 }
 
 // failedLast moves engines whose last load request failed to the end, so that unresponsive
 // engines at the start of the rollout order do not occupy all slots on every attempt.
 func (c *RemoteController) failedLast(ordered []EngineView) []EngineView {
-	slices.SortStableFunc(ordered, func(a, b EngineView) int { return c.failures(a.Life) - c.failures(b.Life) })
+	slices.SortStableFunc(ordered, func(a, b EngineView) int { return c.failures(a.Incarnation) - c.failures(b.Incarnation) })
 	return ordered
 }
 
-func (c *RemoteController) failures(incarnation fleet.Life) int {
+func (c *RemoteController) failures(incarnation fleet.Incarnation) int {
 	if p := c.progress[incarnation]; p != nil && p.failed {
 		return 1
 	}
@@ -113,7 +113,7 @@
 }
 
 // blocked reports whether an engine's load is in progress or its next attempt is not due.
-func (c *RemoteController) blocked(incarnation fleet.Life) bool {
+func (c *RemoteController) blocked(incarnation fleet.Incarnation) bool {
 	p := c.progress[incarnation]
 	return p != nil && (p.pending || p.loading || p.failed && c.now().Before(p.until))
 }
@@ -146,10 +146,10 @@
 // it. The engine rejects the request if it arrives after a newer one.
 func (c *RemoteController) requestLoad(e *RemoteEngine, req LoadRequest) {
 	p := &progress{pending: true}
-	if old := c.progress[e.Life]; old != nil {
+	if old := c.progress[e.Incarnation]; old != nil {
 		p.version, p.failed = old.version, old.failed
 	}
-	c.progress[e.Life] = p
+	c.progress[e.Incarnation] = p
 	type result struct {
 		report  Report
 		outcome Outcome
--- a/internal/gateway/weights/remote_test.go
+++ b/internal/gateway/weights/remote_test.go
@@ -27,7 +27,7 @@
 	for i := range n {
 		e := &fakeEngine{instance: fmt.Sprintf("e%d", i), version: 1}
 		h.engines = append(h.engines, e)
-		h.list = append(h.list, RemoteEngine{Life: fleet.Life{Instance: e.instance}, Engine: e, Versions: map[string]int64{"m": 1}})
+		h.list = append(h.list, RemoteEngine{Incarnation: fleet.Incarnation{Instance: e.instance}, Engine: e, Versions: map[string]int64{"m": 1}})
 	}
 	go h.loop.Run()
 	return h
@@ -76,7 +76,7 @@
 		h := startRemoteHarness(10)
 		views := make([]EngineView, len(h.list))
 		for i := range h.list {
-			views[i] = EngineView{Life: h.list[i].Life}
+			views[i] = EngineView{Incarnation: h.list[i].Incarnation}
 		}
 		unresponsive := RolloutOrder(views, 2)[:2]
 		for _, e := range h.engines {
--- a/internal/gateway/words.go
+++ b/internal/gateway/words.go
@@ -21,7 +21,7 @@
 // hearEngine takes in what a sidecar says of its engine. It reports whether
 // traffic goes by something else now.
 func (b *beliefs) hearEngine(m *mesh.Member) bool {
-	e := m.Beat.Engine
+	e := m.Heartbeat.Engine
 	if e == nil {
 		return false
 	}
@@ -34,17 +34,17 @@
 		return b.hearSilent(m, address)
 	}
 	delete(b.silent, address)
-	life := fleet.Life{Instance: e.Instance, Born: e.Born}
-	word := view.EngineWord{
+	life := fleet.Incarnation{Instance: e.Instance, StartedMs: e.Born}
+	word := view.EngineReport{
 		Service: e.Service, Address: address, Zone: m.Zone,
 		Weights: map[string]int64{}, Phase: phases[e.Phase],
-		Running: int(e.Running), Queued: int(e.Queued), HeardAt: b.clock.Now(),
+		Running: int(e.Running), Queued: int(e.Queued), ReceivedAt: b.clock.Now(),
 	}
 	for _, w := range e.Weights {
 		word.Weights[w.Model] = w.Version
 	}
 	if within := time.Duration(e.BeganWithinMs) * time.Millisecond; within > 0 {
-		word.BeganAfter = word.HeardAt.Add(-within)
+		word.StartedAfter = word.ReceivedAt.Add(-within)
 	}
 	old, known := b.words[life]
 	if !known {
