--- a/internal/batchmodel/model.go
+++ b/internal/batchmodel/model.go
@@ -115,9 +115,9 @@
 		for i := range views {
 			views[i] = weights.EngineView{Incarnation: fleet.Incarnation{Instance: strconv.Itoa(i)}}
 		}
-		for position, view := range weights.Turns(views, int64(update+1)) {
+		for position, view := range weights.RolloutOrder(views, int64(update+1)) {
 			i, _ := strconv.Atoi(view.Instance) // set from an index above
-			wave := position / weights.Parallel(len(views))
+			wave := position / weights.MaxParallelLoads(len(views))
 			m.engines[i].pendingLoads = append(m.engines[i].pendingLoads, weightLoad{at: at + time.Duration(wave)*m.spec.Engine.LoadTime, version: update + 1})
 		}
 	}
