--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -235,9 +235,9 @@
 	}
 }
 
-// Adopt takes over what may change in the settings of a running process: the
+// Reload takes over what may change in the settings of a running process: the
 // seeds. Everything else keeps the value that it started with, which is said.
-func (p *process) Adopt(next *Settings) {
+func (p *process) Reload(next *Settings) {
 	fixed := *next
 	fixed.Seeds = p.settings.Seeds
 	same := reflect.DeepEqual(&fixed, p.settings)
@@ -245,11 +245,11 @@
 	p.logger.Info("settings_reloaded", "seeds", next.Seeds, "others_unchanged", same)
 }
 
-// Refused tells that changed settings were not taken over.
-func (p *process) Refused(err error) { p.logger.Error(err, "settings_refused") }
+// ReloadFailed tells that changed settings were not taken over.
+func (p *process) ReloadFailed(err error) { p.logger.Error(err, "settings_refused") }
 
-// Failed yields the error of a listener that ended by itself.
-func (p *process) Failed() <-chan error { return p.failed }
+// ServeErrors yields the error of a listener that ended by itself.
+func (p *process) ServeErrors() <-chan error { return p.failed }
 
 // Close ends the process at once.
 func (p *process) Close() {
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -51,7 +51,7 @@
 		Token: func() (uint64, bool) { return s.token, s.token > 0 },
 		Fresh: func() bool { p.clock.Check(); return p.clock.SinceWoken() > freshAfter },
 	}, weights.Options{
-		Holder: p.settings.Name, Bound: p.settings.Bounds.Weights.Duration, Logger: p.logger, Now: p.clock.Now,
+		Holder: p.settings.Name, Bound: p.settings.Bounds.MaxStaleness.Duration, Logger: p.logger, Now: p.clock.Now,
 		Ordered: func(o weights.Outcome) { p.metrics.Order(o.String()) },
 	})
 	p.beliefs.changed = s.orders.Nudge
@@ -96,7 +96,7 @@
 // fetchToken gets this life's fencing token, once the store gives one.
 func (s *sidecar) fetchToken() {
 	control.Do(s.process.loop, tokenTimeout, func(ctx context.Context) (uint64, error) {
-		return s.process.platform.Token(ctx, s.process.settings.Name)
+		return s.process.platform.NextToken(ctx, s.process.settings.Name)
 	}, func(token uint64, err error) {
 		if err == nil {
 			s.token = token
