--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -26,12 +26,12 @@
 	state := &admin.Process{
 		Name: p.settings.Name, Role: string(p.settings.Role), Zone: p.settings.AvailabilityZone, TokenSHA256: p.settings.AdminTokenSHA256,
 		StartedMs: time.Now().UnixMilli(), Registry: p.metrics.Registry,
-		Config: p.textInForce, Targets: p.listTargets, Goals: p.goals, Burn: p.burn,
+		Config: p.currentConfig, Targets: p.listTargets, Goals: p.burnGoals, Burn: p.burn,
 		Ready: p.ready, InFlight: p.inFlight, Draining: func() bool { return p.currentView().Stopping },
 	}
 	if p.entry != nil {
 		state.Placement = p.explainPlacement
-		state.Quarantine, state.Release = p.listSuspects, p.releaseRequest
+		state.Quarantine, state.Release = p.listQuarantine, p.releaseRequest
 		state.Limits = p.listLimits
 	}
 	handler, err := admin.Handler(state)
@@ -42,14 +42,14 @@
 }
 
 func (p *process) currentView() *view.View {
-	v, ok := p.beliefs.view.Get()
+	v, ok := p.state.view.Get()
 	if !ok {
 		return &view.View{}
 	}
 	return v
 }
 
-func (p *process) textInForce() (int64, string, bool) {
+func (p *process) currentConfig() (int64, string, bool) {
 	v := p.currentView()
 	if v.Estate == nil {
 		return 0, "", false
@@ -79,7 +79,7 @@
 	for _, list := range v.Targets {
 		for i := range list {
 			all = append(all, oas.Target{
-				Name: list[i].Instance, Service: list[i].Service, AvailabilityZone: list[i].Zone, Address: list[i].Address.String(), State: stateOf(v, &list[i]),
+				Name: list[i].Instance, Service: list[i].Service, AvailabilityZone: list[i].Zone, Address: list[i].Address.String(), State: targetState(v, &list[i]),
 			})
 		}
 	}
@@ -87,7 +87,7 @@
 	return all
 }
 
-func stateOf(v *view.View, t *fleet.Target) oas.TargetState {
+func targetState(v *view.View, t *fleet.Target) oas.TargetState {
 	switch {
 	case t.Leaving:
 		return oas.TargetStateLeaving
@@ -98,8 +98,8 @@
 	}
 }
 
-// goals asks the same service level of each service and class that has a route.
-func (p *process) goals() []burn.Goal {
+// burnGoals asks the same service level of each service and class that has a route.
+func (p *process) burnGoals() []burn.Goal {
 	v := p.currentView()
 	if v.Estate == nil {
 		return nil
@@ -131,10 +131,10 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	return placementOf(x), nil
+	return encodePlacement(x), nil
 }
 
-func placementOf(x *forward.Explanation) *oas.Placement {
+func encodePlacement(x *forward.Explanation) *oas.Placement {
 	answer := &oas.Placement{
 		Route: x.Route, Service: x.Service, ConfigVersion: x.Estate, ListAgeMs: x.ListAge.Milliseconds(), Candidates: []oas.PlacementCandidate{},
 	}
@@ -148,14 +148,14 @@
 		t := &x.Targets[i]
 		c := oas.PlacementCandidate{Target: t.Instance, AvailabilityZone: t.Zone, Address: t.Address.String()}
 		if len(x.Ratings) > i {
-			rate(&c, &x.Candidates[i], &x.Ratings[i])
+			fillRating(&c, &x.Candidates[i], &x.Ratings[i])
 		}
 		answer.Candidates = append(answer.Candidates, c)
 	}
 	return answer
 }
 
-func rate(c *oas.PlacementCandidate, k *placement.Candidate, r *placement.Rating) {
+func fillRating(c *oas.PlacementCandidate, k *placement.Candidate, r *placement.Rating) {
 	inMs := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, inMs(r.Choice.Wait), inMs(r.Choice.Read), inMs(r.Choice.Fetch)
 	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.Held, r.Choice.Fetched, k.Work.Running, k.Version
--- a/internal/gateway/adminquarantine.go
+++ b/internal/gateway/adminquarantine.go
@@ -7,11 +7,11 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/quarantine"
 )
 
-// listSuspects lists the requests under which targets ended, for operators.
-func (p *process) listSuspects() []oas.QuarantinedRequest {
+// listQuarantine lists the requests under which targets ended, for operators.
+func (p *process) listQuarantine() []oas.QuarantinedRequest {
 	now := p.clock.Now()
 	var all []oas.QuarantinedRequest
-	for _, l := range p.entry.suspects.book.List(now) {
+	for _, l := range p.entry.quarantine.registry.List(now) {
 		row := oas.QuarantinedRequest{
 			Print: l.Print.String(), Verdict: oas.QuarantinedRequestVerdict(l.Verdict.String()), Ends: l.Standing.Ends, Targets: []string{}, Served: l.Served,
 			Workspace: l.Workspace, Route: l.Route, ChangedMsAgo: now.Sub(l.ChangedAt()).Milliseconds(),
@@ -30,5 +30,5 @@
 // releaseRequest lets a request go by its print as logs show it.
 func (p *process) releaseRequest(text string) bool {
 	print, err := strconv.ParseUint(text, 16, 64)
-	return err == nil && p.entry.suspects.release(quarantine.Print(print))
+	return err == nil && p.entry.quarantine.release(quarantine.Print(print))
 }
--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/cachefollowers_test.go
@@ -16,7 +16,7 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/probe"
 )
 
-func heldParts(n int) []holdings.Held {
+func cachedParts(n int) []holdings.Held {
 	var held []holdings.Held
 	for i := range n {
 		held = append(held, holdings.Held{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
@@ -27,7 +27,7 @@
 // A heartbeat that is longer than a datagram is not sent at all. One that tells of as
 // many parts as it may, of the largest size, fits beside the rest of it.
 func TestToldPartsFitIntoADatagram(t *testing.T) {
-	held := heldParts(toldParts)
+	held := cachedParts(maxPartsPerDatagram)
 	for i := range held {
 		held[i].Tokens = 1 << 20
 	}
@@ -41,10 +41,10 @@
 // What an entry is told of a cache is what the sidecar knows of it, and of work what the
 // other entry has.
 func TestToldStateIsHeardAlike(t *testing.T) {
-	e := &entry{parts: parts.NewBook(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
-	held := heldParts(3)
+	e := &entry{parts: parts.NewBook(), cacheReportedAt: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
+	held := cachedParts(3)
 	now := time.Unix(1000, 0)
-	e.learnCache(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
+	e.applyCacheReport(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
 	for _, h := range held {
 		if got := e.parts.At(h.Part, h.Tokens, fleet.IDOf("c"), now); got != parts.Held {
 			t.Errorf("part %d: state %v", h.Part, got)
@@ -59,13 +59,13 @@
 
 // BenchmarkLearnCache is what it costs an entry to take in one part of a cache's word.
 func BenchmarkLearnCache(b *testing.B) {
-	e := &entry{parts: parts.NewBook(), caches: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
-	member := &mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, heldParts(toldParts))}}
-	b.ReportMetric(float64(proto.Size(member.Beat))/toldParts, "bytes/part")
+	e := &entry{parts: parts.NewBook(), cacheReportedAt: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
+	member := &mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, cachedParts(maxPartsPerDatagram))}}
+	b.ReportMetric(float64(proto.Size(member.Beat))/maxPartsPerDatagram, "bytes/part")
 	for b.Loop() {
-		e.learnCache(member, time.Unix(1000, 0))
+		e.applyCacheReport(member, time.Unix(1000, 0))
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/toldParts, "ns/part")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/maxPartsPerDatagram, "ns/part")
 }
 
 // BenchmarkApplyChanges is what it costs a sidecar to take in one change of a cache.
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callerserver.go
@@ -18,30 +18,30 @@
 const (
 	// headerTimeout, idleTimeout and headerBytes bound callers until the estate
 	// states its limits.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 60 * time.Second
-	headerBytes   = 64 << 10
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 64 << 10
 	// idleMargin is how much longer than stated an idle connection is kept: a
 	// caller may use it up to the last moment.
 	idleMargin = time.Second
 )
 
-// callers serves callers under the limits that operators state. A server's
+// callerServer serves callerServer under the limits that operators state. A server's
 // limits cannot change while it serves, so that new limits make a new server for
 // the connections that come from then on; the others end with the old one.
-type callers struct {
+type callerServer struct {
 	handler http.Handler
 	logger  logr.Logger
 	address net.Addr
 	mu      sync.Mutex
 	limits  estate.Limits
-	current *feeder
+	newest  *connListener
 	servers []*http.Server
 	closed  bool
 }
 
-// feeder is a listener that is given its connections.
-type feeder struct {
+// connListener is a listener that is given its connections.
+type connListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
@@ -49,7 +49,7 @@
 }
 
 // Accept implements net.Listener.
-func (f *feeder) Accept() (net.Conn, error) {
+func (f *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-f.conns:
 		return c, nil
@@ -59,26 +59,26 @@
 }
 
 // Close implements net.Listener.
-func (f *feeder) Close() error {
+func (f *connListener) Close() error {
 	f.once.Do(func() { close(f.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *feeder) Addr() net.Addr { return f.addr }
+func (f *connListener) Addr() net.Addr { return f.addr }
 
-func newCallers(handler http.Handler, address net.Addr, logger logr.Logger) *callers {
-	c := &callers{handler: handler, logger: logger, address: address}
-	c.apply(estate.Limits{HeaderBytes: headerBytes, HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout - idleMargin})
+func newCallerServer(handler http.Handler, address net.Addr, logger logr.Logger) *callerServer {
+	c := &callerServer{handler: handler, logger: logger, address: address}
+	c.apply(estate.Limits{HeaderBytes: maxHeaderBytes, HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout - idleMargin})
 	return c
 }
 
-// acceptPause is the wait after a connection could not be taken, for lack of
+// acceptRetryDelay is the wait after a connection could not be taken, for lack of
 // descriptors say. A flood of callers must not end the process.
-const acceptPause = 20 * time.Millisecond
+const acceptRetryDelay = 20 * time.Millisecond
 
 // serve takes connections until the listener is closed.
-func (c *callers) serve(listener net.Listener) error {
+func (c *callerServer) serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -86,16 +86,16 @@
 		}
 		if err != nil {
 			c.logger.Error(err, "accept_failed")
-			sleep.For(context.Background(), acceptPause)
+			sleep.For(context.Background(), acceptRetryDelay)
 			continue
 		}
-		c.give(conn)
+		c.dispatch(conn)
 	}
 }
 
-func (c *callers) give(conn net.Conn) {
+func (c *callerServer) dispatch(conn net.Conn) {
 	c.mu.Lock()
-	to := c.current
+	to := c.newest
 	c.mu.Unlock()
 	select {
 	case to.conns <- conn:
@@ -105,25 +105,25 @@
 }
 
 // apply serves new connections under other limits.
-func (c *callers) apply(l estate.Limits) {
+func (c *callerServer) apply(l estate.Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || l == c.limits || l.HeaderBytes <= 0 || l.HeaderTimeout <= 0 || l.IdleTimeout <= 0 {
 		return
 	}
 	c.limits = l
-	c.current = &feeder{conns: make(chan net.Conn), closed: make(chan struct{}), addr: c.address}
+	c.newest = &connListener{conns: make(chan net.Conn), closed: make(chan struct{}), addr: c.address}
 	server := &http.Server{
 		Handler: c.handler, ReadHeaderTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout + idleMargin, MaxHeaderBytes: l.HeaderBytes,
-		ErrorLog: log.New(serverLog{c.logger}, "", 0),
+		ErrorLog: log.New(httpErrorLog{c.logger}, "", 0),
 	}
 	c.servers = append(c.servers, server)
-	feed := c.current
+	feed := c.newest
 	go func() { _ = server.Serve(feed) }() // ends with Shutdown or Close
 }
 
 // shutdown ends all servers when their requests have ended, or the context does.
-func (c *callers) shutdown(ctx context.Context) error {
+func (c *callerServer) shutdown(ctx context.Context) error {
 	c.mu.Lock()
 	c.closed = true
 	servers := c.servers
@@ -137,7 +137,7 @@
 	return first
 }
 
-func (c *callers) close() {
+func (c *callerServer) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
@@ -146,11 +146,11 @@
 	}
 }
 
-// serverLog turns what net/http says of bad connections into log lines.
-type serverLog struct{ logger logr.Logger }
+// httpErrorLog turns what net/http says of bad connections into log lines.
+type httpErrorLog struct{ logger logr.Logger }
 
 // Write implements io.Writer.
-func (l serverLog) Write(p []byte) (int, error) {
+func (l httpErrorLog) Write(p []byte) (int, error) {
 	l.logger.Info("caller_connection", "said", string(p[:max(len(p)-1, 0)]))
 	return len(p), nil
 }
--- a/internal/gateway/callers_test.go
+++ b/internal/gateway/callerserver_test.go
@@ -16,23 +16,23 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/estate"
 )
 
-func startCallers(t *testing.T, handler http.Handler) (*callers, string) {
+func startCallers(t *testing.T, handler http.Handler) (*callerServer, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newCallers(handler, listener.Addr(), logr.Discard())
+	c := newCallerServer(handler, listener.Addr(), logr.Discard())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = c.serve(listener) }()
 	t.Cleanup(func() { listener.Close(); c.close(); <-done })
 	return c, listener.Addr().String()
 }
 
-func echo(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.RequestURI) }
+func echoURI(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.RequestURI) }
 
-// exchange writes a request's bytes and returns the status of what comes.
-func exchange(t *testing.T, address, request string) string {
+// statusLine writes a request's bytes and returns the status of what comes.
+func statusLine(t *testing.T, address, request string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -51,7 +51,7 @@
 // Operators lower the limits. They hold for the connections that come from then
 // on; one that is open goes on under the ones that it began with.
 func TestLimitsFollowTheEstate(t *testing.T) {
-	c, address := startCallers(t, http.HandlerFunc(echo))
+	c, address := startCallers(t, http.HandlerFunc(echoURI))
 	open, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -75,13 +75,13 @@
 		t.Errorf("the open connection: %q", got)
 	}
 	long := fmt.Sprintf("GET / HTTP/1.1\r\nHost: h\r\nX: %s\r\n\r\n", strings.Repeat("x", 20_000))
-	if got := exchange(t, address, long); !strings.Contains(got, "431") {
+	if got := statusLine(t, address, long); !strings.Contains(got, "431") {
 		t.Errorf("long header: %q", got)
 	}
-	if got := exchange(t, address, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); !strings.Contains(got, "200") {
+	if got := statusLine(t, address, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); !strings.Contains(got, "200") {
 		t.Errorf("ordinary: %q", got)
 	}
-	if got := exchange(t, address, "GET / HTTP/1.1\r\nHo"); strings.Contains(got, "200") {
+	if got := statusLine(t, address, "GET / HTTP/1.1\r\nHo"); strings.Contains(got, "200") {
 		t.Errorf("half a header: %q", got)
 	}
 }
@@ -100,7 +100,7 @@
 		"POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: xchunked\r\nContent-Length: 0\r\n\r\n" + inner,
 		"POST /c HTTP/1.1\r\nHost: h\r\nContent-Length: " + fmt.Sprint(len(inner)) + "\r\n\r\n" + inner,
 	} {
-		exchange(t, address, request)
+		statusLine(t, address, request)
 	}
 	for _, s := range seen {
 		if strings.HasPrefix(s, "/smuggled") {
@@ -115,10 +115,10 @@
 	c, address := startCallers(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-release
-		echo(w, r)
+		echoURI(w, r)
 	}))
 	got := make(chan string, 1)
-	go func() { got <- exchange(t, address, "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n") }()
+	go func() { got <- statusLine(t, address, "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n") }()
 	<-begun
 	c.apply(estate.Limits{HeaderBytes: 8 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second})
 	done := make(chan error, 1)
--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -15,9 +15,9 @@
 	// deputyPeriod is how often an entry looks whether engines without a sidecar lack
 	// weights.
 	deputyPeriod = 250 * time.Millisecond
-	// sidecarsHeard is the time after a start in which some sidecar is heard where there
+	// sidecarDiscoveryTime is the time after a start in which some sidecar is heard where there
 	// are any: each sends to every entry within a few seconds.
-	sidecarsHeard = 6 * time.Second
+	sidecarDiscoveryTime = 6 * time.Second
 	// leaseTimeout bounds a call for the lease.
 	leaseTimeout = time.Second
 )
@@ -34,23 +34,23 @@
 // The failure guarded against: operators name new weights, nobody orders them, and every
 // engine becomes too old to be used: all prompts are refused.
 type deputy struct {
-	process   *process
-	startedAt time.Time
-	lease     *lease.Lease
-	orders    *weights.RemoteController
+	process    *process
+	startedAt  time.Time
+	lease      *lease.Lease
+	controller *weights.RemoteController
 	// token of the present hold; zero until it is fetched.
 	token    uint64
 	fetching bool
 	engines  map[netip.AddrPort]weights.Engine
-	// relieved is set once a sidecar was heard.
-	relieved bool
+	// sidecarSeen is set once a sidecar was heard.
+	sidecarSeen bool
 }
 
 func newDeputy(p *process) *deputy {
 	holder := p.settings.Name + "/" + strconv.FormatUint(p.incarnation, 16)
 	return &deputy{
 		process: p, lease: lease.New(holder), engines: map[netip.AddrPort]weights.Engine{},
-		orders: weights.NewRemoteController(p.loop, p.settings.Name, p.logger, p.clock.Now, func(o weights.Outcome) { p.metrics.Order(o.String()) }),
+		controller: weights.NewRemoteController(p.loop, p.settings.Name, p.logger, p.clock.Now, func(o weights.Outcome) { p.metrics.Order(o.String()) }),
 	}
 }
 
@@ -62,22 +62,22 @@
 // step runs on the control thread.
 func (d *deputy) step() {
 	now := d.process.clock.Now()
-	b := d.process.beliefs
-	d.relieved = d.relieved || len(b.mesh.Live(false)) > 0
-	if d.relieved || b.estate == nil || b.stopping || now.Sub(d.startedAt) < sidecarsHeard {
+	b := d.process.state
+	d.sidecarSeen = d.sidecarSeen || len(b.mesh.Live(false)) > 0
+	if d.sidecarSeen || b.estate == nil || b.stopping || now.Sub(d.startedAt) < sidecarDiscoveryTime {
 		return
 	}
-	for model, history := range b.wanted {
+	for model, history := range b.wantedWeights {
 		engines := d.enginesOf(model)
 		wanted := history.Newest()
-		if !d.orders.Behind(engines, model, wanted) {
+		if !d.controller.Behind(engines, model, wanted) {
 			continue
 		}
-		if b.entriesBefore() == 0 || d.lease.Held(now) {
-			d.hold(now)
+		if b.entryRank() == 0 || d.lease.Held(now) {
+			d.maintainLease(now)
 		}
-		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceWoken() > freshAfter {
-			d.orders.Step(engines, model, wanted, d.token)
+		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceWoken() > resumeSettleTime {
+			d.controller.Step(engines, model, wanted, d.token)
 		}
 	}
 	if !d.lease.Held(now) {
@@ -87,7 +87,7 @@
 
 // enginesOf returns the engines that serve a model.
 func (d *deputy) enginesOf(model string) []weights.Remote {
-	b := d.process.beliefs
+	b := d.process.state
 	v, ok := b.view.Get()
 	if !ok {
 		return nil
@@ -112,15 +112,15 @@
 	return d.engines[address]
 }
 
-// hold takes or keeps the lease.
-func (d *deputy) hold(now time.Time) {
+// maintainLease takes or keeps the lease.
+func (d *deputy) maintainLease(now time.Time) {
 	switch d.lease.Next(now) {
 	case lease.Look:
 		control.Do(d.process.loop, leaseTimeout, d.process.platform.Lease, func(r lease.Record, err error) {
 			d.lease.Looked(r, err, d.process.clock.Now())
 		})
 	case lease.Write:
-		d.write()
+		d.writeLease()
 	case lease.Wait:
 	}
 	if d.lease.Held(now) && d.token == 0 {
@@ -128,7 +128,7 @@
 	}
 }
 
-func (d *deputy) write() {
+func (d *deputy) writeLease() {
 	holder, end := d.lease.Holder(), d.lease.End()
 	type result struct {
 		offset uint64
--- a/internal/gateway/words.go
+++ b/internal/gateway/enginereports.go
@@ -18,9 +18,9 @@
 	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Emptying,
 }
 
-// hearEngine takes in what a sidecar says of its engine. It reports whether
+// applyEngineReport takes in what a sidecar says of its engine. It reports whether
 // traffic goes by something else now.
-func (b *beliefs) hearEngine(m *mesh.Member) bool {
+func (b *clusterState) applyEngineReport(m *mesh.Member) bool {
 	e := m.Beat.Engine
 	if e == nil {
 		return false
@@ -31,9 +31,9 @@
 		return false
 	}
 	if e.Phase == peerv1.EnginePhase_ENGINE_PHASE_SILENT {
-		return b.hearSilent(m, address)
+		return b.applyUnresponsive(m, address)
 	}
-	delete(b.silent, address)
+	delete(b.unresponsive, address)
 	life := fleet.Life{Instance: e.Instance, Born: e.Born}
 	word := view.EngineWord{
 		Service: e.Service, Address: address, Zone: m.Zone,
@@ -46,15 +46,15 @@
 	if within := time.Duration(e.BeganWithinMs) * time.Millisecond; within > 0 {
 		word.BeganAfter = word.HeardAt.Add(-within)
 	}
-	old, known := b.words[life]
+	old, known := b.engineReports[life]
 	if !known {
-		b.dropWordsAt(address)
+		b.dropReportsAt(address)
 	}
 	word.PhaseSince = b.clock.Now()
 	if known && old.Phase == word.Phase {
 		word.PhaseSince = old.PhaseSince
 	}
-	b.words[life] = word
+	b.engineReports[life] = word
 	changed := !known || old.Phase != word.Phase
 	for model, version := range word.Weights {
 		if old.Weights[model] != version {
@@ -67,25 +67,25 @@
 	return changed
 }
 
-// hearSilent takes in that an engine does not answer its sidecar. It is known
+// applyUnresponsive takes in that an engine does not answer its sidecar. It is known
 // there within a tenth of a second; the platform's list shows a crash only
 // after three heartbeats.
-func (b *beliefs) hearSilent(m *mesh.Member, address netip.AddrPort) bool {
-	_, known := b.silent[address]
-	b.silent[address] = b.clock.Now()
+func (b *clusterState) applyUnresponsive(m *mesh.Member, address netip.AddrPort) bool {
+	_, known := b.unresponsive[address]
+	b.unresponsive[address] = b.clock.Now()
 	if known {
 		return false
 	}
 	b.logger.Info("engine_told_silent", "peer", m.Name, "address", address)
-	b.dropWordsAt(address)
+	b.dropReportsAt(address)
 	return true
 }
 
-// dropWordsAt forgets what was said of lives at an address: they have ended.
-func (b *beliefs) dropWordsAt(address netip.AddrPort) {
-	for life, w := range b.words {
+// dropReportsAt forgets what was said of lives at an address: they have ended.
+func (b *clusterState) dropReportsAt(address netip.AddrPort) {
+	for life, w := range b.engineReports {
 		if w.Address == address {
-			delete(b.words, life)
+			delete(b.engineReports, life)
 		}
 	}
 }
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -24,46 +24,46 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-// maxFacts is how many facts about parts one heartbeat holds. A fact takes 14
+// maxPartUpdates is how many facts about parts one heartbeat holds. A fact takes 14
 // bytes; with the rest a heartbeat stays within one packet.
-const maxFacts = 60
+const maxPartUpdates = 60
 
 // entry is the role that takes callers' requests.
 type entry struct {
-	beliefs   *beliefs
-	ledger    *ledger.Ledger
-	parts     *parts.Book
-	health    *health.Book
-	reach     *reach.Book
-	pool      *upstream.Pool
-	forwarder *forward.Forwarder
-	suspects  *suspects
-	// caches are those that were told of, with when they were last.
-	caches map[fleet.ID]time.Time
+	state      *clusterState
+	ledger     *ledger.Ledger
+	parts      *parts.Book
+	health     *health.Book
+	reach      *reach.Book
+	pool       *upstream.Pool
+	forwarder  *forward.Forwarder
+	quarantine *quarantineSync
+	// cacheReportedAt are those that were told of, with when they were last.
+	cacheReportedAt map[fleet.ID]time.Time
 	// probes asks sidecars; nil where probes are off.
 	probes *probe.Client
 	// limits is this entry's part in the rate limits; nil where there are none.
 	limits *limits
-	// changed are the targets at which this entry's work has changed since the
+	// changedTargets are the targets at which this entry's work has changedTargets since the
 	// others were told.
-	changed map[fleet.ID]bool
+	changedTargets map[fleet.ID]bool
 }
 
 func newEntry(p *process) *entry {
-	e := &entry{beliefs: p.beliefs, ledger: ledger.New(), parts: parts.NewBook(), reach: &reach.Book{}, caches: map[fleet.ID]time.Time{}, changed: map[fleet.ID]bool{}}
+	e := &entry{state: p.state, ledger: ledger.New(), parts: parts.NewBook(), reach: &reach.Book{}, cacheReportedAt: map[fleet.ID]time.Time{}, changedTargets: map[fleet.ID]bool{}}
 	e.health = health.NewBook(func(life fleet.Life, until time.Time, failures, others float64, outcome health.Outcome) {
 		p.logger.Info("target_rested", "target", life, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
 			"failures", math.Round(100*failures)/100, "others", math.Round(100*others)/100, "outcome", outcome.String())
 	})
 	e.pool = upstream.NewPool(p.metrics.Connection)
-	e.suspects = newSuspects(p)
+	e.quarantine = newQuarantineSync(p)
 	e.forwarder = forward.New(forward.Deps{
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
-		Quarantine: e.suspects.book, CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
+		Quarantine: e.quarantine.registry, CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
 		Bounds: forward.Bounds{
 			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration,
 		},
-		Zone: p.settings.AvailabilityZone, Logger: p.logger, RoutineLogger: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, AnnounceWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
+		Zone: p.settings.AvailabilityZone, Logger: p.logger, RoutineLogger: p.routineLogger, Metrics: requestMetrics{p.metrics, p.burn}, AnnounceWork: e.announceWork, Now: p.clock.Now, Seed: p.settings.seed(),
 	})
 	return e
 }
@@ -81,12 +81,12 @@
 }
 
 func (e *entry) openProbes(s *Settings) error {
-	sidecars, ok := s.probe()
+	sidecars, ok := s.probeAddress()
 	if !ok {
 		return nil
 	}
 	var err error
-	e.probes, err = probe.NewClient(s.mesh().Addr(), sidecars.Port(), e.beliefs.clock.Now)
+	e.probes, err = probe.NewClient(s.meshAddress().Addr(), sidecars.Port(), e.state.clock.Now)
 	if err == nil {
 		e.forwarder.Sidecars = e.probes
 	}
@@ -113,122 +113,122 @@
 	m.counter.Add(burn.Key{Service: service, Class: class, Workspace: workspace}, good)
 }
 
-func (e *entry) currentView() (*view.View, bool) { return e.beliefs.view.Get() }
+func (e *entry) currentView() (*view.View, bool) { return e.state.view.Get() }
 
 // ready reports whether the entry can serve callers. One that is cut off says no,
 // so that the balancer turns to others.
 func (e *entry) ready() bool {
 	v, ok := e.currentView()
-	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.CutOff(e.beliefs.clock.Now())
+	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.CutOff(e.state.clock.Now())
 }
 
 // compose adds to a heartbeat what other entries want to know.
 func (e *entry) compose(beat *peerv1.Beat) {
 	e.composeWork(beat)
-	e.suspects.compose(beat)
+	e.quarantine.compose(beat)
 }
 
 func (e *entry) composeWork(beat *peerv1.Beat) {
-	if e.beliefs.large.Load() {
+	if e.state.large.Load() {
 		e.parts.DropFresh()
 		return
 	}
-	for target, w := range e.ledger.Own(e.beliefs.clock.Now()) {
+	for target, w := range e.ledger.Own(e.state.clock.Now()) {
 		beat.Loads = append(beat.Loads, probe.LoadOut(target, w))
 	}
 }
 
 const (
-	// tellDelay gathers what other entries are told at once. In larger fleets more
+	// announceDelay gathers what other entries are told at once. In larger fleets more
 	// is gathered, by tellDelayEach for each entry: what an entry hears grows with
 	// their number.
-	tellDelay     = 8 * time.Millisecond
-	tellDelayEach = 2 * time.Millisecond
+	announceDelay         = 8 * time.Millisecond
+	announceDelayPerEntry = 2 * time.Millisecond
 )
 
-// tellWork tells the other entries soon of this entry's work at a target, and of
+// announceWork tells the other entries soon of this entry's work at a target, and of
 // the parts that are read there.
-func (e *entry) tellWork(target fleet.ID) {
-	if e.beliefs.large.Load() {
+func (e *entry) announceWork(target fleet.ID) {
+	if e.state.large.Load() {
 		return
 	}
-	e.beliefs.loop.Post(func() {
-		first := len(e.changed) == 0
-		e.changed[target] = true
+	e.state.loop.Post(func() {
+		first := len(e.changedTargets) == 0
+		e.changedTargets[target] = true
 		if !first {
 			return
 		}
-		delay := tellDelay + tellDelayEach*time.Duration(len(e.beliefs.mesh.Live(true)))
-		e.beliefs.loop.Go(func(ctx context.Context) {
+		delay := announceDelay + announceDelayPerEntry*time.Duration(len(e.state.mesh.Live(true)))
+		e.state.loop.Go(func(ctx context.Context) {
 			if sleep.For(ctx, delay) {
-				e.beliefs.loop.Post(e.tellChanged)
+				e.state.loop.Post(e.announceChangedWork)
 			}
 		})
 	})
 }
 
-func (e *entry) tellChanged() {
-	now := e.beliefs.clock.Now()
-	e.beliefs.mesh.TellEntries(func(beat *peerv1.Beat) {
-		for target := range e.changed {
+func (e *entry) announceChangedWork() {
+	now := e.state.clock.Now()
+	e.state.mesh.TellEntries(func(beat *peerv1.Beat) {
+		for target := range e.changedTargets {
 			beat.Loads = append(beat.Loads, probe.LoadOut(target, e.ledger.OwnAt(target, now)))
 		}
-		beat.Parts = e.freshFacts()
+		beat.Parts = e.takePartUpdates()
 	})
-	clear(e.changed)
+	clear(e.changedTargets)
 }
 
-// freshFacts returns what the other entries were not told yet of parts.
-func (e *entry) freshFacts() []*peerv1.PartHeld {
+// takePartUpdates returns what the other entries were not told yet of parts.
+func (e *entry) takePartUpdates() []*peerv1.PartHeld {
 	var facts []*peerv1.PartHeld
-	for _, f := range e.parts.TakeFresh(maxFacts) {
+	for _, f := range e.parts.TakeFresh(maxPartUpdates) {
 		facts = append(facts, &peerv1.PartHeld{Part: uint32(f.Part), Target: uint32(f.Target), Done: f.Done})
 	}
 	return facts
 }
 
-func (e *entry) heard(m *mesh.Member) {
-	now := e.beliefs.clock.Now()
+func (e *entry) onHeartbeat(m *mesh.Member) {
+	now := e.state.clock.Now()
 	if !m.Entry {
 		e.reach.Heard(now)
 	}
 	if m.Entry && e.limits != nil {
-		e.limits.heard(m)
+		e.limits.onHeartbeat(m)
 	}
 	if m.Entry {
-		e.ledger.Told(m.Address, loadsOf(m.Beat), m.Beat.Partial, now)
+		e.ledger.Told(m.Address, announcedWork(m.Beat), m.Beat.Partial, now)
 		for _, p := range m.Beat.Parts {
 			e.parts.Told(parts.Fact{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
 		}
-		e.suspects.heard(m)
+		e.quarantine.onHeartbeat(m)
 	}
-	e.learnCache(m, now)
-	if e.beliefs.hearEngine(m) {
-		e.beliefs.postSoon()
+	e.applyCacheReport(m, now)
+	if e.state.applyEngineReport(m) {
+		e.state.publishViewSoon()
 	}
 }
 
-// cacheSilence is the silence after which word of a cache is news again. Sidecars tell of
+// cacheReportTimeout is the silence after which word of a cache is news again. Sidecars tell of
 // each cache twice a second.
-const cacheSilence = 5 * time.Second
+const cacheReportTimeout = 5 * time.Second
 
-// learnCache takes in what a cache holds by its own word.
-func (e *entry) learnCache(m *mesh.Member, now time.Time) {
+// applyCacheReport takes in what a cache holds by its own word.
+func (e *entry) applyCacheReport(m *mesh.Member, now time.Time) {
 	c := m.Beat.Cache
 	if c == nil || len(c.Parts) != len(c.Tokens) {
 		return
 	}
-	if now.Sub(e.caches[fleet.ID(c.Cache)]) > cacheSilence {
-		e.beliefs.logger.Info("cache_told", "cache", c.Cache, "peer", m.Name, "parts", len(c.Parts))
-		maps.DeleteFunc(e.caches, func(_ fleet.ID, at time.Time) bool { return now.Sub(at) > cacheSilence })
+	if now.Sub(e.cacheReportedAt[fleet.ID(c.Cache)]) > cacheReportTimeout {
+		e.state.logger.Info("cache_told", "cache", c.Cache, "peer", m.Name, "parts", len(c.Parts))
+		maps.DeleteFunc(e.cacheReportedAt, func(_ fleet.ID, at time.Time) bool { return now.Sub(at) > cacheReportTimeout })
 	}
-	e.caches[fleet.ID(c.Cache)] = now
+	e.cacheReportedAt[fleet.ID(c.Cache)] = now
 	for i, part := range c.Parts {
 		e.parts.Learn(fleet.ID(c.Cache), parts.Key(part), int(c.Tokens[i]), now)
 	}
 }
 
-func loadsOf(beat *peerv1.Beat) map[fleet.ID]ledger.Work {
+func announcedWork(beat *peerv1.Beat) map[fleet.ID]ledger.Work {
 	loads := make(map[fleet.ID]ledger.Work, len(beat.Loads))
 	for _, l := range beat.Loads {
 		loads[fleet.ID(l.Target)] = probe.WorkIn(l)
--- a/internal/gateway/size.go
+++ b/internal/gateway/fleetsize.go
@@ -2,10 +2,10 @@
 
 import "github.com/toucanwell/toucanwell/internal/gateway/fleet"
 
-// sizeUp sets whether the fleet is large: whether entries ask the sidecars of the engines
+// updateFleetSize sets whether the fleet is large: whether entries ask the sidecars of the engines
 // that they consider, instead of being told of all. Where no sidecar is heard, telling
 // some is all that is left.
-func (b *beliefs) sizeUp(targets map[string][]fleet.Target) {
+func (b *clusterState) updateFleetSize(targets map[string][]fleet.Target) {
 	engines := 0
 	for _, list := range targets {
 		for i := range list {
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listingdigest.go
@@ -8,17 +8,17 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// digestOf sets a listing's part in the digest that tells other processes whether they
+// setListingDigest sets a listing's part in the digest that tells other processes whether they
 // lack something: heartbeats of targets change records all the time, but rarely what
 // matters. Only what changed is decoded: in a fleet of 180 engines that load new weights
 // one after the other, decoding all for each took 0.3 s of a processor a load.
-func (b *beliefs) digestOf(key string, digest uint64) {
-	b.digest ^= b.digests[key] ^ digest
+func (b *clusterState) setListingDigest(key string, digest uint64) {
+	b.listingsDigest ^= b.digestByKey[key] ^ digest
 	if digest == 0 {
-		delete(b.digests, key)
+		delete(b.digestByKey, key)
 		return
 	}
-	b.digests[key] = digest
+	b.digestByKey[key] = digest
 }
 
 func listingDigest(l *fleet.Listing) uint64 {
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -29,35 +29,35 @@
 const (
 	// Periods of heartbeats: among entries, which tell each other their work at
 	// targets; between entries and sidecars; among sidecars.
-	entriesPeriod  = 100 * time.Millisecond
-	mixedPeriod    = 400 * time.Millisecond
-	sidecarsPeriod = 500 * time.Millisecond
+	entryHeartbeatPeriod   = 100 * time.Millisecond
+	mixedHeartbeatPeriod   = 400 * time.Millisecond
+	sidecarHeartbeatPeriod = 500 * time.Millisecond
 	// The same in large fleets, in which heartbeats carry no work: who lives, and how
 	// new the copies of topics are.
-	largeEntriesPeriod = 400 * time.Millisecond
-	largePeriod        = time.Second
-	peerIdle           = 5 * time.Second
+	largeEntryHeartbeatPeriod = 400 * time.Millisecond
+	largeHeartbeatPeriod      = time.Second
+	peerIdleTimeout           = 5 * time.Second
 )
 
 // process is one process of the system.
 type process struct {
-	settings *Settings
-	platform Platform
-	logger   logr.Logger
-	ordinary logr.Logger
-	log      *logging.Bounded
-	metrics  *metrics.Metrics
-	burn     *burn.Counter
-	clock    *hostclock.Clock
-	loop     *control.Loop
-	beliefs  *beliefs
-	entry    *entry
-	sidecar  *sidecar
-	callers  *callers
-	listener net.Listener
-	others   []*http.Server
-	failed   chan error
-	deputy   *deputy
+	settings      *Settings
+	platform      Platform
+	logger        logr.Logger
+	routineLogger logr.Logger
+	log           *logging.Bounded
+	metrics       *metrics.Metrics
+	burn          *burn.Counter
+	clock         *hostclock.Clock
+	loop          *control.Loop
+	state         *clusterState
+	entry         *entry
+	sidecar       *sidecar
+	callers       *callerServer
+	listener      net.Listener
+	servers       []*http.Server
+	serveErrors   chan error
+	deputy        *deputy
 	// incarnation tells this life of the process from others.
 	incarnation uint64
 }
@@ -69,12 +69,12 @@
 func Start(s *Settings, platform Platform, out io.Writer) (*Process, error) {
 	log := logging.NewBounded(out, s.Name, s.LogLinesPerSecond)
 	p := &process{
-		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), ordinary: logging.New(log.Ordinary(), s.Name), metrics: metrics.New(),
-		clock: hostclock.New(), burn: burn.NewCounter(time.Now), incarnation: rand.Uint64(), failed: make(chan error, 4),
+		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), routineLogger: logging.New(log.Ordinary(), s.Name), metrics: metrics.New(),
+		clock: hostclock.New(), burn: burn.NewCounter(time.Now), incarnation: rand.Uint64(), serveErrors: make(chan error, 4),
 	}
 	p.loop = control.NewLoop(s.seed(), p.metrics.Control)
-	peers := &http.Client{Transport: &http.Transport{DialContext: upstream.NewDialer().DialContext, IdleConnTimeout: peerIdle, DisableCompression: true}}
-	p.beliefs = newBeliefs(s, platform, p.loop, p.clock, p.logger, peers, p.metrics.StoreCall)
+	peers := &http.Client{Transport: &http.Transport{DialContext: upstream.NewDialer().DialContext, IdleConnTimeout: peerIdleTimeout, DisableCompression: true}}
+	p.state = newClusterState(s, platform, p.loop, p.clock, p.logger, peers, p.metrics.StoreCall)
 	if s.Role == settings.RoleEntry {
 		p.entry = newEntry(p)
 	} else {
@@ -84,10 +84,10 @@
 		log.Close()
 		return nil, err
 	}
-	p.expose()
+	p.registerGauges()
 	go p.loop.Run()
-	p.beliefs.mesh.Start()
-	p.beliefs.start()
+	p.state.mesh.Start()
+	p.state.start()
 	if p.sidecar != nil {
 		p.sidecar.start()
 	}
@@ -97,20 +97,20 @@
 			go limits.limiter.Serve()
 			p.loop.Go(limits.limiter.Report)
 		}
-		p.entry.suspects.start()
+		p.entry.quarantine.start()
 		p.deputy = newDeputy(p)
 		p.deputy.start()
 	}
-	p.loop.Go(func(ctx context.Context) { p.clock.Watch(ctx, p.woke) })
+	p.loop.Go(func(ctx context.Context) { p.clock.Watch(ctx, p.onResume) })
 	p.logger.Info("started", "role", string(s.Role), "mesh", s.MeshListen, "store", s.Store.Address)
 	return &Process{p}, nil
 }
 
-// expose registers the gauges that are read off the newest view.
-func (p *process) expose() {
+// registerGauges registers the gauges that are read off the newest view.
+func (p *process) registerGauges() {
 	age := func(at func(*view.View) time.Time) func() float64 {
 		return func() float64 {
-			v, ok := p.beliefs.view.Get()
+			v, ok := p.state.view.Get()
 			if !ok || at(v).IsZero() {
 				return math.NaN()
 			}
@@ -120,17 +120,17 @@
 	p.metrics.Gauge("targets_age_seconds", "Age of the copy of the platform's list of targets.", age(func(v *view.View) time.Time { return v.ListedAt }))
 	p.metrics.Gauge("declarations_age_seconds", "Age of the copy of what operators declare.", age(func(v *view.View) time.Time { return v.DeclaredAt }))
 	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(p.log.Dropped()) })
-	p.beliefs.entryRefused = p.metrics.TargetRefused
-	p.beliefs.inForce = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
+	p.state.onListingRejected = p.metrics.TargetRefused
+	p.state.onEstateChange = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
 	if p.entry != nil {
 		p.metrics.Gauge("requests_in_flight", "Requests being served.", func() float64 { return float64(p.entry.forwarder.InFlight()) })
 	}
 }
 
-func (p *process) woke(pause time.Duration) {
+func (p *process) onResume(pause time.Duration) {
 	p.logger.Info("host_woke", "suspended_for", pause)
-	p.beliefs.operators.Again()
-	p.beliefs.targets.Again()
+	p.state.declarations.Again()
+	p.state.targets.Again()
 }
 
 // open binds the addresses and serves them.
@@ -139,15 +139,15 @@
 		Self: &peerv1.Beat{
 			Name: p.settings.Name, Incarnation: p.incarnation, Entry: p.entry != nil, Zone: p.settings.AvailabilityZone,
 		},
-		Listen: p.settings.mesh(), Seeds: p.settings.seedHosts(), Hosts: p.beliefs.hosts,
-		Compose: p.compose, Heard: p.heard, Period: p.period, Logger: p.logger, Now: p.clock.Now,
+		Listen: p.settings.meshAddress(), Seeds: p.settings.seedHosts(), Hosts: p.state.sidecarHosts,
+		Compose: p.compose, Heard: p.onHeartbeat, Period: p.heartbeatPeriod, Logger: p.logger, Now: p.clock.Now,
 	})
 	if err != nil {
 		return err
 	}
-	p.beliefs.mesh = m
+	p.state.mesh = m
 	mux := http.NewServeMux()
-	mux.Handle(mesh.NewServer(p.loop, p.beliefs.answer).Handler())
+	mux.Handle(mesh.NewServer(p.loop, p.state.topicPage).Handler())
 	if err := p.serve(p.settings.MeshListen, mux); err != nil {
 		return err
 	}
@@ -177,8 +177,8 @@
 		return errors.Wrap(err, "listen")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	p.others = append(p.others, server)
-	go func() { p.failed <- server.Serve(listener) }()
+	p.servers = append(p.servers, server)
+	go func() { p.serveErrors <- server.Serve(listener) }()
 	return nil
 }
 
@@ -188,22 +188,22 @@
 		return errors.Wrap(err, "listen")
 	}
 	p.listener = listener
-	p.callers = newCallers(p.entry.forwarder, listener.Addr(), p.logger)
-	p.beliefs.changed = func() {
+	p.callers = newCallerServer(p.entry.forwarder, listener.Addr(), p.logger)
+	p.state.onViewChange = func() {
 		p.entry.forwarder.RecheckCrashes()
 		if p.entry.limits != nil {
 			p.entry.limits.refresh()
 		}
-		if p.beliefs.estate != nil {
-			p.callers.apply(p.beliefs.estate.Limits)
+		if p.state.estate != nil {
+			p.callers.apply(p.state.estate.Limits)
 		}
 	}
-	go func() { p.failed <- p.callers.serve(listener) }()
+	go func() { p.serveErrors <- p.callers.serve(listener) }()
 	return nil
 }
 
 func (p *process) compose(beat *peerv1.Beat) {
-	p.beliefs.compose(beat)
+	p.state.compose(beat)
 	if p.entry != nil {
 		p.entry.compose(beat)
 	} else {
@@ -211,27 +211,27 @@
 	}
 }
 
-func (p *process) heard(m *mesh.Member) {
-	p.beliefs.heard(m)
+func (p *process) onHeartbeat(m *mesh.Member) {
+	p.state.onHeartbeat(m)
 	if p.entry != nil {
-		p.entry.heard(m)
+		p.entry.onHeartbeat(m)
 	} else {
 		p.sidecar.heard(m)
 	}
 }
 
-func (p *process) period(entries bool) time.Duration {
+func (p *process) heartbeatPeriod(entries bool) time.Duration {
 	switch {
-	case p.beliefs.large.Load() && entries && p.entry != nil:
-		return largeEntriesPeriod
-	case p.beliefs.large.Load():
-		return largePeriod
+	case p.state.large.Load() && entries && p.entry != nil:
+		return largeEntryHeartbeatPeriod
+	case p.state.large.Load():
+		return largeHeartbeatPeriod
 	case entries && p.entry != nil:
-		return entriesPeriod
+		return entryHeartbeatPeriod
 	case !entries && p.entry == nil:
-		return sidecarsPeriod
+		return sidecarHeartbeatPeriod
 	default:
-		return mixedPeriod
+		return mixedHeartbeatPeriod
 	}
 }
 
@@ -241,7 +241,7 @@
 	fixed := *next
 	fixed.Seeds = p.settings.Seeds
 	same := reflect.DeepEqual(&fixed, p.settings)
-	p.loop.Post(func() { p.beliefs.mesh.SetSeeds(next.seedHosts()) })
+	p.loop.Post(func() { p.state.mesh.SetSeeds(next.seedHosts()) })
 	p.logger.Info("settings_reloaded", "seeds", next.Seeds, "others_unchanged", same)
 }
 
@@ -249,7 +249,7 @@
 func (p *process) ReloadFailed(err error) { p.logger.Error(err, "settings_refused") }
 
 // ServeErrors yields the error of a listener that ended by itself.
-func (p *process) ServeErrors() <-chan error { return p.failed }
+func (p *process) ServeErrors() <-chan error { return p.serveErrors }
 
 // Close ends the process at once.
 func (p *process) Close() {
@@ -257,10 +257,10 @@
 		_ = p.listener.Close()
 		p.callers.close()
 	}
-	for _, s := range p.others {
+	for _, s := range p.servers {
 		_ = s.Close()
 	}
-	p.beliefs.mesh.Close()
+	p.state.mesh.Close()
 	if p.sidecar != nil {
 		p.sidecar.close()
 	} else {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -131,10 +131,10 @@
 	// defaultServiceLevel is the share that operators of large deployments ask for.
 	defaultServiceLevel = 0.95
 	// The defaults of the quarantine; its settings say why.
-	defaultEnds       = 3
+	defaultMaxCrashes = 3
 	defaultSuspectFor = time.Hour
-	defaultHoldFor    = 24 * time.Hour
-	defaultRecords    = 2000
+	defaultRefuseFor  = 24 * time.Hour
+	defaultMaxRecords = 2000
 )
 
 // ParseSettings checks a settings text; name stands for the file in messages.
@@ -144,7 +144,7 @@
 		LargeEntries: defaultLargeEntries, LargeEngines: defaultLargeEngines,
 		Bounds: BoundsSettings{RetryRatio: defaultRetryRatio, RetrySlack: defaultRetrySlack},
 		Quarantine: QuarantineSettings{
-			MaxCrashes: defaultEnds, SuspectFor: settings.Duration{Duration: defaultSuspectFor}, RefuseFor: settings.Duration{Duration: defaultHoldFor}, MaxRecords: defaultRecords,
+			MaxCrashes: defaultMaxCrashes, SuspectFor: settings.Duration{Duration: defaultSuspectFor}, RefuseFor: settings.Duration{Duration: defaultRefuseFor}, MaxRecords: defaultMaxRecords,
 		},
 	}
 	if err := tomltext.Decode(name, text, s); err != nil {
@@ -211,11 +211,11 @@
 // seed makes a process's random choices its own.
 func (s *Settings) seed() uint64 { return xxhash.Sum64String(s.Name) }
 
-// mesh is the address that other processes know this one by.
-func (s *Settings) mesh() netip.AddrPort { return netip.MustParseAddrPort(s.MeshListen) }
+// meshAddress is the address that other processes know this one by.
+func (s *Settings) meshAddress() netip.AddrPort { return netip.MustParseAddrPort(s.MeshListen) }
 
-// probe is where probes are answered; false when they are off.
-func (s *Settings) probe() (netip.AddrPort, bool) {
+// probeAddress is where probes are answered; false when they are off.
+func (s *Settings) probeAddress() (netip.AddrPort, bool) {
 	address, err := netip.ParseAddrPort(s.ProbeListen)
 	return address, err == nil
 }
@@ -229,8 +229,10 @@
 	return hosts
 }
 
-// grace is how long a stopping process has, with a margin for its end.
-func (s *Settings) grace() time.Duration { return s.Bounds.GracePeriod.Duration - graceMargin }
+// shutdownTimeout is how long a stopping process has, with a margin for its end.
+func (s *Settings) shutdownTimeout() time.Duration {
+	return s.Bounds.GracePeriod.Duration - graceMargin
+}
 
 // graceMargin is left of the grace period for closing connections and exiting.
 const graceMargin = 700 * time.Millisecond
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -17,27 +17,27 @@
 const (
 	tokenTimeout = 2 * time.Second
 	tokenRetry   = 500 * time.Millisecond
-	// freshAfter is how long a host must have run since it was suspended before
+	// resumeSettleTime is how long a host must have run since it was suspended before
 	// its sidecar gives orders: its beliefs are renewed by then.
-	freshAfter = 600 * time.Millisecond
-	// never is the age of what was not heard.
-	never = time.Hour
+	resumeSettleTime = 600 * time.Millisecond
+	// unknownAge is the age of what was not heard.
+	unknownAge = time.Hour
 )
 
 // sidecar is the role beside an engine: it watches the engine, tells the
 // entries, and gives the engine its orders.
 type sidecar struct {
-	process *process
-	beliefs *beliefs
-	address netip.AddrPort
-	orders  *weights.Controller
-	// life, report and phase are the engine's as the controller said last.
-	life   fleet.Life
-	report weights.Report
-	phase  weights.Phase
-	known  bool
-	token  uint64
-	caches *caches
+	process    *process
+	state      *clusterState
+	address    netip.AddrPort
+	controller *weights.Controller
+	// incarnation, report and phase are the engine's as the controller said last.
+	incarnation fleet.Life
+	report      weights.Report
+	phase       weights.Phase
+	known       bool
+	token       uint64
+	caches      *cacheFollowers
 	// tracker knows the engine for the entries, which ask it through probes; nil where
 	// probes are off.
 	tracker *tracker.Tracker
@@ -45,17 +45,17 @@
 }
 
 func newSidecar(p *process) *sidecar {
-	s := &sidecar{process: p, beliefs: p.beliefs, address: netip.MustParseAddrPort(p.settings.Engine)}
-	s.orders = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Surroundings{
-		Wanted: s.wanted, HealthPath: s.healthPath, Engines: s.engines, Unheard: s.beliefs.large.Load, Changed: s.changed,
+	s := &sidecar{process: p, state: p.state, address: netip.MustParseAddrPort(p.settings.Engine)}
+	s.controller = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Surroundings{
+		Wanted: s.wanted, HealthPath: s.healthPath, Engines: s.engineViews, Unheard: s.state.large.Load, Changed: s.engineChanged,
 		Token: func() (uint64, bool) { return s.token, s.token > 0 },
-		Fresh: func() bool { p.clock.Check(); return p.clock.SinceWoken() > freshAfter },
+		Fresh: func() bool { p.clock.Check(); return p.clock.SinceWoken() > resumeSettleTime },
 	}, weights.Options{
 		Holder: p.settings.Name, Bound: p.settings.Bounds.MaxStaleness.Duration, Logger: p.logger, Now: p.clock.Now,
 		Ordered: func(o weights.Outcome) { p.metrics.Order(o.String()) },
 	})
-	p.beliefs.changed = s.orders.Nudge
-	s.caches = newCaches(p)
+	p.state.onViewChange = s.controller.Nudge
+	s.caches = newCacheFollowers(p)
 	s.tracker = tracker.New(p.clock.Now)
 	return s
 }
@@ -63,16 +63,16 @@
 // wanted are the weights that the engine is to have: none while it may be leaving. A load
 // would change the weights under its last runs, whose answers are worth nothing then.
 func (s *sidecar) wanted() map[string]weights.History {
-	life := fleet.Living{Life: s.life, Address: s.address, BeganAfter: s.orders.BeganAfter()}
-	if b := s.beliefs; !b.directory.Stays(b.declared, &life, b.following(b.clock.Now()), b.clock.Now()) {
+	life := fleet.Living{Life: s.incarnation, Address: s.address, BeganAfter: s.controller.BeganAfter()}
+	if b := s.state; !b.directory.Stays(b.isDeclared, &life, b.syncState(b.clock.Now()), b.clock.Now()) {
 		return nil
 	}
-	return s.beliefs.wanted
+	return s.state.wantedWeights
 }
 
 // open begins to answer probes.
 func (s *sidecar) open() error {
-	address, ok := s.process.settings.probe()
+	address, ok := s.process.settings.probeAddress()
 	if !ok {
 		return nil
 	}
@@ -89,7 +89,7 @@
 
 func (s *sidecar) start() {
 	s.fetchToken()
-	s.orders.Start()
+	s.controller.Start()
 	s.caches.start()
 }
 
@@ -115,27 +115,27 @@
 }
 
 func (s *sidecar) healthPath() string {
-	if s.beliefs.estate == nil {
+	if s.state.estate == nil {
 		return ""
 	}
-	service := s.beliefs.estate.Service(s.service())
+	service := s.state.estate.Service(s.engineService())
 	if service == nil {
 		return ""
 	}
 	return service.HealthPath
 }
 
-// engines returns all engines of the own engine's service.
-func (s *sidecar) engines(model string) []weights.EngineView {
+// engineViews returns all engineViews of the own engine's service.
+func (s *sidecar) engineViews(model string) []weights.EngineView {
 	now := s.process.clock.Now()
 	var all []weights.EngineView
-	for _, t := range s.beliefs.listed(s.service()) {
-		v := weights.EngineView{Life: t.Life, Version: t.Weights[model], Age: never}
-		if word, ok := s.beliefs.words[t.Life]; ok {
+	for _, t := range s.state.targetsOf(s.engineService()) {
+		v := weights.EngineView{Life: t.Life, Version: t.Weights[model], Age: unknownAge}
+		if word, ok := s.state.engineReports[t.Life]; ok {
 			v.Version, v.Age = word.Weights[model], now.Sub(word.HeardAt)
 			v.Phase, v.PhaseAge = word.Phase, now.Sub(word.PhaseSince)
 		}
-		if t.Life == s.life {
+		if t.Life == s.incarnation {
 			v.Version, v.Phase, v.Age = s.report.Weights[model], s.phase, 0
 		}
 		all = append(all, v)
@@ -143,39 +143,39 @@
 	return all
 }
 
-func (s *sidecar) service() string {
-	if t, ok := s.beliefs.directory.At(s.beliefs.declared, s.address); ok {
+func (s *sidecar) engineService() string {
+	if t, ok := s.state.directory.At(s.state.isDeclared, s.address); ok {
 		return t.Service
 	}
 	return s.process.settings.Service
 }
 
-// changed takes in the engine's newest report, and tells the others at once of
+// engineChanged takes in the engine's newest report, and tells the others at once of
 // what they must not learn late.
-func (s *sidecar) changed(life fleet.Life, report weights.Report, phase weights.Phase) {
-	told := !s.known || phase != s.phase || life != s.life
+func (s *sidecar) engineChanged(life fleet.Life, report weights.Report, phase weights.Phase) {
+	told := !s.known || phase != s.phase || life != s.incarnation
 	for model, version := range report.Weights {
 		if s.report.Weights[model] != version {
 			told = true
 		}
 	}
 	s.caches.followEngine(s.address, life)
-	s.life, s.report, s.phase, s.known = life, report, phase, true
+	s.incarnation, s.report, s.phase, s.known = life, report, phase, true
 	s.tracker.Set(tracker.State{
 		Life: life, Weights: report.Weights, Phase: phase, ReportedAt: report.At,
 	})
-	if told && !s.beliefs.large.Load() {
-		s.beliefs.mesh.Tell()
+	if told && !s.state.large.Load() {
+		s.state.mesh.Tell()
 	}
 }
 
 // compose adds the engine's state to a heartbeat.
 func (s *sidecar) compose(beat *peerv1.Beat) {
-	if !s.known || s.life.Instance == "" && s.phase != weights.Silent {
+	if !s.known || s.incarnation.Instance == "" && s.phase != weights.Silent {
 		return
 	}
 	e := &peerv1.EngineState{
-		Instance: s.life.Instance, Born: s.life.Born, Service: s.service(), Address: s.address.String(), Phase: peerv1.EnginePhase_ENGINE_PHASE_SERVING,
+		Instance: s.incarnation.Instance, Born: s.incarnation.Born, Service: s.engineService(), Address: s.address.String(), Phase: peerv1.EnginePhase_ENGINE_PHASE_SERVING,
 		Running: uint32(s.report.Running), Queued: uint32(s.report.Queued),
 		MemoryUsed: uint32(s.report.MemoryUsed), MemoryTotal: uint32(s.report.MemoryTotal),
 	}
@@ -187,7 +187,7 @@
 	case weights.Silent:
 		e.Phase = peerv1.EnginePhase_ENGINE_PHASE_SILENT
 	}
-	if after := s.orders.BeganAfter(); !after.IsZero() {
+	if after := s.controller.BeganAfter(); !after.IsZero() {
 		e.BeganWithinMs = uint64(max(1, s.process.clock.Now().Sub(after).Milliseconds()))
 	}
 	for model, version := range s.report.Weights {
@@ -197,8 +197,8 @@
 }
 
 func (s *sidecar) heard(m *mesh.Member) {
-	s.caches.heard(m)
-	if s.beliefs.hearEngine(m) {
-		s.orders.Nudge()
+	s.caches.onHeartbeat(m)
+	if s.state.applyEngineReport(m) {
+		s.controller.Nudge()
 	}
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -16,17 +16,17 @@
 	// balancerNotice is how long a stopping entry still takes new connections:
 	// the balancer turns away after two questions a second apart.
 	balancerNotice = 2500 * time.Millisecond
-	// balancerReturn is how long after its first heartbeat an entry is given
+	// balancerReaddTime is how long after its first heartbeat an entry is given
 	// connections: the balancer asks once a second.
-	balancerReturn = 1200 * time.Millisecond
-	// successorPeriod is how often another entry is looked for.
-	successorPeriod = 50 * time.Millisecond
-	// stopGap is by how much later another entry must have begun to stop to be
+	balancerReaddTime = 1200 * time.Millisecond
+	// stopPollPeriod is how often another entry is looked for.
+	stopPollPeriod = 50 * time.Millisecond
+	// minStopLag is by how much later another entry must have begun to stop to be
 	// waited for by callers; less may be the way of its heartbeat.
-	stopGap = 300 * time.Millisecond
-	// idleFor is the time without requests after which a stopping entry ends. A
+	minStopLag = 300 * time.Millisecond
+	// idleTime is the time without requests after which a stopping entry ends. A
 	// request that was sent before the port closed has arrived by then.
-	idleFor = 200 * time.Millisecond
+	idleTime = 200 * time.Millisecond
 )
 
 // Stop is the planned stop. The entry is not ready at once, so that the
@@ -35,29 +35,29 @@
 // ends what runs. No request is cut that ends within the grace period.
 func (p *process) Stop() {
 	p.logger.Info("stopping")
-	ctx, cancel := context.WithTimeout(context.Background(), p.settings.grace())
+	ctx, cancel := context.WithTimeout(context.Background(), p.settings.shutdownTimeout())
 	defer cancel()
 	endsAt, _ := ctx.Deadline()
 	p.loop.Post(func() {
-		p.beliefs.stop(endsAt)
-		p.beliefs.post()
-		p.beliefs.mesh.Tell()
+		p.state.stop(endsAt)
+		p.state.publishView()
+		p.state.mesh.Tell()
 	})
 	if p.callers != nil {
 		sleep.For(ctx, balancerNotice)
 		awaitSuccessor(ctx, func() bool { return p.hasSuccessor(ctx) })
 		_ = p.listener.Close()
-		p.finish(ctx)
+		p.drain(ctx)
 	}
 	p.Close()
 }
 
-// finish waits for the requests under way to end.
+// drain waits for the requests under way to end.
 //
 // The failure guarded against is a connection on which no request comes: the
 // server waits for it to the end of the grace period, and for that long the
 // host serves nobody.
-func (p *process) finish(ctx context.Context) {
+func (p *process) drain(ctx context.Context) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go func() {
@@ -77,7 +77,7 @@
 // has ended.
 func awaitIdle(ctx context.Context, inFlight func() int) {
 	since := time.Now()
-	for time.Since(since) < idleFor && sleep.For(ctx, successorPeriod) {
+	for time.Since(since) < idleTime && sleep.For(ctx, stopPollPeriod) {
 		if inFlight() > 0 {
 			since = time.Now()
 		}
@@ -91,7 +91,7 @@
 // every entry stops, the balancer has nowhere to turn, and callers find closed
 // ports for a second and more.
 func awaitSuccessor(ctx context.Context, taken func() bool) {
-	for !taken() && sleep.For(ctx, successorPeriod) {
+	for !taken() && sleep.For(ctx, stopPollPeriod) {
 		continue
 	}
 }
@@ -99,19 +99,19 @@
 // hasSuccessor reports whether another entry takes callers.
 func (p *process) hasSuccessor(ctx context.Context) bool {
 	found, ok := control.Ask(ctx, p.loop, func() bool {
-		return slices.ContainsFunc(p.beliefs.mesh.Live(true), func(m *mesh.Member) bool {
-			return takesCallers(m, p.beliefs.stoppingSince, p.clock.Now())
+		return slices.ContainsFunc(p.state.mesh.Live(true), func(m *mesh.Member) bool {
+			return acceptsCallers(m, p.state.stoppingSince, p.clock.Now())
 		})
 	})
 	return found || !ok
 }
 
-// takesCallers reports whether another entry takes callers in place of one that
+// acceptsCallers reports whether another entry takes callers in place of one that
 // stops since a time: it serves and the balancer gives it connections, or it began
 // to stop later, and so goes on until the first one is back.
-func takesCallers(m *mesh.Member, stopping, now time.Time) bool {
+func acceptsCallers(m *mesh.Member, stopping, now time.Time) bool {
 	if !m.Leaving {
-		return now.Sub(m.Since) > balancerReturn
+		return now.Sub(m.Since) > balancerReaddTime
 	}
-	return m.StopsSince.Sub(stopping) > stopGap
+	return m.StopsSince.Sub(stopping) > minStopLag
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -18,7 +18,7 @@
 		back := began.Add(time.Second)
 		awaitSuccessor(context.Background(), func() bool {
 			other := &mesh.Member{Leaving: time.Now().Before(back), StopsSince: began.Add(-time.Second), Since: back}
-			return takesCallers(other, began, time.Now())
+			return acceptsCallers(other, began, time.Now())
 		})
 		if took := time.Since(began); took < 2200*time.Millisecond || took > 2400*time.Millisecond {
 			t.Errorf("waited %s", took)
@@ -52,11 +52,11 @@
 func TestEntryThatStopsFirstEndsFirst(t *testing.T) {
 	began := time.Unix(1000, 0)
 	later := &mesh.Member{Leaving: true, StopsSince: began.Add(2 * time.Second)}
-	if !takesCallers(later, began, began.Add(3*time.Second)) {
+	if !acceptsCallers(later, began, began.Add(3*time.Second)) {
 		t.Error("the first waits for itself")
 	}
 	first := &mesh.Member{Leaving: true, StopsSince: began}
-	if takesCallers(first, began.Add(2*time.Second), began.Add(3*time.Second)) {
+	if acceptsCallers(first, began.Add(2*time.Second), began.Add(3*time.Second)) {
 		t.Error("the second leaves callers to the first, which ends")
 	}
 }
--- a/internal/gateway/membership.go
+++ b/internal/gateway/syncstate.go
@@ -7,12 +7,12 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/view"
 )
 
-// following is how far this process has followed the list of targets.
-func (b *beliefs) following(now time.Time) fleet.Following {
+// syncState is how far this process has followed the list of targets.
+func (b *clusterState) syncState(now time.Time) fleet.Following {
 	c := b.targets.Copy()
 	f := fleet.Following{
 		Started: b.startedAt, Since: c.FollowedSince(), OutageBegan: c.OutageBegin(), OutageEnded: c.OutageEnd(),
-		Current: now.Sub(c.CurrentAt()) <= b.patience()+outageGap,
+		Current: now.Sub(c.CurrentAt()) <= b.targetsReadAge()+outageGap,
 	}
 	if first := c.FirstCurrentAt(); first.Sub(b.startedAt) > outageGap {
 		f.Started = first // the store was away at the start
@@ -20,18 +20,18 @@
 	return f
 }
 
-// noteOutage logs the end of a time without word of the list, in which entries of living
+// logOutage logs the end of a time without word of the list, in which entries of living
 // targets may have lapsed.
-func (b *beliefs) noteOutage(f fleet.Following) {
-	if f.OutageEnded.After(b.outageEnded) {
+func (b *clusterState) logOutage(f fleet.Following) {
+	if f.OutageEnded.After(b.loggedOutageEnd) {
 		b.logger.Info("list_regained", "without_for", f.OutageEnded.Sub(f.OutageBegan), "end", b.targets.Copy().End())
 	}
-	b.outageEnded = f.OutageEnded
+	b.loggedOutageEnd = f.OutageEnded
 }
 
-// noteUnlisted logs the reported lives that the list lacks and whether they are used. Before
+// logUnlisted logs the reported lives that the list lacks and whether they are used. Before
 // the first copy of the list it lacks all of them, which is not said.
-func (b *beliefs) noteUnlisted(v *view.View, unlisted map[fleet.Life]fleet.Standing) {
+func (b *clusterState) logUnlisted(v *view.View, unlisted map[fleet.Life]fleet.Standing) {
 	if b.targets.Copy().FollowedSince().IsZero() {
 		return
 	}
@@ -47,15 +47,15 @@
 }
 
 // age is how long ago something was, for the log.
-func (b *beliefs) age(at time.Time) string {
+func (b *clusterState) age(at time.Time) string {
 	if at.IsZero() {
 		return "never"
 	}
 	return b.clock.Now().Sub(at).Round(time.Millisecond).String()
 }
 
-// living are the engines that their sidecars report.
-func living(words map[fleet.Life]view.EngineWord) []fleet.Living {
+// reportedTargets are the engines that their sidecars report.
+func reportedTargets(words map[fleet.Life]view.EngineWord) []fleet.Living {
 	all := make([]fleet.Living, 0, len(words))
 	for life, w := range words {
 		all = append(all, fleet.Living{
@@ -66,7 +66,7 @@
 }
 
 // listedAt is the time of what the copy of the list shows.
-func (b *beliefs) listedAt() time.Time {
+func (b *clusterState) listedAt() time.Time {
 	if at := b.targets.Copy().CurrentAt(); !at.IsZero() {
 		return at
 	}
