--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -18,7 +18,7 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// serveAdmin serves the administration API, where the settings name an address.
+// serveAdmin serves the administration API if an address is configured.
 func (p *process) serveAdmin() error {
 	if p.settings.AdminListen == "" {
 		return nil
@@ -57,8 +57,7 @@
 	return v.Estate.Version, string(v.EstateText), true
 }
 
-// ready reports whether the process does its part: an entry takes callers, a
-// sidecar knows its engine.
+// ready reports whether an entry can serve callers, or a sidecar has received the estate.
 func (p *process) ready() bool {
 	if p.entry != nil {
 		return p.entry.ready()
@@ -98,7 +97,8 @@
 	}
 }
 
-// burnGoals asks the same service level of each service and class that has a route.
+// burnGoals returns the configured service level for each service and class that has a
+// route.
 func (p *process) burnGoals() []burn.Goal {
 	v := p.currentView()
 	if v.Estate == nil {
@@ -116,14 +116,14 @@
 	return all
 }
 
-// explainPlacement answers where a request would go.
+// explainPlacement explains where a request would be sent.
 func (p *process) explainPlacement(ctx context.Context, params oas.GetPlacementParams) (*oas.Placement, error) {
 	request := wire.Request{Model: params.Model.Or(""), PromptTokens: params.PromptTokens.Or(0), MaxTokens: params.MaxTokens.Or(0)}
 	for _, text := range params.Parts {
 		id, size, _ := strings.Cut(text, ":")
 		tokens, err := strconv.Atoi(size)
 		if err != nil || tokens < 0 || id == "" {
-			return nil, errkind.New(errkind.BadRequest, "part %q; allowed is ID:TOKENS", text)
+			return nil, errkind.New(errkind.BadRequest, "part %q is not of the form ID:TOKENS", text)
 		}
 		request.Parts = append(request.Parts, wire.Part{ID: id, Tokens: tokens})
 	}
@@ -135,14 +135,14 @@
 }
 
 func encodePlacement(x *forward.Explanation) *oas.Placement {
-	answer := &oas.Placement{
+	result := &oas.Placement{
 		Route: x.Route, Service: x.Service, ConfigVersion: x.Estate, ListAgeMs: x.ListAge.Milliseconds(), Candidates: []oas.PlacementCandidate{},
 	}
 	if x.Chosen != "" {
-		answer.Chosen = oas.NewOptString(x.Chosen)
+		result.Chosen = oas.NewOptString(x.Chosen)
 	}
 	if x.Refusal != nil {
-		answer.Refusal, answer.Detail = oas.NewOptString(x.Refusal.Kind.String()), oas.NewOptString(x.Refusal.Detail)
+		result.Refusal, result.Detail = oas.NewOptString(x.Refusal.Kind.String()), oas.NewOptString(x.Refusal.Detail)
 	}
 	for i := range x.Targets {
 		t := &x.Targets[i]
@@ -150,19 +150,19 @@
 		if len(x.Ratings) > i {
 			fillRating(&c, &x.Candidates[i], &x.Ratings[i])
 		}
-		answer.Candidates = append(answer.Candidates, c)
+		result.Candidates = append(result.Candidates, c)
 	}
-	return answer
+	return result
 }
 
-func fillRating(c *oas.PlacementCandidate, k *placement.Candidate, r *placement.Rating) {
-	inMs := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, inMs(r.Choice.Wait), inMs(r.Choice.Read), inMs(r.Choice.Fetch)
-	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.Held, r.Choice.Fetched, k.Work.Running, k.Version
+func fillRating(c *oas.PlacementCandidate, candidate *placement.Candidate, r *placement.Rating) {
+	milliseconds := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, milliseconds(r.Choice.Wait), milliseconds(r.Choice.Read), milliseconds(r.Choice.Fetch)
+	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.Held, r.Choice.Fetched, candidate.Work.Running, candidate.Version
 	if r.Filtered != "" {
 		c.Filtered = oas.NewOptString(r.Filtered)
 	}
-	for mark, set := range map[string]bool{"rested": k.Rested, "emptying": k.Emptying, "other zone": !k.Near, "loads soon": k.Loads, "old weights": k.Behind > 0} {
+	for mark, set := range map[string]bool{"rested": candidate.Rested, "emptying": candidate.Emptying, "other zone": !candidate.Near, "loads soon": candidate.Loads, "old weights": candidate.Behind > 0} {
 		if set {
 			c.Marks = append(c.Marks, mark)
 		}
--- a/internal/gateway/adminlimits.go
+++ b/internal/gateway/adminlimits.go
@@ -8,7 +8,7 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/ratelimit"
 )
 
-// listLimits lists the workspaces with a rate limit, for operators.
+// listLimits returns the workspaces that have a rate limit, with their usage.
 func (p *process) listLimits() []oas.WorkspaceLimit {
 	v := p.currentView()
 	if v.Estate == nil || p.entry.limits == nil {
--- a/internal/gateway/adminquarantine.go
+++ b/internal/gateway/adminquarantine.go
@@ -7,7 +7,7 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/quarantine"
 )
 
-// listQuarantine lists the requests under which targets ended, for operators.
+// listQuarantine returns the requests to which crashes of targets are attributed.
 func (p *process) listQuarantine() []oas.QuarantinedRequest {
 	now := p.clock.Now()
 	var all []oas.QuarantinedRequest
@@ -27,8 +27,8 @@
 	return all
 }
 
-// releaseRequest lets a request go by its print as logs show it.
+// releaseRequest releases the request with a hexadecimal fingerprint from quarantine.
 func (p *process) releaseRequest(text string) bool {
-	print, err := strconv.ParseUint(text, 16, 64)
-	return err == nil && p.entry.quarantine.release(quarantine.Print(print))
+	fingerprint, err := strconv.ParseUint(text, 16, 64)
+	return err == nil && p.entry.quarantine.release(quarantine.Print(fingerprint))
 }
--- a/internal/gateway/cachefollowers.go
+++ b/internal/gateway/cachefollowers.go
@@ -16,31 +16,30 @@
 )
 
 const (
-	// cacheAnnounceDelay gathers what the entries are told of a cache: a part that is
-	// dropped block by block is told once.
+	// cacheAnnounceDelay batches the changes of a cache, so that a part that is evicted block
+	// by block is announced once.
 	cacheAnnounceDelay = 30 * time.Millisecond
-	// maxPartsPerDatagram is how many parts one datagram tells of, of six bytes or so each.
+	// maxPartsPerDatagram is the most cached parts in one datagram. A part takes about six
+	// bytes.
 	maxPartsPerDatagram = 160
-	// reannouncePeriod is how often a slice of what a cache holds is said again, and
-	// repeatSlices in how many all of it: five seconds, half of the time for which
-	// entries believe it.
+	// reannouncePeriod is how often one of reannounceSlices slices of each cache is announced
+	// again. A full cycle takes half of the time for which entries keep the information.
 	reannouncePeriod = 500 * time.Millisecond
 	reannounceSlices = 10
-	// maxPartsToNewEntry bounds what an entry that has just started is told at once of one
-	// cache.
+	// maxPartsToNewEntry limits the parts of one cache that are sent to a new entry at once.
 	maxPartsToNewEntry = 10 * maxPartsPerDatagram
-	// storeFollowers is how many sidecars follow each store of cached parts: one, and
-	// another in case that one is lost.
+	// storeFollowers is the number of sidecars that follow each store of cached parts.
 	storeFollowers = 2
-	// storeAssignPeriod is how often a sidecar looks which stores are its to follow.
+	// storeAssignPeriod is how often a sidecar updates the stores that it follows.
 	storeAssignPeriod = time.Second
-	// meshSettleTime is the time after a sidecar's start in which it hears of the others.
-	// All would follow every store before, which answers only so many at once.
+	// meshSettleTime is the time after the start in which a sidecar discovers the others.
+	// Before, every sidecar would follow every store, and stores serve only a limited number
+	// of requests at once.
 	meshSettleTime = time.Second
 )
 
-// cacheFollowers is a sidecar's knowledge of cacheFollowers: its engine's, and those of the stores
-// that it follows. It is used on the control thread.
+// cacheFollowers follows the caches of a sidecar's engine and of the stores assigned to it,
+// and announces their contents to the entries. It is used on the control thread.
 type cacheFollowers struct {
 	process     *process
 	engine      *holdings.Follower
@@ -67,37 +66,38 @@
 	})
 }
 
-// followEngine follows the cache of the engine's present life.
-func (c *cacheFollowers) followEngine(address netip.AddrPort, life fleet.Life) {
-	if life.Instance == "" || life == c.incarnation {
+// followEngine follows the cache of the engine's current incarnation.
+func (c *cacheFollowers) followEngine(address netip.AddrPort, incarnation fleet.Life) {
+	if incarnation.Instance == "" || incarnation == c.incarnation {
 		return
 	}
-	c.incarnation = life
+	c.incarnation = incarnation
 	if c.engine != nil {
 		c.engine.Stop()
 	}
-	c.engine = c.follow(address, life.String(), c.engineCacheTokens())
+	c.engine = c.follow(address, incarnation.String(), c.engineCacheTokens())
 }
 
-// engineCacheTokens is the size of an engine's cache; zero while it is not declared.
+// engineCacheTokens returns the declared size of the engine's cache, or zero if it is not
+// declared.
 func (c *cacheFollowers) engineCacheTokens() int {
-	b := c.process.state
-	if b.estate == nil {
+	state := c.process.state
+	if state.estate == nil {
 		return 0
 	}
-	if s := b.estate.Service(c.process.sidecar.engineService()); s != nil && s.Engine != nil {
+	if s := state.estate.Service(c.process.sidecar.engineService()); s != nil && s.Engine != nil {
 		return s.Engine.CacheTokens
 	}
 	return 0
 }
 
-func (c *cacheFollowers) follow(address netip.AddrPort, name string, room int) *holdings.Follower {
+func (c *cacheFollowers) follow(address netip.AddrPort, name string, capacity int) *holdings.Follower {
 	var f *holdings.Follower
-	f = holdings.Follow(name, c.process.loop, c.process.platform.Cache(address), holdings.NewCache(room), c.pollInterval, func() { c.announceSoon(f) }, c.process.logger)
+	f = holdings.Follow(name, c.process.loop, c.process.platform.Cache(address), holdings.NewCache(capacity), c.pollInterval, func() { c.announceSoon(f) }, c.process.logger)
 	return f
 }
 
-// pollInterval is the least time between two questions to a cache.
+// pollInterval returns the minimum time between two calls to a cache.
 func (c *cacheFollowers) pollInterval() time.Duration {
 	if c.process.state.large.Load() {
 		return holdings.GatherTimeAsked
@@ -105,27 +105,26 @@
 	return holdings.GatherTime
 }
 
-// assignStores follows the stores that are this sidecar's to follow: each sidecar
-// ranks itself and the others that it hears alike.
+// assignStores starts and stops following stores according to the current assignment.
 func (c *cacheFollowers) assignStores() {
-	b := c.process.state
-	if b.estate == nil {
+	state := c.process.state
+	if state.estate == nil {
 		return
 	}
-	mine := map[netip.AddrPort]bool{}
-	for _, s := range b.estate.Stores() {
+	assigned := map[netip.AddrPort]bool{}
+	for _, s := range state.estate.Stores() {
 		address := s.Store.Address
-		if b.large.Load() || !c.isAssigned(address) {
+		if state.large.Load() || !c.isAssigned(address) {
 			continue
 		}
-		mine[address] = true
+		assigned[address] = true
 		if c.stores[address] == nil {
 			c.stores[address] = c.follow(address, address.String(), s.Store.CacheTokens)
 			c.process.logger.Info("store_followed", "store", address)
 		}
 	}
 	for address, f := range c.stores {
-		if !mine[address] {
+		if !assigned[address] {
 			f.Stop()
 			delete(c.stores, address)
 			c.process.logger.Info("store_left", "store", address)
@@ -136,16 +135,16 @@
 func (c *cacheFollowers) isAssigned(store netip.AddrPort) bool {
 	rank := func(name string) uint64 { return xxhash.Sum64String(store.String() + "\x00" + name) }
 	own := rank(c.process.settings.Name)
-	before := 0
+	higherRanked := 0
 	for _, m := range c.process.state.mesh.Live(false) {
 		if !m.Leaving && rank(m.Name) > own {
-			before++
+			higherRanked++
 		}
 	}
-	return before < storeFollowers
+	return higherRanked < storeFollowers
 }
 
-// announceSoon tells the entries what has changed, after what follows at once.
+// announceSoon schedules an announcement of the cache's changes.
 func (c *cacheFollowers) announceSoon(f *holdings.Follower) {
 	if c.announcing[f] {
 		return
@@ -165,15 +164,15 @@
 		return
 	}
 	for {
-		held := f.Cache.TakeChanged(maxPartsPerDatagram)
-		if len(held) == 0 {
+		cached := f.Cache.TakeChanged(maxPartsPerDatagram)
+		if len(cached) == 0 {
 			return
 		}
-		c.announce(f, held)
+		c.announce(f, cached)
 	}
 }
 
-// isActive reports whether a follower has not been replaced or left.
+// isActive reports whether a follower is still in use.
 func (c *cacheFollowers) isActive(f *holdings.Follower) bool { return slices.Contains(c.all(), f) }
 
 func (c *cacheFollowers) all() []*holdings.Follower {
@@ -187,46 +186,46 @@
 	return all
 }
 
-func (c *cacheFollowers) announce(f *holdings.Follower, held []holdings.Held) {
-	if len(held) == 0 {
+func (c *cacheFollowers) announce(f *holdings.Follower, cached []holdings.Held) {
+	if len(cached) == 0 {
 		return
 	}
 	if f == c.engine {
-		for _, h := range held {
-			c.process.sidecar.tracker.Learn(h.Part, h.Tokens)
+		for _, part := range cached {
+			c.process.sidecar.tracker.Learn(part.Part, part.Tokens)
 		}
 	}
 	if c.process.state.large.Load() {
 		return
 	}
-	c.process.state.mesh.TellEntries(func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
+	c.process.state.mesh.TellEntries(func(heartbeat *peerv1.Beat) { heartbeat.Cache = cacheState(f, cached) })
 }
 
-// reannounce says a slice of each cache again.
+// reannounce announces the next slice of each cache again.
 func (c *cacheFollowers) reannounce() {
 	for _, f := range c.all() {
 		c.announce(f, f.Cache.Repeat(min(f.Cache.Len()/reannounceSlices+1, maxPartsPerDatagram)))
 	}
 }
 
-// onHeartbeat tells an entry that has just started all at once.
+// onHeartbeat sends the contents of all caches to an entry that has just started.
 func (c *cacheFollowers) onHeartbeat(m *mesh.Member) {
 	if !m.Entry || c.process.state.large.Load() || c.announcedTo[m.Address] == m.Incarnation {
 		return
 	}
 	c.announcedTo[m.Address] = m.Incarnation
 	for _, f := range c.all() {
-		for held := range slices.Chunk(f.Cache.All(maxPartsToNewEntry), maxPartsPerDatagram) {
-			c.process.state.mesh.TellMember(m.Address, func(beat *peerv1.Beat) { beat.Cache = cacheState(f, held) })
+		for cached := range slices.Chunk(f.Cache.All(maxPartsToNewEntry), maxPartsPerDatagram) {
+			c.process.state.mesh.TellMember(m.Address, func(heartbeat *peerv1.Beat) { heartbeat.Cache = cacheState(f, cached) })
 		}
 	}
 }
 
-func cacheState(f *holdings.Follower, held []holdings.Held) *peerv1.CacheState {
+func cacheState(f *holdings.Follower, cached []holdings.Held) *peerv1.CacheState {
 	state := &peerv1.CacheState{Cache: uint32(fleet.IDOf(f.Name))}
-	for _, h := range held {
-		state.Parts = append(state.Parts, uint32(h.Part))
-		state.Tokens = append(state.Tokens, uint32(h.Tokens))
+	for _, part := range cached {
+		state.Parts = append(state.Parts, uint32(part.Part))
+		state.Tokens = append(state.Tokens, uint32(part.Tokens))
 	}
 	return state
 }
--- a/internal/gateway/cachefollowers_test.go
+++ b/internal/gateway/cachefollowers_test.go
@@ -17,48 +17,47 @@
 )
 
 func cachedParts(n int) []holdings.Held {
-	var held []holdings.Held
+	var cached []holdings.Held
 	for i := range n {
-		held = append(held, holdings.Held{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
+		cached = append(cached, holdings.Held{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
 	}
-	return held
+	return cached
 }
 
-// A heartbeat that is longer than a datagram is not sent at all. One that tells of as
-// many parts as it may, of the largest size, fits beside the rest of it.
-func TestToldPartsFitIntoADatagram(t *testing.T) {
-	held := cachedParts(maxPartsPerDatagram)
-	for i := range held {
-		held[i].Tokens = 1 << 20
+// Heartbeats that exceed a datagram are not sent, so a report of the most parts, at their
+// largest encoding, must leave space for the rest of the heartbeat.
+func TestCacheReportFitsIntoDatagram(t *testing.T) {
+	cached := cachedParts(maxPartsPerDatagram)
+	for i := range cached {
+		cached[i].Tokens = 1 << 20
 	}
-	beat := &peerv1.Beat{Name: "side-availability-zone-12", Zone: "availability-zone-12", Cache: cacheState(&holdings.Follower{Name: "i-1@1700000000123"}, held)}
-	const room = 1200 // of 1,400 bytes, beside the engine's state, topics and members
-	if size := proto.Size(beat); size > room {
-		t.Errorf("%d bytes", size)
+	heartbeat := &peerv1.Beat{Name: "side-availability-zone-12", Zone: "availability-zone-12", Cache: cacheState(&holdings.Follower{Name: "i-1@1700000000123"}, cached)}
+	const maxSize = 1200 // leaves space in mesh.MaxDatagram for the engine state, topics and members
+	if size := proto.Size(heartbeat); size > maxSize {
+		t.Errorf("heartbeat takes %d bytes, at most %d allowed", size, maxSize)
 	}
 }
 
-// What an entry is told of a cache is what the sidecar knows of it, and of work what the
-// other entry has.
-func TestToldStateIsHeardAlike(t *testing.T) {
+// Cache reports and work must survive encoding and decoding.
+func TestAnnouncedStateRoundTrips(t *testing.T) {
 	e := &entry{parts: parts.NewBook(), cacheReportedAt: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
-	held := cachedParts(3)
+	cached := cachedParts(3)
 	now := time.Unix(1000, 0)
-	e.applyCacheReport(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, held)}}, now)
-	for _, h := range held {
-		if got := e.parts.At(h.Part, h.Tokens, fleet.IDOf("c"), now); got != parts.Held {
-			t.Errorf("part %d: state %v", h.Part, got)
+	e.applyCacheReport(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, cached)}}, now)
+	for _, part := range cached {
+		if got := e.parts.At(part.Part, part.Tokens, fleet.IDOf("c"), now); got != parts.Held {
+			t.Errorf("part %d: state %v, want Held", part.Part, got)
 		}
 	}
 	work := ledger.Work{Running: 3, Reading: ledger.Lane(7, 250*time.Millisecond), Memory: ledger.Lane(2, 90_000)}
 	work.Reading[0] = time.Second
 	if got := probe.WorkIn(probe.LoadOut(1, work)); got != work {
-		t.Errorf("%+v, want %+v", got, work)
+		t.Errorf("work %+v, want %+v", got, work)
 	}
 }
 
-// BenchmarkLearnCache is what it costs an entry to take in one part of a cache's word.
-func BenchmarkLearnCache(b *testing.B) {
+// BenchmarkApplyCacheReport measures the cost per part of applying a cache report at an entry.
+func BenchmarkApplyCacheReport(b *testing.B) {
 	e := &entry{parts: parts.NewBook(), cacheReportedAt: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
 	member := &mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, cachedParts(maxPartsPerDatagram))}}
 	b.ReportMetric(float64(proto.Size(member.Beat))/maxPartsPerDatagram, "bytes/part")
@@ -68,7 +67,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/maxPartsPerDatagram, "ns/part")
 }
 
-// BenchmarkApplyChanges is what it costs a sidecar to take in one change of a cache.
+// BenchmarkApplyChanges measures the cost per change of applying cache changes at a
+// sidecar.
 func BenchmarkApplyChanges(b *testing.B) {
 	page := holdings.Page{Epoch: "1"}
 	for i := range 200 {
--- a/internal/gateway/callerserver.go
+++ b/internal/gateway/callerserver.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// headerTimeout, idleTimeout and headerBytes bound callers until the estate
-	// states its limits.
+	// Limits for callers until the estate is known. The timeouts also apply to all other servers
+	// of the process.
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
-	// idleMargin is how much longer than stated an idle connection is kept: a
-	// caller may use it up to the last moment.
+	// idleMargin is added to the declared idle timeout, because callers may use a connection
+	// until the last moment.
 	idleMargin = time.Second
 )
 
-// callerServer serves callerServer under the limits that operators state. A server's
-// limits cannot change while it serves, so that new limits make a new server for
-// the connections that come from then on; the others end with the old one.
+// callerServer serves callers under the limits that operators declare. The limits of an
+// http.Server can't change while it runs, so new limits start a new server for new
+// connections. Open connections stay with their server.
 type callerServer struct {
 	handler http.Handler
 	logger  logr.Logger
@@ -40,7 +40,7 @@
 	closed  bool
 }
 
-// connListener is a listener that is given its connections.
+// connListener is a net.Listener that receives its connections over a channel.
 type connListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -49,23 +49,23 @@
 }
 
 // Accept implements net.Listener.
-func (f *connListener) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-f.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-f.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (f *connListener) Close() error {
-	f.once.Do(func() { close(f.closed) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *connListener) Addr() net.Addr { return f.addr }
+func (l *connListener) Addr() net.Addr { return l.addr }
 
 func newCallerServer(handler http.Handler, address net.Addr, logger logr.Logger) *callerServer {
 	c := &callerServer{handler: handler, logger: logger, address: address}
@@ -73,11 +73,11 @@
 	return c
 }
 
-// acceptRetryDelay is the wait after a connection could not be taken, for lack of
-// descriptors say. A flood of callers must not end the process.
+// acceptRetryDelay is the delay after a failed Accept, for example for lack of file
+// descriptors.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// serve takes connections until the listener is closed.
+// serve accepts connections until the listener is closed.
 func (c *callerServer) serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -95,16 +95,16 @@
 
 func (c *callerServer) dispatch(conn net.Conn) {
 	c.mu.Lock()
-	to := c.newest
+	listener := c.newest
 	c.mu.Unlock()
 	select {
-	case to.conns <- conn:
-	case <-to.closed:
+	case listener.conns <- conn:
+	case <-listener.closed:
 		conn.Close()
 	}
 }
 
-// apply serves new connections under other limits.
+// apply starts a server with new limits for new connections. It ignores unset limits.
 func (c *callerServer) apply(l estate.Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,11 +118,12 @@
 		ErrorLog: log.New(httpErrorLog{c.logger}, "", 0),
 	}
 	c.servers = append(c.servers, server)
-	feed := c.newest
-	go func() { _ = server.Serve(feed) }() // ends with Shutdown or Close
+	listener := c.newest
+	go func() { _ = server.Serve(listener) }() // ends with Shutdown or Close
 }
 
-// shutdown ends all servers when their requests have ended, or the context does.
+// shutdown shuts all servers down. It returns when their requests have ended or the context
+// has.
 func (c *callerServer) shutdown(ctx context.Context) error {
 	c.mu.Lock()
 	c.closed = true
@@ -146,7 +147,7 @@
 	}
 }
 
-// httpErrorLog turns what net/http says of bad connections into log lines.
+// httpErrorLog writes the error log of net/http to the logger.
 type httpErrorLog struct{ logger logr.Logger }
 
 // Write implements io.Writer.
--- a/internal/gateway/clusterstate.go
+++ b/internal/gateway/clusterstate.go
@@ -20,29 +20,27 @@
 	"github.com/toucanwell/toucanwell/internal/settings"
 )
 
-// Names of the topics between processes.
+// Topic names, as used between processes.
 const (
 	topicOperators = "operators"
 	topicTargets   = "targets"
 )
 
 const (
-	// declarationsWait is how long a read of what operators declare waits at the
-	// store. A record answers it at once, so that the wait costs no time, only
-	// calls: one in four seconds for each entry. A connection that went silent
-	// holds it up for that long.
+	// declarationsWait is how long a read of the declarations waits at the store for a new
+	// record. Longer waits need fewer calls, but a read on a dead connection delays new
+	// declarations for as long.
 	declarationsWait = 4 * time.Second
-	// outageGap is the time without word of the store that counts as an outage.
+	// outageGap is how long the store must be unreachable for it to count as an outage.
 	outageGap = 1500 * time.Millisecond
-	// viewPeriod is how often the view is made anew without a change, so that what
-	// became old leaves it.
+	// refreshPeriod is how often the view is rebuilt without a change, to drop expired data.
 	refreshPeriod = 200 * time.Millisecond
-	// engineReportTTL is how long an engine's sidecar is believed.
+	// engineReportTTL is how long a sidecar's report of its engine is valid.
 	engineReportTTL = 2500 * time.Millisecond
 )
 
-// clusterState holds what a process knows of the deployment. Its state is used on
-// the control thread; traffic reads the view.
+// clusterState is what a process knows of the deployment. It is used on the control thread
+// only; requests use the immutable view that it publishes.
 type clusterState struct {
 	settings     *Settings
 	platform     Platform
@@ -55,216 +53,215 @@
 	targets      *feed.Follower
 	directory    *fleet.Directory
 	estate       *estate.Estate
-	// estateText is the record that the estate was read from.
-	estateText    []byte
+	// rawEstate is the record that the estate was decoded from.
+	rawEstate     []byte
 	wantedWeights map[string]weights.History
 	engineReports map[fleet.Life]view.EngineWord
-	// unlisted are the reported lives that the list lacks.
-	unlisted map[fleet.Life]fleet.Standing
-	// loggedOutageEnd is the end of the last outage that was logged.
+	// unlisted are the reported incarnations that are missing from the target list.
+	unlisted        map[fleet.Life]fleet.Standing
 	loggedOutageEnd time.Time
-	// unresponsive holds since when the sidecars of unresponsive engines were heard last.
+	// unresponsive holds the time of the last report of each unresponsive engine.
 	unresponsive map[netip.AddrPort]time.Time
-	// listingsDigest of all listings, and of each.
+	// listingsDigest is the digest of all listings, digestByKey that of each listing.
 	listingsDigest uint64
 	digestByKey    map[string]uint64
 	fetching       map[string]bool
-	// fetchedAt is when each topic was fetched from a peer last.
+	// fetchedAt is when each topic was last fetched from a peer.
 	fetchedAt map[string]time.Time
 	startedAt time.Time
-	// replicaAnnouncedTo are the lives of the processes that lacked a copy and were told of ours.
+	// replicaAnnouncedTo holds the incarnations of the processes without a replica to which
+	// this process has announced its own.
 	replicaAnnouncedTo map[netip.AddrPort]uint64
-	// large fleets do not tell all entries of all engines: see sizeUp.
+	// large is set in large fleets; see updateFleetSize.
 	large atomic.Bool
-	// rejectedListings entries of the list, with what is wrong with them.
+	// rejectedListings holds the error of each invalid record of the target list.
 	rejectedListings map[string]string
 	stopping         bool
-	// stoppingSince, selectiveFrom and shutdownAt are set once the process stops; the
-	// latter two are the view's.
+	// These are set when the process begins to stop. The latter two are published in the view.
 	stoppingSince, selectiveFrom, shutdownAt time.Time
 	view                                     blackboard.Fact[*view.View]
-	// onViewChange is told after each new view, inForce of each new version of the
+	// onViewChange is onCall after each new view, onEstateChange for each new version of the
 	// estate.
 	onViewChange   func()
 	onEstateChange func(version int64)
-	// onListingRejected is told of each entry of the list that names no target.
+	// onListingRejected is onCall for each invalid record of the target list.
 	onListingRejected func()
 }
 
-func newClusterState(s *Settings, p Platform, loop *control.Loop, clock *hostclock.Clock, logger logr.Logger, peers *http.Client, called func(string, time.Duration, error)) *clusterState {
-	b := &clusterState{
+func newClusterState(s *Settings, p Platform, loop *control.Loop, clock *hostclock.Clock, logger logr.Logger, peers *http.Client, onCall func(string, time.Duration, error)) *clusterState {
+	c := &clusterState{
 		settings: s, platform: p, loop: loop, clock: clock, logger: logger, peers: peers,
 		directory: fleet.NewDirectory(), wantedWeights: map[string]weights.History{}, engineReports: map[fleet.Life]view.EngineWord{}, unlisted: map[fleet.Life]fleet.Standing{}, unresponsive: map[netip.AddrPort]time.Time{},
 		replicaAnnouncedTo: map[netip.AddrPort]uint64{}, fetching: map[string]bool{}, fetchedAt: map[string]time.Time{}, digestByKey: map[string]uint64{}, rejectedListings: map[string]string{}, onViewChange: func() {}, onEstateChange: func(int64) {}, onListingRejected: func() {},
 	}
-	b.declarations = feed.NewFollower(loop, p.Declarations(), feed.NewCopy(outageGap), feed.Options{
-		Name: topicOperators, Wait: declarationsWait, Reads: b.shouldReadDeclarations, Changed: b.declarationsChanged,
-		Called: called, Regained: func() {}, Logger: logger, Now: clock.Now,
+	c.declarations = feed.NewFollower(loop, p.Declarations(), feed.NewCopy(outageGap), feed.Options{
+		Name: topicOperators, Wait: declarationsWait, Reads: c.shouldReadDeclarations, Changed: c.declarationsChanged,
+		Called: onCall, Regained: func() {}, Logger: logger, Now: clock.Now,
 	})
-	b.targets = feed.NewFollower(loop, p.Targets(), feed.NewCopy(outageGap), feed.Options{
-		Name: topicTargets, Reads: b.shouldReadTargets, Changed: b.targetsChanged,
-		Called: called, Regained: b.declarations.Again, Logger: logger, Now: clock.Now,
+	c.targets = feed.NewFollower(loop, p.Targets(), feed.NewCopy(outageGap), feed.Options{
+		Name: topicTargets, Reads: c.shouldReadTargets, Changed: c.targetsChanged,
+		Called: onCall, Regained: c.declarations.Again, Logger: logger, Now: clock.Now,
 	})
-	return b
+	return c
 }
 
-// start begins to follow the store. The mesh is set before.
-func (b *clusterState) start() {
-	b.startedAt = b.clock.Now()
-	b.loop.Post(b.mesh.Introduce)
-	b.declarations.Start()
-	b.targets.Start()
-	b.loop.Every(func() time.Duration { return refreshPeriod }, b.publishView)
+// start starts to follow the store. The mesh must be set.
+func (c *clusterState) start() {
+	c.startedAt = c.clock.Now()
+	c.loop.Post(c.mesh.Introduce)
+	c.declarations.Start()
+	c.targets.Start()
+	c.loop.Every(func() time.Duration { return refreshPeriod }, c.publishView)
 }
 
-// stop notes that the process stops and ends at a time.
-func (b *clusterState) stop(endsAt time.Time) {
-	b.stopping, b.stoppingSince = true, b.clock.Now()
-	b.selectiveFrom, b.shutdownAt = time.Now().Add(balancerNotice), endsAt
+// stop records that the process is stopping and will exit at shutdownAt.
+func (c *clusterState) stop(shutdownAt time.Time) {
+	c.stopping, c.stoppingSince = true, c.clock.Now()
+	c.selectiveFrom, c.shutdownAt = time.Now().Add(balancerRemoveTime), shutdownAt
 }
 
-func (b *clusterState) isEntry() bool { return b.settings.Role == settings.RoleEntry }
+func (c *clusterState) isEntry() bool { return c.settings.Role == settings.RoleEntry }
 
-func (b *clusterState) declarationsChanged(keys []string) {
+func (c *clusterState) declarationsChanged(keys []string) {
 	for _, key := range keys {
-		r, ok := b.declarations.Copy().Get(key)
+		r, ok := c.declarations.Copy().Get(key)
 		if !ok {
 			continue
 		}
-		d, err := b.platform.DecodeDeclaration(r)
+		d, err := c.platform.DecodeDeclaration(r)
 		if err != nil {
-			// The last good one stays in force: half of a bad one must not.
-			b.logger.Error(err, "declaration_refused", "key", key, "offset", r.Offset)
+			// The last valid declaration stays in force; parts of an invalid one are not applied.
+			c.logger.Error(err, "declaration_refused", "key", key, "offset", r.Offset)
 			continue
 		}
-		b.applyDeclaration(d, r)
+		c.applyDeclaration(d, r)
 	}
-	b.publishView()
-	b.mesh.Tell()
+	c.publishView()
+	c.mesh.Tell()
 }
 
-func (b *clusterState) applyDeclaration(d Declaration, r feed.Record) {
-	if d.Estate != nil && (b.estate == nil || d.Estate.Version > b.estate.Version) {
-		b.estate, b.estateText = d.Estate, r.Value
-		b.onEstateChange(d.Estate.Version)
-		b.logger.Info("estate_in_force", "estate", d.Estate.Version, "offset", r.Offset, "routes", len(d.Estate.Routes()), "services", len(d.Estate.Services()), "stores", len(d.Estate.Stores()), "limited", len(d.Estate.Limited()))
+func (c *clusterState) applyDeclaration(d Declaration, r feed.Record) {
+	if d.Estate != nil && (c.estate == nil || d.Estate.Version > c.estate.Version) {
+		c.estate, c.rawEstate = d.Estate, r.Value
+		c.onEstateChange(d.Estate.Version)
+		c.logger.Info("estate_in_force", "estate", d.Estate.Version, "offset", r.Offset, "routes", len(d.Estate.Routes()), "services", len(d.Estate.Services()), "stores", len(d.Estate.Stores()), "limited", len(d.Estate.Limited()))
 	}
-	if d.Model == "" || d.Version <= b.wantedWeights[d.Model].Newest() {
+	if d.Model == "" || d.Version <= c.wantedWeights[d.Model].Newest() {
 		return
 	}
-	b.wantedWeights[d.Model] = b.wantedWeights[d.Model].Add(weights.Wanted{Version: d.Version, Since: b.clock.Now()})
-	b.logger.Info("weights_wanted", "model", d.Model, "version", d.Version, "offset", r.Offset)
+	c.wantedWeights[d.Model] = c.wantedWeights[d.Model].Add(weights.Wanted{Version: d.Version, Since: c.clock.Now()})
+	c.logger.Info("weights_wanted", "model", d.Model, "version", d.Version, "offset", r.Offset)
 }
 
-func (b *clusterState) targetsChanged(keys []string) {
+func (c *clusterState) targetsChanged(keys []string) {
 	changed := false
 	for _, key := range keys {
-		r, ok := b.targets.Copy().Get(key)
+		r, ok := c.targets.Copy().Get(key)
 		if !ok {
-			delete(b.rejectedListings, key)
-			b.setListingDigest(key, 0)
-			if b.directory.Drop(key, b.listedAt()) {
+			delete(c.rejectedListings, key)
+			c.setListingDigest(key, 0)
+			if c.directory.Drop(key, c.listedAt()) {
 				changed = true
-				b.logger.Info("target_gone", "target", key, "end", b.targets.Copy().End())
+				c.logger.Info("target_gone", "target", key, "end", c.targets.Copy().End())
 			}
 			continue
 		}
-		listing, err := b.platform.DecodeTarget(r)
+		listing, err := c.platform.DecodeTarget(r)
 		if err != nil {
-			b.rejectListing(key, r.Offset, err)
-			b.setListingDigest(key, 0)
+			c.rejectListing(key, r.Offset, err)
+			c.setListingDigest(key, 0)
 			continue
 		}
-		delete(b.rejectedListings, key)
-		b.setListingDigest(key, listingDigest(&listing))
-		changed = b.applyListing(listing, r.Offset) || changed
+		delete(c.rejectedListings, key)
+		c.setListingDigest(key, listingDigest(&listing))
+		changed = c.applyListing(listing, r.Offset) || changed
 	}
 	if changed {
-		b.publishViewSoon()
-		b.mesh.Introduce()
+		c.publishViewSoon()
+		c.mesh.Introduce()
 	}
 }
 
-// maxRejectedListings bounds the entries of which is remembered that they were refused.
+// maxRejectedListings limits the size of rejectedListings.
 const maxRejectedListings = 1000
 
-// rejectListing passes over an entry that names no target. It is counted each time and logged
-// when it is new: another writer may write it anew with each of its heartbeats.
-func (b *clusterState) rejectListing(key string, offset uint64, err error) {
-	b.onListingRejected()
-	if b.rejectedListings[key] == err.Error() || len(b.rejectedListings) >= maxRejectedListings {
+// rejectListing skips an invalid record of the target list. Every rejection is counted, but
+// only new errors are logged, since the record's writer may repeat it with each heartbeat.
+func (c *clusterState) rejectListing(key string, offset uint64, err error) {
+	c.onListingRejected()
+	if c.rejectedListings[key] == err.Error() || len(c.rejectedListings) >= maxRejectedListings {
 		return
 	}
-	b.rejectedListings[key] = err.Error()
-	b.logger.Info("target_refused", "target", key, "offset", offset, "error", err.Error())
+	c.rejectedListings[key] = err.Error()
+	c.logger.Info("target_refused", "target", key, "offset", offset, "error", err.Error())
 }
 
-// applyListing takes in a listing and reports whether it changed what matters.
-func (b *clusterState) applyListing(l fleet.Listing, offset uint64) bool {
-	old, known := b.directory.Find(l.Instance)
-	returned := b.directory.Gone(old.Life)
-	if !b.directory.List(l, offset, b.clock.Now()) {
-		b.logger.Info("target_late_word", "target", l.Life, "newest", old.Life, "offset", offset)
+// applyListing applies a listing and reports whether a relevant field changed.
+func (c *clusterState) applyListing(l fleet.Listing, offset uint64) bool {
+	old, known := c.directory.Find(l.Instance)
+	returned := c.directory.Gone(old.Life)
+	if !c.directory.List(l, offset, c.clock.Now()) {
+		c.logger.Info("target_late_word", "target", l.Life, "newest", old.Life, "offset", offset)
 		return false
 	}
 	if known && !returned && listingDigest(&old.Listing) == listingDigest(&l) {
 		return false
 	}
-	b.logger.Info("target_listed", "target", l.Life, "service", l.Service, "address", l.Address, "zone", l.Zone,
+	c.logger.Info("target_listed", "target", l.Life, "service", l.Service, "address", l.Address, "zone", l.Zone,
 		"leaving", l.Leaving, "weights", l.Weights, "returned", returned, "offset", offset)
 	return true
 }
 
-// publishViewSoon makes a new view, in a large fleet with what else changes until the next
-// refresh: engines of which there are some hundred change all the time.
-func (b *clusterState) publishViewSoon() {
-	if !b.large.Load() {
-		b.publishView()
+// publishViewSoon publishes a new view at once, or with the next refresh in a large fleet,
+// where engines change continuously.
+func (c *clusterState) publishViewSoon() {
+	if !c.large.Load() {
+		c.publishView()
 	}
 }
 
-// publishView makes a new view of all beliefs.
-func (b *clusterState) publishView() {
-	now := b.clock.Now()
-	following := b.syncState(now)
-	b.logOutage(following)
+// publishView builds and publishes a new view.
+func (c *clusterState) publishView() {
+	now := c.clock.Now()
+	syncState := c.syncState(now)
+	c.logOutage(syncState)
 	v := &view.View{
-		Estate: b.estate, EstateText: b.estateText, Targets: b.directory.Targets(b.isDeclared, now, following),
-		ListedAt: b.targets.Copy().CurrentAt(), DeclaredAt: b.currentAt(topicOperators), Engines: map[fleet.Life]view.EngineWord{}, Silent: map[netip.AddrPort]bool{}, Wanted: map[string]weights.History{},
-		Entries: 1 + len(b.mesh.Live(true)), EntriesBefore: b.entryRank(), Stopping: b.stopping, PicksFrom: b.selectiveFrom, EndsAt: b.shutdownAt,
+		Estate: c.estate, EstateText: c.rawEstate, Targets: c.directory.Targets(c.isDeclared, now, syncState),
+		ListedAt: c.targets.Copy().CurrentAt(), DeclaredAt: c.currentAt(topicOperators), Engines: map[fleet.Life]view.EngineWord{}, Silent: map[netip.AddrPort]bool{}, Wanted: map[string]weights.History{},
+		Entries: 1 + len(c.mesh.Live(true)), EntriesBefore: c.entryRank(), Stopping: c.stopping, PicksFrom: c.selectiveFrom, EndsAt: c.shutdownAt,
 	}
-	b.updateFleetSize(v.Targets)
-	v.Large = b.large.Load()
-	for life, word := range b.engineReports {
-		if now.Sub(word.HeardAt) <= engineReportTTL {
-			v.Engines[life] = word
+	c.updateFleetSize(v.Targets)
+	v.Large = c.large.Load()
+	for incarnation, report := range c.engineReports {
+		if now.Sub(report.HeardAt) <= engineReportTTL {
+			v.Engines[incarnation] = report
 		} else {
-			delete(b.engineReports, life)
+			delete(c.engineReports, incarnation)
 		}
 	}
-	for address, heard := range b.unresponsive {
-		if now.Sub(heard) <= engineReportTTL {
+	for address, reportedAt := range c.unresponsive {
+		if now.Sub(reportedAt) <= engineReportTTL {
 			v.Silent[address] = true
 		} else {
-			delete(b.unresponsive, address)
+			delete(c.unresponsive, address)
 		}
 	}
-	b.logUnlisted(v, b.directory.Correct(v.Targets, reportedTargets(v.Engines), following, now))
-	for model, w := range b.wantedWeights {
+	c.logUnlisted(v, c.directory.Correct(v.Targets, reportedTargets(v.Engines), syncState, now))
+	for model, w := range c.wantedWeights {
 		v.Wanted[model] = w
 	}
-	b.view.Post(v, now)
-	b.onViewChange()
+	c.view.Post(v, now)
+	c.onViewChange()
 }
 
 // isDeclared reports whether operators declare a service.
-func (b *clusterState) isDeclared(service string) bool {
-	return b.estate != nil && b.estate.Service(service) != nil
+func (c *clusterState) isDeclared(service string) bool {
+	return c.estate != nil && c.estate.Service(service) != nil
 }
 
-// sidecarHosts are those on which sidecars may run: the engines'.
-func (b *clusterState) sidecarHosts() []netip.Addr {
-	v, ok := b.view.Get()
+// sidecarHosts returns the hosts that may run sidecars, which are those of the engines.
+func (c *clusterState) sidecarHosts() []netip.Addr {
+	v, ok := c.view.Get()
 	if !ok {
 		return nil
 	}
@@ -279,9 +276,9 @@
 	return hosts
 }
 
-// targetsOf returns the targets of a service, as the newest view has them.
-func (b *clusterState) targetsOf(service string) []fleet.Target {
-	v, ok := b.view.Get()
+// targetsOf returns the targets of a service in the current view.
+func (c *clusterState) targetsOf(service string) []fleet.Target {
+	v, ok := c.view.Get()
 	if !ok {
 		return nil
 	}
--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -12,37 +12,33 @@
 )
 
 const (
-	// deputyPeriod is how often an entry looks whether engines without a sidecar lack
-	// weights.
+	// deputyPeriod is how often an entry checks for engines with outdated weights.
 	deputyPeriod = 250 * time.Millisecond
-	// sidecarDiscoveryTime is the time after a start in which some sidecar is heard where there
-	// are any: each sends to every entry within a few seconds.
+	// sidecarDiscoveryTime is the time after the start within which an entry receives a
+	// heartbeat if there are any sidecars.
 	sidecarDiscoveryTime = 6 * time.Second
-	// leaseTimeout bounds a call for the lease.
+	// leaseTimeout limits a call to the store for the lease.
 	leaseTimeout = time.Second
 )
 
-// deputy gives orders in place of sidecars in deployments whose engines' hosts have no
-// room for one. It gives none once it has heard a single sidecar: that one's engine, and
-// those of others that are only silent, have holders of their own.
+// deputy orders weight loads in place of sidecars, in deployments without sidecars. Without
+// it the engines there would keep outdated weights until all prompts are refused. It stops
+// for good once the entry has seen a sidecar, because sidecars order the loads of their own
+// engines.
 //
-// One entry at a time does, by a lease in the platform's store: two that order the same
-// engine would each undo what the other knows of it. Its fencing token is higher than
-// those of all holders before it, so that engines that check tokens refuse what an earlier
-// one sent.
-//
-// The failure guarded against: operators name new weights, nobody orders them, and every
-// engine becomes too old to be used: all prompts are refused.
+// A lease in the platform's store ensures that one entry at a time gives orders. The
+// holder's fencing token is higher than those of earlier holders, so that engines that
+// check tokens reject late orders of an earlier holder.
 type deputy struct {
 	process    *process
 	startedAt  time.Time
 	lease      *lease.Lease
 	controller *weights.RemoteController
-	// token of the present hold; zero until it is fetched.
+	// token is the fencing token of the current lease; zero until it is fetched.
 	token    uint64
 	fetching bool
 	engines  map[netip.AddrPort]weights.Engine
-	// sidecarSeen is set once a sidecar was heard.
+	// sidecarSeen is set once the entry has seen a live sidecar.
 	sidecarSeen bool
 }
 
@@ -59,21 +55,21 @@
 	d.process.loop.Every(func() time.Duration { return deputyPeriod }, d.step)
 }
 
-// step runs on the control thread.
+// step checks all models and orders the loads that are due. It runs on the control thread.
 func (d *deputy) step() {
 	now := d.process.clock.Now()
-	b := d.process.state
-	d.sidecarSeen = d.sidecarSeen || len(b.mesh.Live(false)) > 0
-	if d.sidecarSeen || b.estate == nil || b.stopping || now.Sub(d.startedAt) < sidecarDiscoveryTime {
+	state := d.process.state
+	d.sidecarSeen = d.sidecarSeen || len(state.mesh.Live(false)) > 0
+	if d.sidecarSeen || state.estate == nil || state.stopping || now.Sub(d.startedAt) < sidecarDiscoveryTime {
 		return
 	}
-	for model, history := range b.wantedWeights {
+	for model, history := range state.wantedWeights {
 		engines := d.enginesOf(model)
 		wanted := history.Newest()
 		if !d.controller.Behind(engines, model, wanted) {
 			continue
 		}
-		if b.entryRank() == 0 || d.lease.Held(now) {
+		if state.entryRank() == 0 || d.lease.Held(now) {
 			d.maintainLease(now)
 		}
 		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceWoken() > resumeSettleTime {
@@ -87,8 +83,8 @@
 
 // enginesOf returns the engines that serve a model.
 func (d *deputy) enginesOf(model string) []weights.Remote {
-	b := d.process.state
-	v, ok := b.view.Get()
+	state := d.process.state
+	v, ok := state.view.Get()
 	if !ok {
 		return nil
 	}
@@ -112,7 +108,7 @@
 	return d.engines[address]
 }
 
-// maintainLease takes or keeps the lease.
+// maintainLease acquires or renews the lease.
 func (d *deputy) maintainLease(now time.Time) {
 	switch d.lease.Next(now) {
 	case lease.Look:
@@ -147,7 +143,7 @@
 	})
 }
 
-// fetchToken gets the token of this hold.
+// fetchToken fetches the fencing token for the current lease.
 func (d *deputy) fetchToken() {
 	if d.fetching {
 		return
--- a/internal/gateway/enginereports.go
+++ b/internal/gateway/enginereports.go
@@ -11,81 +11,81 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/weights"
 )
 
-// phases are those that traffic knows; a silent engine is told apart before.
+// phases maps the phases on the wire. Unresponsive engines are handled separately.
 var phases = map[peerv1.EnginePhase]weights.Phase{
 	peerv1.EnginePhase_ENGINE_PHASE_SERVING:  weights.Serving,
 	peerv1.EnginePhase_ENGINE_PHASE_LOADING:  weights.Loading,
 	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Emptying,
 }
 
-// applyEngineReport takes in what a sidecar says of its engine. It reports whether
-// traffic goes by something else now.
-func (b *clusterState) applyEngineReport(m *mesh.Member) bool {
+// applyEngineReport stores a sidecar's report of its engine. It reports whether anything
+// changed that affects placement.
+func (c *clusterState) applyEngineReport(m *mesh.Member) bool {
 	e := m.Beat.Engine
 	if e == nil {
 		return false
 	}
 	address, err := netip.ParseAddrPort(e.Address)
 	if err != nil {
-		b.logger.Info("engine_word_refused", "peer", m.Name, "address", e.Address, "error", err.Error())
+		c.logger.Info("engine_word_refused", "peer", m.Name, "address", e.Address, "error", err.Error())
 		return false
 	}
 	if e.Phase == peerv1.EnginePhase_ENGINE_PHASE_SILENT {
-		return b.applyUnresponsive(m, address)
+		return c.applyUnresponsive(m, address)
 	}
-	delete(b.unresponsive, address)
-	life := fleet.Life{Instance: e.Instance, Born: e.Born}
-	word := view.EngineWord{
+	delete(c.unresponsive, address)
+	incarnation := fleet.Life{Instance: e.Instance, Born: e.Born}
+	report := view.EngineWord{
 		Service: e.Service, Address: address, Zone: m.Zone,
 		Weights: map[string]int64{}, Phase: phases[e.Phase],
-		Running: int(e.Running), Queued: int(e.Queued), HeardAt: b.clock.Now(),
+		Running: int(e.Running), Queued: int(e.Queued), HeardAt: c.clock.Now(),
 	}
 	for _, w := range e.Weights {
-		word.Weights[w.Model] = w.Version
+		report.Weights[w.Model] = w.Version
 	}
 	if within := time.Duration(e.BeganWithinMs) * time.Millisecond; within > 0 {
-		word.BeganAfter = word.HeardAt.Add(-within)
+		report.BeganAfter = report.HeardAt.Add(-within)
 	}
-	old, known := b.engineReports[life]
+	old, known := c.engineReports[incarnation]
 	if !known {
-		b.dropReportsAt(address)
+		c.dropReportsAt(address)
 	}
-	word.PhaseSince = b.clock.Now()
-	if known && old.Phase == word.Phase {
-		word.PhaseSince = old.PhaseSince
+	report.PhaseSince = c.clock.Now()
+	if known && old.Phase == report.Phase {
+		report.PhaseSince = old.PhaseSince
 	}
-	b.engineReports[life] = word
-	changed := !known || old.Phase != word.Phase
-	for model, version := range word.Weights {
+	c.engineReports[incarnation] = report
+	changed := !known || old.Phase != report.Phase
+	for model, version := range report.Weights {
 		if old.Weights[model] != version {
 			changed = true
 		}
 	}
 	if changed {
-		b.logger.Info("engine_told", "target", life, "peer", m.Name, "weights", word.Weights, "phase", word.Phase.String())
+		c.logger.Info("engine_told", "target", incarnation, "peer", m.Name, "weights", report.Weights, "phase", report.Phase.String())
 	}
 	return changed
 }
 
-// applyUnresponsive takes in that an engine does not answer its sidecar. It is known
-// there within a tenth of a second; the platform's list shows a crash only
-// after three heartbeats.
-func (b *clusterState) applyUnresponsive(m *mesh.Member, address netip.AddrPort) bool {
-	_, known := b.unresponsive[address]
-	b.unresponsive[address] = b.clock.Now()
+// applyUnresponsive records that an engine does not respond to its sidecar. Sidecars detect
+// this within a tenth of a second, well before the target list shows a crash. It reports
+// whether this is new.
+func (c *clusterState) applyUnresponsive(m *mesh.Member, address netip.AddrPort) bool {
+	_, known := c.unresponsive[address]
+	c.unresponsive[address] = c.clock.Now()
 	if known {
 		return false
 	}
-	b.logger.Info("engine_told_silent", "peer", m.Name, "address", address)
-	b.dropReportsAt(address)
+	c.logger.Info("engine_told_silent", "peer", m.Name, "address", address)
+	c.dropReportsAt(address)
 	return true
 }
 
-// dropReportsAt forgets what was said of lives at an address: they have ended.
-func (b *clusterState) dropReportsAt(address netip.AddrPort) {
-	for life, w := range b.engineReports {
-		if w.Address == address {
-			delete(b.engineReports, life)
+// dropReportsAt drops the reports of the incarnations at an address, which have ended.
+func (c *clusterState) dropReportsAt(address netip.AddrPort) {
+	for incarnation, r := range c.engineReports {
+		if r.Address == address {
+			delete(c.engineReports, incarnation)
 		}
 	}
 }
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -24,11 +24,11 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-// maxPartUpdates is how many facts about parts one heartbeat holds. A fact takes 14
-// bytes; with the rest a heartbeat stays within one packet.
+// maxPartUpdates is the most part updates in one heartbeat. An update takes 14 bytes; the
+// heartbeat must fit into one packet.
 const maxPartUpdates = 60
 
-// entry is the role that takes callers' requests.
+// entry is the role that serves callers' requests.
 type entry struct {
 	state      *clusterState
 	ledger     *ledger.Ledger
@@ -38,21 +38,21 @@
 	pool       *upstream.Pool
 	forwarder  *forward.Forwarder
 	quarantine *quarantineSync
-	// cacheReportedAt are those that were told of, with when they were last.
+	// cacheReportedAt is when the last report of each cache was received.
 	cacheReportedAt map[fleet.ID]time.Time
-	// probes asks sidecars; nil where probes are off.
+	// probes probes sidecars; nil if probes are disabled.
 	probes *probe.Client
-	// limits is this entry's part in the rate limits; nil where there are none.
+	// limits enforces the rate limits of workspaces; nil if they are disabled.
 	limits *limits
-	// changedTargets are the targets at which this entry's work has changedTargets since the
-	// others were told.
+	// changedTargets are the targets whose work from this entry has changed since the last
+	// announcement to the other entries.
 	changedTargets map[fleet.ID]bool
 }
 
 func newEntry(p *process) *entry {
 	e := &entry{state: p.state, ledger: ledger.New(), parts: parts.NewBook(), reach: &reach.Book{}, cacheReportedAt: map[fleet.ID]time.Time{}, changedTargets: map[fleet.ID]bool{}}
-	e.health = health.NewBook(func(life fleet.Life, until time.Time, failures, others float64, outcome health.Outcome) {
-		p.logger.Info("target_rested", "target", life, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
+	e.health = health.NewBook(func(incarnation fleet.Life, until time.Time, failures, others float64, outcome health.Outcome) {
+		p.logger.Info("target_rested", "target", incarnation, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
 			"failures", math.Round(100*failures)/100, "others", math.Round(100*others)/100, "outcome", outcome.String())
 	})
 	e.pool = upstream.NewPool(p.metrics.Connection)
@@ -68,7 +68,7 @@
 	return e
 }
 
-// open makes rate limits and probes possible.
+// open starts the rate limiter and the probe client if they are enabled.
 func (e *entry) open(p *process) error {
 	var err error
 	if e.limits, err = openLimits(p); err != nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// requestMetrics counts requests for Prometheus and for the report on burn.
+// requestMetrics records requests in the Prometheus metrics and the burn-rate counter.
 type requestMetrics struct {
 	*metrics.Metrics
 	counter *burn.Counter
@@ -115,39 +115,39 @@
 
 func (e *entry) currentView() (*view.View, bool) { return e.state.view.Get() }
 
-// ready reports whether the entry can serve callers. One that is cut off says no,
-// so that the balancer turns to others.
+// ready reports whether the entry can serve callers. It is false while the entry is
+// partitioned, so that the load balancer prefers other entries.
 func (e *entry) ready() bool {
 	v, ok := e.currentView()
 	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.CutOff(e.state.clock.Now())
 }
 
-// compose adds to a heartbeat what other entries want to know.
-func (e *entry) compose(beat *peerv1.Beat) {
-	e.composeWork(beat)
-	e.quarantine.compose(beat)
+// compose adds this entry's work and quarantine records to a heartbeat.
+func (e *entry) compose(heartbeat *peerv1.Beat) {
+	e.composeWork(heartbeat)
+	e.quarantine.compose(heartbeat)
 }
 
-func (e *entry) composeWork(beat *peerv1.Beat) {
+func (e *entry) composeWork(heartbeat *peerv1.Beat) {
 	if e.state.large.Load() {
 		e.parts.DropFresh()
 		return
 	}
 	for target, w := range e.ledger.Own(e.state.clock.Now()) {
-		beat.Loads = append(beat.Loads, probe.LoadOut(target, w))
+		heartbeat.Loads = append(heartbeat.Loads, probe.LoadOut(target, w))
 	}
 }
 
 const (
-	// announceDelay gathers what other entries are told at once. In larger fleets more
-	// is gathered, by tellDelayEach for each entry: what an entry hears grows with
-	// their number.
+	// announceDelay is how long changes are batched before they are announced to the other
+	// entries. announceDelayPerEntry is added for each live entry, because the number of
+	// announcements that an entry receives grows with the number of entries.
 	announceDelay         = 8 * time.Millisecond
 	announceDelayPerEntry = 2 * time.Millisecond
 )
 
-// announceWork tells the other entries soon of this entry's work at a target, and of
-// the parts that are read there.
+// announceWork schedules an announcement to the other entries of this entry's work at a
+// target and of pending part updates.
 func (e *entry) announceWork(target fleet.ID) {
 	if e.state.large.Load() {
 		return
@@ -169,22 +169,22 @@
 
 func (e *entry) announceChangedWork() {
 	now := e.state.clock.Now()
-	e.state.mesh.TellEntries(func(beat *peerv1.Beat) {
+	e.state.mesh.TellEntries(func(heartbeat *peerv1.Beat) {
 		for target := range e.changedTargets {
-			beat.Loads = append(beat.Loads, probe.LoadOut(target, e.ledger.OwnAt(target, now)))
+			heartbeat.Loads = append(heartbeat.Loads, probe.LoadOut(target, e.ledger.OwnAt(target, now)))
 		}
-		beat.Parts = e.takePartUpdates()
+		heartbeat.Parts = e.takePartUpdates()
 	})
 	clear(e.changedTargets)
 }
 
-// takePartUpdates returns what the other entries were not told yet of parts.
+// takePartUpdates returns the part updates that have not been announced yet.
 func (e *entry) takePartUpdates() []*peerv1.PartHeld {
-	var facts []*peerv1.PartHeld
-	for _, f := range e.parts.TakeFresh(maxPartUpdates) {
-		facts = append(facts, &peerv1.PartHeld{Part: uint32(f.Part), Target: uint32(f.Target), Done: f.Done})
+	var updates []*peerv1.PartHeld
+	for _, u := range e.parts.TakeFresh(maxPartUpdates) {
+		updates = append(updates, &peerv1.PartHeld{Part: uint32(u.Part), Target: uint32(u.Target), Done: u.Done})
 	}
-	return facts
+	return updates
 }
 
 func (e *entry) onHeartbeat(m *mesh.Member) {
@@ -208,11 +208,11 @@
 	}
 }
 
-// cacheReportTimeout is the silence after which word of a cache is news again. Sidecars tell of
-// each cache twice a second.
+// cacheReportTimeout is the silence after which a cache's next report is logged. Sidecars
+// report each cache twice a second.
 const cacheReportTimeout = 5 * time.Second
 
-// applyCacheReport takes in what a cache holds by its own word.
+// applyCacheReport updates the part index with the cached parts that a sidecar reports.
 func (e *entry) applyCacheReport(m *mesh.Member, now time.Time) {
 	c := m.Beat.Cache
 	if c == nil || len(c.Parts) != len(c.Tokens) {
@@ -228,15 +228,15 @@
 	}
 }
 
-func announcedWork(beat *peerv1.Beat) map[fleet.ID]ledger.Work {
-	loads := make(map[fleet.ID]ledger.Work, len(beat.Loads))
-	for _, l := range beat.Loads {
+func announcedWork(heartbeat *peerv1.Beat) map[fleet.ID]ledger.Work {
+	loads := make(map[fleet.ID]ledger.Work, len(heartbeat.Loads))
+	for _, l := range heartbeat.Loads {
 		loads[fleet.ID(l.Target)] = probe.WorkIn(l)
 	}
 	return loads
 }
 
-// readyHandler answers the balancer.
+// readyHandler serves the load balancer's readiness check.
 func (e *entry) readyHandler(path string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/gateway/fleetsize.go
+++ b/internal/gateway/fleetsize.go
@@ -2,10 +2,10 @@
 
 import "github.com/toucanwell/toucanwell/internal/gateway/fleet"
 
-// updateFleetSize sets whether the fleet is large: whether entries ask the sidecars of the engines
-// that they consider, instead of being told of all. Where no sidecar is heard, telling
-// some is all that is left.
-func (b *clusterState) updateFleetSize(targets map[string][]fleet.Target) {
+// updateFleetSize determines whether the fleet is large, that is whether entries probe the
+// sidecars of candidate engines and work and cache contents are not broadcast. Without live
+// sidecars a fleet is never large.
+func (c *clusterState) updateFleetSize(targets map[string][]fleet.Target) {
 	engines := 0
 	for _, list := range targets {
 		for i := range list {
@@ -14,10 +14,10 @@
 			}
 		}
 	}
-	entries := len(b.mesh.Live(true))
-	answered := len(b.mesh.Live(false)) > 0
-	large := answered && (engines > b.settings.LargeEngines || entries > b.settings.LargeEntries)
-	if b.large.Swap(large) != large {
-		b.logger.Info("fleet_sized", "large", large, "engines", engines, "entries", entries)
+	entries := len(c.mesh.Live(true))
+	hasSidecars := len(c.mesh.Live(false)) > 0
+	large := hasSidecars && (engines > c.settings.LargeEngines || entries > c.settings.LargeEntries)
+	if c.large.Swap(large) != large {
+		c.logger.Info("fleet_sized", "large", large, "engines", engines, "entries", entries)
 	}
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -10,18 +10,18 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/ratelimit"
 )
 
-// limits is an entry's part in the rate limits of workspaces.
+// limits enforces the rate limits of workspaces at an entry.
 type limits struct {
 	state   *clusterState
 	limiter *ratelimit.Limiter
-	// port is where every entry answers about limits.
+	// port is the port on which all entries serve rate-limit leases.
 	port      uint16
 	startedAt time.Time
-	// seenIncarnations are the lives of the entries that were heard.
+	// seenIncarnations are the last seen incarnations of the other entries.
 	seenIncarnations map[netip.AddrPort]uint64
 }
 
-// openLimits binds the address; without one there are no limits.
+// openLimits starts the rate limiter. It returns nil if rate limits are disabled.
 func openLimits(p *process) (*limits, error) {
 	if p.settings.LimitsListen == "" {
 		return nil, nil
@@ -35,7 +35,7 @@
 	return l, err
 }
 
-// limitOf is a workspace's limit by the newest view.
+// limitOf returns a workspace's limit in the current view.
 func (l *limits) limitOf(workspace string) ratelimit.Limit {
 	v, ok := l.state.view.Get()
 	if !ok || v.Estate == nil {
@@ -48,8 +48,8 @@
 	return w.Rate.Limit
 }
 
-// onHeartbeat takes in at once that an entry has begun a life. Where all start anew, callers wait
-// until they know of each other.
+// onHeartbeat refreshes the limiter's members as soon as another entry has started. After a
+// restart of all entries, callers wait until the entries know each other.
 func (l *limits) onHeartbeat(m *mesh.Member) {
 	if l.seenIncarnations[m.Address] == m.Incarnation {
 		return
@@ -58,24 +58,25 @@
 	l.refresh()
 }
 
-// refresh tells the limiter which entries live. It runs on the control thread.
+// refresh updates the limiter's members. It runs on the control thread.
 func (l *limits) refresh() {
-	b := l.state
-	known, silent := b.mesh.Known(true)
-	m := &ratelimit.Members{At: b.clock.Now(), StartedAt: l.startedAt, Known: 1 + known, Silent: silent, Self: l.limitsAddress(b.settings.meshAddress())}
-	if !b.stopping {
+	state := l.state
+	known, unreachable := state.mesh.Known(true)
+	m := &ratelimit.Members{At: state.clock.Now(), StartedAt: l.startedAt, Known: 1 + known, Silent: unreachable, Self: l.limitsAddress(state.settings.meshAddress())}
+	if !state.stopping {
 		m.Live = append(m.Live, m.Self)
 	}
-	for _, member := range b.mesh.Live(true) {
+	for _, member := range state.mesh.Live(true) {
 		if !member.Leaving {
 			m.Live = append(m.Live, l.limitsAddress(member.Address))
 		}
 	}
-	m.Heard = len(l.seenIncarnations) > 0 || b.settings.FirstStart
+	m.Heard = len(l.seenIncarnations) > 0 || state.settings.FirstStart
 	l.limiter.SetMembers(m)
 }
 
-// limitsAddress is where the entry limitsAddress a mesh address answers about limits.
+// limitsAddress returns the address on which the entry at a mesh address serves rate-limit
+// leases.
 func (l *limits) limitsAddress(mesh netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(mesh.Addr(), l.port)
 }
--- a/internal/gateway/listingdigest.go
+++ b/internal/gateway/listingdigest.go
@@ -8,17 +8,17 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-// setListingDigest sets a listing's part in the digest that tells other processes whether they
-// lack something: heartbeats of targets change records all the time, but rarely what
-// matters. Only what changed is decoded: in a fleet of 180 engines that load new weights
-// one after the other, decoding all for each took 0.3 s of a processor a load.
-func (b *clusterState) setListingDigest(key string, digest uint64) {
-	b.listingsDigest ^= b.digestByKey[key] ^ digest
+// setListingDigest sets a listing's digest and updates the digest of all listings, by which
+// processes detect that they lack a change. The digests cover only relevant fields, because
+// targets update their records with every heartbeat. The incremental update avoids decoding
+// all listings for each change.
+func (c *clusterState) setListingDigest(key string, digest uint64) {
+	c.listingsDigest ^= c.digestByKey[key] ^ digest
 	if digest == 0 {
-		delete(b.digestByKey, key)
+		delete(c.digestByKey, key)
 		return
 	}
-	b.digestByKey[key] = digest
+	c.digestByKey[key] = digest
 }
 
 func listingDigest(l *fleet.Listing) uint64 {
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -1,11 +1,10 @@
-// Package gateway is the product on a platform that brings its own store, its
-// own list of targets and its own way for operators to speak: the roles entry
-// and sidecar, put together from the packages below this one.
+// Package gateway assembles the entry and sidecar roles from the packages below it, for
+// platforms that provide their own store, target list and operator interface.
 //
-// What must last lies in the platform's store. An entry knows the estate, the
-// targets and the wanted weights from there or from its peers, and sends
-// requests straight to targets. A sidecar watches the engine beside it, tells
-// the entries of it, and gives it its orders.
+// Persistent state is kept in the platform's store. An entry learns the estate, the targets
+// and the wanted weights from the store or from its peers, and sends requests directly to
+// targets. A sidecar monitors the engine on its host, reports the engine's state to the
+// entries, and orders its weight loads.
 package gateway
 
 import (
@@ -21,46 +20,47 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// Declaration is one record of what operators declare; one field is set.
+// Declaration is one decoded record of what operators declare: either an estate or the
+// wanted weights of a model.
 type Declaration struct {
 	Estate *estate.Estate
-	// Model and Version name the weights that a model is to have.
+	// Model and Version name the wanted weights.
 	Model   string
 	Version int64
 }
 
-// Platform is what an adapter offers: the platform's formats and calls in the
-// product's types.
+// Platform adapts a platform's formats and calls to the gateway's types.
 type Platform interface {
-	// Declarations is the topic of what operators declare, Targets that of the
-	// platform's list of targets.
+	// Declarations is the topic of operators' declarations, Targets the topic of the
+	// platform's target list.
 	Declarations() feed.Source
 	Targets() feed.Source
-	// DecodeDeclaration decodes a record of Operators. A record that is none of the
-	// product's business gives a zero Declaration.
+	// DecodeDeclaration decodes a record of Declarations. It returns a zero Declaration for
+	// records that the gateway does not use.
 	DecodeDeclaration(r feed.Record) (Declaration, error)
 	// DecodeTarget decodes a record of Targets.
 	DecodeTarget(r feed.Record) (fleet.Listing, error)
-	// NextToken returns a new fencing token for a holder's orders: a number higher
-	// than all before it.
+	// NextToken returns a fencing token for a holder's orders. It is higher than all tokens
+	// returned before.
 	NextToken(ctx context.Context, holder string) (uint64, error)
-	// Lease returns the newest record of the lease for orders to engines without a
-	// sidecar; TakeLease adds one where its topic still ends at an offset, and reports
-	// whether it was added. An error leaves that open.
+	// Lease returns the newest record of the lease under which an entry gives orders to
+	// engines without a sidecar. AcquireLease appends a record if the topic's end is still the
+	// given offset, and reports whether it was appended. After an error the record may or may
+	// not have been appended.
 	Lease(ctx context.Context) (lease.Record, error)
 	AcquireLease(ctx context.Context, holder string, end uint64) (offset uint64, added bool, err error)
-	// QuarantineRecords returns the stored records of requests that are refused, or were let go;
-	// KeepQuarantined stores one in place of an earlier one of the same key.
+	// QuarantineRecords returns the stored records of refused and released requests.
+	// StoreQuarantineRecord replaces the record of a key.
 	QuarantineRecords(ctx context.Context) ([][]byte, error)
 	StoreQuarantineRecord(ctx context.Context, key string, record []byte) error
-	// Engine returns the control side of an engine.
+	// Engine returns the control interface of an engine.
 	Engine(address netip.AddrPort) weights.Engine
-	// Cache tells what an engine, or a store of cached parts, holds.
+	// Cache returns the feed of cache changes of an engine or of a store of cached parts.
 	Cache(address netip.AddrPort) holdings.Feed
-	// Protocol is what callers and targets speak.
+	// Protocol is the protocol of callers and targets.
 	Protocol() wire.Protocol
-	// ReadyPath is where the balancer asks whether an entry takes callers.
+	// ReadyPath is the HTTP path of the load balancer's readiness check.
 	ReadyPath() string
-	// Close ends the connections that no call uses.
+	// Close closes idle connections.
 	Close()
 }
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -27,19 +27,19 @@
 )
 
 const (
-	// Periods of heartbeats: among entries, which tell each other their work at
-	// targets; between entries and sidecars; among sidecars.
+	// Heartbeat periods among entries, which announce their work at targets; between entries
+	// and sidecars; and among sidecars.
 	entryHeartbeatPeriod   = 100 * time.Millisecond
 	mixedHeartbeatPeriod   = 400 * time.Millisecond
 	sidecarHeartbeatPeriod = 500 * time.Millisecond
-	// The same in large fleets, in which heartbeats carry no work: who lives, and how
-	// new the copies of topics are.
+	// The same in large fleets, where heartbeats carry only liveness and the positions of
+	// topic replicas.
 	largeEntryHeartbeatPeriod = 400 * time.Millisecond
 	largeHeartbeatPeriod      = time.Second
 	peerIdleTimeout           = 5 * time.Second
 )
 
-// process is one process of the system.
+// process is a running entry or sidecar.
 type process struct {
 	settings      *Settings
 	platform      Platform
@@ -58,14 +58,14 @@
 	servers       []*http.Server
 	serveErrors   chan error
 	deputy        *deputy
-	// incarnation tells this life of the process from others.
+	// incarnation distinguishes this start of the process from others.
 	incarnation uint64
 }
 
-// Process is a running process.
+// Process is a running entry or sidecar.
 type Process struct{ *process }
 
-// Start runs a process until Stop or Close.
+// Start starts a process. It runs until Stop or Close.
 func Start(s *Settings, platform Platform, out io.Writer) (*Process, error) {
 	log := logging.NewBounded(out, s.Name, s.LogLinesPerSecond)
 	p := &process{
@@ -106,20 +106,20 @@
 	return &Process{p}, nil
 }
 
-// registerGauges registers the gauges that are read off the newest view.
+// registerGauges registers the gauges that are computed from the current view.
 func (p *process) registerGauges() {
-	age := func(at func(*view.View) time.Time) func() float64 {
+	age := func(timeOf func(*view.View) time.Time) func() float64 {
 		return func() float64 {
 			v, ok := p.state.view.Get()
-			if !ok || at(v).IsZero() {
+			if !ok || timeOf(v).IsZero() {
 				return math.NaN()
 			}
-			return p.clock.Now().Sub(at(v)).Seconds()
+			return p.clock.Now().Sub(timeOf(v)).Seconds()
 		}
 	}
-	p.metrics.Gauge("targets_age_seconds", "Age of the copy of the platform's list of targets.", age(func(v *view.View) time.Time { return v.ListedAt }))
-	p.metrics.Gauge("declarations_age_seconds", "Age of the copy of what operators declare.", age(func(v *view.View) time.Time { return v.DeclaredAt }))
-	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(p.log.Dropped()) })
+	p.metrics.Gauge("targets_age_seconds", "Age of the local replica of the platform's target list.", age(func(v *view.View) time.Time { return v.ListedAt }))
+	p.metrics.Gauge("declarations_age_seconds", "Age of the local replica of operators' declarations.", age(func(v *view.View) time.Time { return v.DeclaredAt }))
+	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the process started.", func() float64 { return float64(p.log.Dropped()) })
 	p.state.onListingRejected = p.metrics.TargetRefused
 	p.state.onEstateChange = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
 	if p.entry != nil {
@@ -133,7 +133,7 @@
 	p.state.targets.Again()
 }
 
-// open binds the addresses and serves them.
+// open binds the listen addresses and starts serving.
 func (p *process) open() error {
 	m, err := mesh.New(p.loop, mesh.Options{
 		Self: &peerv1.Beat{
@@ -202,12 +202,12 @@
 	return nil
 }
 
-func (p *process) compose(beat *peerv1.Beat) {
-	p.state.compose(beat)
+func (p *process) compose(heartbeat *peerv1.Beat) {
+	p.state.compose(heartbeat)
 	if p.entry != nil {
-		p.entry.compose(beat)
+		p.entry.compose(heartbeat)
 	} else {
-		p.sidecar.compose(beat)
+		p.sidecar.compose(heartbeat)
 	}
 }
 
@@ -216,7 +216,7 @@
 	if p.entry != nil {
 		p.entry.onHeartbeat(m)
 	} else {
-		p.sidecar.heard(m)
+		p.sidecar.onHeartbeat(m)
 	}
 }
 
@@ -235,8 +235,8 @@
 	}
 }
 
-// Reload takes over what may change in the settings of a running process: the
-// seeds. Everything else keeps the value that it started with, which is said.
+// Reload applies changed settings to the running process. Only the seeds can change; other
+// settings keep their values until a restart.
 func (p *process) Reload(next *Settings) {
 	fixed := *next
 	fixed.Seeds = p.settings.Seeds
@@ -245,13 +245,13 @@
 	p.logger.Info("settings_reloaded", "seeds", next.Seeds, "others_unchanged", same)
 }
 
-// ReloadFailed tells that changed settings were not taken over.
+// ReloadFailed logs that changed settings are invalid and were not applied.
 func (p *process) ReloadFailed(err error) { p.logger.Error(err, "settings_refused") }
 
-// ServeErrors yields the error of a listener that ended by itself.
+// ServeErrors returns the channel that receives the error of an HTTP server that stopped.
 func (p *process) ServeErrors() <-chan error { return p.serveErrors }
 
-// Close ends the process at once.
+// Close stops the process immediately.
 func (p *process) Close() {
 	if p.callers != nil {
 		_ = p.listener.Close()
--- a/internal/gateway/quarantinesync.go
+++ b/internal/gateway/quarantinesync.go
@@ -17,58 +17,56 @@
 )
 
 const (
-	// suspectBatchDelay is how long news of suspects is gathered before it is told: all that a
-	// target worked on breaks off within some milliseconds.
+	// suspectBatchDelay batches changed records before they are announced. When a target
+	// crashes, all its requests fail within some milliseconds.
 	suspectBatchDelay = 5 * time.Millisecond
-	// maxSuspectBytes is the most that a datagram holds of them, beside the rest of a partial
-	// heartbeat.
+	// maxSuspectBytes is the most bytes of records in a partial heartbeat.
 	maxSuspectBytes = 1100
-	// suspectReserve is left free of them in a whole heartbeat.
+	// suspectReserve is the space that records leave free in a full heartbeat.
 	suspectReserve = 100
-	// suspectsPerHeartbeat is how many are looked at for each heartbeat.
+	// suspectsPerHeartbeat is the most records in a full heartbeat.
 	suspectsPerHeartbeat = 8
-	// quarantineCallTimeout bounds a call of the store, and suspectsAgain is when one that failed
-	// is made again.
+	// quarantineCallTimeout limits a call to the store; a failed call is retried after
+	// quarantineRetryDelay.
 	quarantineCallTimeout = 2 * time.Second
 	quarantineRetryDelay  = 2 * time.Second
-	// minReloadInterval is the least time between two looks into the store: in a storm of
-	// crashes some requests meet a second end all the time.
+	// minReloadInterval is the minimum time between reloads from the store. During many
+	// crashes, second crashes of a request are frequent.
 	minReloadInterval = 2 * time.Second
 )
 
-// quarantineSync tells the other entries of requests under which targets ended, hears of theirs,
-// and keeps those that are refused in the platform's store.
+// quarantineSync exchanges quarantine records with the other entries and keeps the records
+// of refused requests in the platform's store.
 //
-// # Why the store
+// An entry that starts receives the records from the others. The store preserves them
+// across a restart of all entries, after which a refused request would otherwise crash
+// targets again. Records are written when a request is held, deleted when it may run again,
+// and read when an entry starts.
 //
-// The others tell an entry that starts. When all entries start anew at once nobody knows
-// anything, and a request that was refused would end three targets more. A record is
-// written when a request is held, and dropped when it may run again, which is seldom, and all are read once at
-// an entry's start.
-//
-// An entry that hears nothing of the others may still reach the store. It looks there
-// again when a request has met its second end here: the others may have refused it.
+// A partitioned entry may still reach the store. It reloads the records when it has
+// attributed a second crash to a request, because other entries may have refused that
+// already.
 type quarantineSync struct {
 	process  *process
 	registry *quarantine.Book
 	observer *quarantineObserver
-	// reloadedAt is when the store was read last for a second end.
+	// reloadedAt is when the records were last reloaded after a second crash.
 	reloadedAt time.Time
-	// loading is set while the store is read, or is to be read again after a failure.
+	// loading is set while the records are being loaded, including retries.
 	loading bool
 }
 
 func newQuarantineSync(p *process) *quarantineSync {
 	limits := p.settings.Quarantine
-	watch := &quarantineObserver{logger: p.logger, routineLogger: p.routineLogger, metrics: p.metrics}
-	s := &quarantineSync{process: p, observer: watch, registry: quarantine.NewBook(quarantine.Limits{
+	observer := &quarantineObserver{logger: p.logger, routineLogger: p.routineLogger, metrics: p.metrics}
+	s := &quarantineSync{process: p, observer: observer, registry: quarantine.NewBook(quarantine.Limits{
 		Ends: limits.MaxCrashes, SuspectFor: limits.SuspectFor.Duration, HoldFor: limits.RefuseFor.Duration, Records: limits.MaxRecords, Turn: p.state.probationDelay,
-	}, watch)}
-	p.metrics.Gauge("quarantined_requests", "Requests that are refused because targets ended under them.", func() float64 {
+	}, observer)}
+	p.metrics.Gauge("quarantined_requests", "Requests that are refused because crashes of targets are attributed to them.", func() float64 {
 		refused, _ := s.registry.Count()
 		return float64(refused)
 	})
-	p.metrics.Gauge("suspect_requests", "Requests under which targets ended and that may still run.", func() float64 {
+	p.metrics.Gauge("suspect_requests", "Requests to which crashes of targets are attributed and that may still run.", func() float64 {
 		_, suspects := s.registry.Count()
 		return float64(suspects)
 	})
@@ -76,17 +74,17 @@
 }
 
 const (
-	// probationStagger is by how much later than the entry before it one may put a refused request on
-	// probation: by then it has been told of that one's. longestTurn bounds it in fleets of
-	// hundreds.
+	// probationStagger is the delay between the probation runs that two entries of adjacent
+	// rank may start. By then an entry has received the announcement of the earlier run.
+	// maxProbationDelay limits the delay in large fleets.
 	probationStagger  = 200 * time.Millisecond
 	maxProbationDelay = 3 * time.Second
 )
 
-// probationDelay is how much later than the first entry this one may put a refused request
-// on probation.
-func (b *clusterState) probationDelay(quarantine.Print) time.Duration {
-	v, ok := b.view.Get()
+// probationDelay returns how much later than the first entry this one may start the
+// probation run of a refused request.
+func (c *clusterState) probationDelay(quarantine.Print) time.Duration {
+	v, ok := c.view.Get()
 	if !ok {
 		return maxProbationDelay
 	}
@@ -98,7 +96,7 @@
 	s.load()
 }
 
-// announceUpdates tells the other entries what is new.
+// announceUpdates announces changed records to the other entries.
 func (s *quarantineSync) announceUpdates(ctx context.Context) {
 	for {
 		select {
@@ -122,7 +120,7 @@
 	size := 0
 	flush := func() {
 		if len(batch) > 0 {
-			s.process.state.mesh.TellEntries(func(beat *peerv1.Beat) { beat.Suspects = batch })
+			s.process.state.mesh.TellEntries(func(heartbeat *peerv1.Beat) { heartbeat.Suspects = batch })
 		}
 		batch, size = nil, 0
 	}
@@ -142,31 +140,32 @@
 	flush()
 }
 
-// compose adds some of the records to a heartbeat, in turn: what was lost is told again.
-func (s *quarantineSync) compose(beat *peerv1.Beat) {
+// compose adds the next records in rotation to a heartbeat, to make up for lost
+// announcements.
+func (s *quarantineSync) compose(heartbeat *peerv1.Beat) {
 	now := s.process.clock.Now()
-	room := mesh.MaxDatagram - suspectReserve - proto.Size(beat)
+	space := mesh.MaxDatagram - suspectReserve - proto.Size(heartbeat)
 	for _, r := range s.registry.Next(suspectsPerHeartbeat, now) {
 		m := quarantine.Message(&r, now)
-		if room -= proto.Size(m); room < 0 {
+		if space -= proto.Size(m); space < 0 {
 			return
 		}
-		beat.Suspects = append(beat.Suspects, m)
+		heartbeat.Suspects = append(heartbeat.Suspects, m)
 	}
 }
 
-// onHeartbeat takes in what another entry knows. In fleets in which an entry does not reach all
-// others at once, each passes news on: all know after a few hops.
+// onHeartbeat merges another entry's records. In fleets where an entry does not reach all
+// others at once, the receivers forward new records.
 func (s *quarantineSync) onHeartbeat(m *mesh.Member) {
 	now := s.process.clock.Now()
-	passOn := len(m.Beat.Suspects) > 0 && len(s.process.state.mesh.Live(true)) > mesh.FanOut
-	for _, told := range m.Beat.Suspects {
-		s.registry.Merge(quarantine.FromMessage(told, now), passOn, now)
+	forward := len(m.Beat.Suspects) > 0 && len(s.process.state.mesh.Live(true)) > mesh.FanOut
+	for _, suspect := range m.Beat.Suspects {
+		s.registry.Merge(quarantine.FromMessage(suspect, now), forward, now)
 	}
 	s.registry.Settle(now)
 }
 
-// reload reads the store when that was not done lately.
+// reload loads the records from the store, unless this was done recently.
 func (s *quarantineSync) reload() {
 	now := s.process.clock.Now()
 	if !s.loading && now.Sub(s.reloadedAt) > minReloadInterval {
@@ -175,13 +174,13 @@
 	}
 }
 
-// load reads what is refused, until it has.
+// load loads the stored records and retries until it succeeds.
 func (s *quarantineSync) load() {
 	p := s.process
 	s.loading = true
-	began := time.Now()
+	start := time.Now()
 	control.Do(p.loop, quarantineCallTimeout, p.platform.QuarantineRecords, func(records [][]byte, err error) {
-		p.metrics.StoreCall(topicQuarantine, time.Since(began), err)
+		p.metrics.StoreCall(topicQuarantine, time.Since(start), err)
 		if err == nil {
 			s.loading = false
 			s.restoreAll(records)
@@ -196,18 +195,18 @@
 	})
 }
 
-// restoreAll takes in the stored records. Those that are too old are dropped from the store
-// by one entry: the store keeps the newest record of a key for ever.
+// restoreAll merges the stored records. The first entry deletes expired ones from the
+// store, which would otherwise keep them forever.
 func (s *quarantineSync) restoreAll(records [][]byte) {
-	taken, dropped := 0, 0
-	for _, text := range records {
+	restored, dropped := 0, 0
+	for _, data := range records {
 		m := &peerv1.Suspect{}
-		if err := proto.Unmarshal(text, m); err != nil {
-			s.process.logger.Info("quarantine_record_refused", "bytes", len(text), "error", err.Error())
+		if err := proto.Unmarshal(data, m); err != nil {
+			s.process.logger.Info("quarantine_record_refused", "bytes", len(data), "error", err.Error())
 			continue
 		}
 		if s.restore(m) {
-			taken++
+			restored++
 			continue
 		}
 		age := time.Since(time.UnixMilli(m.WrittenUnixMs))
@@ -216,175 +215,178 @@
 			s.store(quarantine.Print(m.Print), true)
 		}
 	}
-	s.process.logger.Info("quarantine_read", "records", len(records), "in_force", taken, "dropped", dropped)
+	s.process.logger.Info("quarantine_read", "records", len(records), "in_force", restored, "dropped", dropped)
 }
 
-// maxDropped bounds the calls of the store after one read of it.
+// maxDropped limits the deletions after one load.
 const maxDropped = 16
 
-// topicQuarantine is the name of the topic in logs and metrics.
+// topicQuarantine is the topic's name in logs and metrics.
 const topicQuarantine = "quarantine"
 
-// restore takes in a stored record and reports whether it was news. Its ages are counted by
-// wall clocks, which differ by seconds: records are kept for hours.
+// restore merges a stored record and reports whether it was new. Its age is computed from
+// wall clocks; their skew is small compared to the retention time.
 func (s *quarantineSync) restore(m *peerv1.Suspect) bool {
-	since := uint64(max(time.Now().UnixMilli()-m.WrittenUnixMs, 0))
-	m.RenewedAgeMs += since
+	elapsed := uint64(max(time.Now().UnixMilli()-m.WrittenUnixMs, 0))
+	m.RenewedAgeMs += elapsed
 	for _, e := range m.Ends {
-		e.AgeMs += since
+		e.AgeMs += elapsed
 	}
 	m.Trial, m.TrialTarget = 0, 0
 	now := s.process.clock.Now()
 	return s.registry.Merge(quarantine.FromMessage(m, now), false, now)
 }
 
-// storeFindings writes the records of requests that may not run any more since the last call,
-// and drops those of requests that may again. Where no end that this process saw led to
-// that, one entry does.
+// storeFindings stores the records of requests that have been held since the last call, and
+// deletes those of requests that may run again. Findings that do not result from a crash
+// seen by this process are stored by the first entry only.
 func (s *quarantineSync) storeFindings() {
-	for _, j := range s.observer.takeChanges() {
+	for _, change := range s.observer.takeChanges() {
 		s.process.loop.Post(func() {
-			if !j.remote || s.process.state.entryRank() == 0 {
-				s.store(j.fingerprint, j.released)
+			if !change.remote || s.process.state.entryRank() == 0 {
+				s.store(change.fingerprint, change.released)
 			}
 		})
 	}
 }
 
-// store writes a request's record, or drops the one that stands.
-func (s *quarantineSync) store(print quarantine.Print, drop bool) {
+// store writes a request's record to the store, or deletes it.
+func (s *quarantineSync) store(fingerprint quarantine.Print, drop bool) {
 	p := s.process
-	var text []byte
-	if r, ok := s.registry.Get(print); ok && !drop {
+	var data []byte
+	if r, ok := s.registry.Get(fingerprint); ok && !drop {
 		m := quarantine.Message(&r, p.clock.Now())
 		m.WrittenUnixMs = time.Now().UnixMilli()
 		var err error
-		if text, err = proto.Marshal(m); err != nil {
-			p.logger.Error(err, "quarantine_not_kept", "print", print)
+		if data, err = proto.Marshal(m); err != nil {
+			p.logger.Error(err, "quarantine_not_kept", "print", fingerprint)
 			return
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	control.Do(p.loop, quarantineCallTimeout, func(ctx context.Context) (struct{}, error) {
-		return struct{}{}, p.platform.StoreQuarantineRecord(ctx, print.String(), text)
+		return struct{}{}, p.platform.StoreQuarantineRecord(ctx, fingerprint.String(), data)
 	}, func(_ struct{}, err error) {
-		p.metrics.StoreCall(topicQuarantine, time.Since(began), err)
+		p.metrics.StoreCall(topicQuarantine, time.Since(start), err)
 		if err == nil {
-			p.logger.Info("quarantine_kept", "print", print, "dropped", len(text) == 0)
+			p.logger.Info("quarantine_kept", "print", fingerprint, "dropped", len(data) == 0)
 			return
 		}
-		p.logger.Info("quarantine_not_kept", "print", print, "error", err.Error())
+		p.logger.Info("quarantine_not_kept", "print", fingerprint, "error", err.Error())
 		p.loop.Go(func(ctx context.Context) {
 			if sleep.For(ctx, p.loop.Spread(quarantineRetryDelay)) {
-				p.loop.Post(func() { s.storeCurrent(print) })
+				p.loop.Post(func() { s.storeCurrent(fingerprint) })
 			}
 		})
 	})
 }
 
-// storeCurrent writes or drops a record by what is found now: a call that failed may be
-// overtaken by the next finding.
-func (s *quarantineSync) storeCurrent(print quarantine.Print) {
-	standing := s.registry.Standing(print, s.process.clock.Now())
-	s.store(print, standing.Verdict < quarantine.Held)
+// storeCurrent writes or deletes a record according to the current finding, which may have
+// changed since the call that failed.
+func (s *quarantineSync) storeCurrent(fingerprint quarantine.Print) {
+	status := s.registry.Standing(fingerprint, s.process.clock.Now())
+	s.store(fingerprint, status.Verdict < quarantine.Held)
 }
 
-// release lets a request go, here and everywhere.
-func (s *quarantineSync) release(print quarantine.Print) bool {
-	released := s.registry.Release(print, s.process.clock.Now())
+// release releases a request from quarantine on all entries.
+func (s *quarantineSync) release(fingerprint quarantine.Print) bool {
+	released := s.registry.Release(fingerprint, s.process.clock.Now())
 	if released {
-		s.process.loop.Post(func() { s.store(print, true) })
+		s.process.loop.Post(func() { s.store(fingerprint, true) })
 	}
 	return released
 }
 
-// quarantineObserver writes down what the book decides.
+// quarantineObserver logs the decisions of the registry and collects the findings to store.
 type quarantineObserver struct {
 	logger, routineLogger logr.Logger
 	metrics               *metrics.Metrics
 
 	mu      sync.Mutex
 	changes []findingChange
-	// secondCrash is set when a request met its second end here.
+	// secondCrash is set when this process has attributed a second crash to a request.
 	secondCrash bool
 }
 
-// findingChange is a request for which another finding holds than before.
+// findingChange is a request with a new finding.
 type findingChange struct {
 	fingerprint quarantine.Print
-	// remote is set when no end that this process saw led to it, released when it may run again.
+	// remote is set if the finding does not result from a crash seen by this process, released
+	// if the request may run again.
 	remote, released bool
 }
 
 // Blamed implements quarantine.Observer.
-func (w *quarantineObserver) Blamed(r *quarantine.Record, e quarantine.End, told bool) {
-	log, event := w.logger, "request_blamed"
-	if told {
-		log, event = w.routineLogger, "request_blame_told"
+func (o *quarantineObserver) Blamed(r *quarantine.Record, e quarantine.End, remote bool) {
+	log, event := o.logger, "request_blamed"
+	if remote {
+		log, event = o.routineLogger, "request_blame_told"
 	}
-	w.metrics.Blamed(told)
-	if !told && len(r.Ends) == 2 {
-		w.mu.Lock()
-		w.secondCrash = true
-		w.mu.Unlock()
+	o.metrics.Blamed(remote)
+	if !remote && len(r.Ends) == 2 {
+		o.mu.Lock()
+		o.secondCrash = true
+		o.mu.Unlock()
 	}
 	log.Info(event, "print", r.Print, "ends", len(r.Ends), "step", e.Step, "target_id", uint32(e.Target), "workspace", r.Workspace, "route", r.Route, "generation", r.Generation)
 }
 
-// findingEvents are the log lines of findings.
+// findingEvents are the log events of findings.
 var findingEvents = map[quarantine.Finding]string{0: "request_not_quarantined", quarantine.MustWait: "request_held", quarantine.MustNotRun: "request_quarantined"}
 
-// Judged implements quarantine.Observer. A request that must wait is written already: should
-// all entries end within the second until it is refused, it would end three targets more.
-func (w *quarantineObserver) Judged(r *quarantine.Record, before, now quarantine.Finding, told bool) {
-	w.logger.Info(findingEvents[now], "print", r.Print, "ends", len(r.Ends), "served", r.Served, "workspace", r.Workspace, "route", r.Route, "told", told)
+// Judged implements quarantine.Observer. The record is stored when the request is first
+// held, not when it is refused a moment later, so that a restart of all entries in between
+// does not lose it.
+func (o *quarantineObserver) Judged(r *quarantine.Record, before, now quarantine.Finding, remote bool) {
+	o.logger.Info(findingEvents[now], "print", r.Print, "ends", len(r.Ends), "served", r.Served, "workspace", r.Workspace, "route", r.Route, "told", remote)
 	if before == quarantine.MustWait && now == quarantine.MustNotRun {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.changes = append(w.changes, findingChange{r.Print, told, now == 0})
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.changes = append(o.changes, findingChange{r.Print, remote, now == 0})
 }
 
-// takeChanges returns the requests that were judged anew since the last call.
-func (w *quarantineObserver) takeChanges() []findingChange {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	judged := w.changes
-	w.changes = nil
-	return judged
+// takeChanges returns the new findings since the last call.
+func (o *quarantineObserver) takeChanges() []findingChange {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	changes := o.changes
+	o.changes = nil
+	return changes
 }
 
-// takeSecondCrash reports whether a request met its second end here since the last call.
-func (w *quarantineObserver) takeSecondCrash() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	met := w.secondCrash
-	w.secondCrash = false
-	return met
+// takeSecondCrash reports whether this process has attributed a second crash to a request
+// since the last call.
+func (o *quarantineObserver) takeSecondCrash() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	seen := o.secondCrash
+	o.secondCrash = false
+	return seen
 }
 
 // Cleared implements quarantine.Observer.
-func (w *quarantineObserver) Cleared(r *quarantine.Record) {
-	w.routineLogger.Info("request_cleared", "print", r.Print, "ends", len(r.Ends), "served", r.Served)
+func (o *quarantineObserver) Cleared(r *quarantine.Record) {
+	o.routineLogger.Info("request_cleared", "print", r.Print, "ends", len(r.Ends), "served", r.Served)
 }
 
 // Released implements quarantine.Observer.
-func (w *quarantineObserver) Released(r *quarantine.Record, told bool) {
-	w.logger.Info("request_released", "print", r.Print, "told", told, "generation", r.Generation, "workspace", r.Workspace, "route", r.Route)
+func (o *quarantineObserver) Released(r *quarantine.Record, remote bool) {
+	o.logger.Info("request_released", "print", r.Print, "told", remote, "generation", r.Generation, "workspace", r.Workspace, "route", r.Route)
 }
 
-// Probation implements quarantine.Observer. The run is written down before it may end its
-// target: should all entries end with it, they would begin as many anew.
-func (w *quarantineObserver) Probation(r *quarantine.Record) {
-	w.logger.Info("request_on_probation", "print", r.Print, "ends", len(r.Ends), "probations", r.Probations, "pardoned", r.Pardoned, "workspace", r.Workspace, "route", r.Route)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.changes = append(w.changes, findingChange{fingerprint: r.Print})
+// Probation implements quarantine.Observer. The run is stored before it can crash its
+// target, so that it is not repeated after a restart of all entries.
+func (o *quarantineObserver) Probation(r *quarantine.Record) {
+	o.logger.Info("request_on_probation", "print", r.Print, "ends", len(r.Ends), "probations", r.Probations, "pardoned", r.Pardoned, "workspace", r.Workspace, "route", r.Route)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.changes = append(o.changes, findingChange{fingerprint: r.Print})
 }
 
 // Evicted implements quarantine.Observer.
-func (w *quarantineObserver) Evicted(r *quarantine.Record) {
-	w.metrics.SuspectEvicted()
-	w.routineLogger.Info("suspect_evicted", "print", r.Print, "ends", len(r.Ends))
+func (o *quarantineObserver) Evicted(r *quarantine.Record) {
+	o.metrics.SuspectEvicted()
+	o.routineLogger.Info("suspect_evicted", "print", r.Print, "ends", len(r.Ends))
 }
--- a/internal/gateway/replicas.go
+++ b/internal/gateway/replicas.go
@@ -11,129 +11,128 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/mesh"
 )
 
-// compose fills in a heartbeat with how far the copies are.
-func (b *clusterState) compose(beat *peerv1.Beat) {
-	beat.Leaving = b.stopping
-	beat.Topics = []*peerv1.TopicPosition{
-		b.position(topicOperators, b.declarations, 0),
-		b.position(topicTargets, b.targets, b.listingsDigest),
+// compose adds the positions of the topic replicas to a heartbeat.
+func (c *clusterState) compose(heartbeat *peerv1.Beat) {
+	heartbeat.Leaving = c.stopping
+	heartbeat.Topics = []*peerv1.TopicPosition{
+		c.position(topicOperators, c.declarations, 0),
+		c.position(topicTargets, c.targets, c.listingsDigest),
 	}
 }
 
-func (b *clusterState) position(name string, f *feed.Follower, digest uint64) *peerv1.TopicPosition {
-	current, at := b.currentAt(name), f.Copy().Position()
+func (c *clusterState) position(name string, f *feed.Follower, digest uint64) *peerv1.TopicPosition {
+	current, at := c.currentAt(name), f.Copy().Position()
 	return &peerv1.TopicPosition{
-		Topic: name, End: at.End, SeenFrom: at.SeenFrom, DropEnd: at.DropEnd, AgeMs: uint32(b.clock.Now().Sub(current).Milliseconds()),
+		Topic: name, End: at.End, SeenFrom: at.SeenFrom, DropEnd: at.DropEnd, AgeMs: uint32(c.clock.Now().Sub(current).Milliseconds()),
 		Unknown: current.IsZero(), Digest: digest,
 	}
 }
 
-// currentAt is when a copy last was complete. A read of what operators declare
-// that waits at the store is answered by the first record; as long as the store
-// answers other reads, none has come.
-func (b *clusterState) currentAt(topic string) time.Time {
-	own := b.targets.Copy().CurrentAt()
+// currentAt returns when a replica was last known to be complete. A long poll of the
+// declarations returns with the first new record, so the declarations are complete as long
+// as the store answers other reads.
+func (c *clusterState) currentAt(topic string) time.Time {
+	targetsAt := c.targets.Copy().CurrentAt()
 	if topic == topicTargets {
-		return own
+		return targetsAt
 	}
-	at := b.declarations.Copy().CurrentAt()
-	if b.longPollsDeclarations() && !at.IsZero() && own.After(at) {
-		return own
+	at := c.declarations.Copy().CurrentAt()
+	if c.longPollsDeclarations() && !at.IsZero() && targetsAt.After(at) {
+		return targetsAt
 	}
 	return at
 }
 
-// onHeartbeat takes in how far another process's copies are, and fetches what this
-// one lacks.
-func (b *clusterState) onHeartbeat(m *mesh.Member) {
+// onHeartbeat compares a peer's replicas with this process's and fetches missing records.
+func (c *clusterState) onHeartbeat(m *mesh.Member) {
 	for _, p := range m.Beat.Topics {
 		if p.Unknown {
-			b.announceReplica(m, p.Topic)
+			c.announceReplica(m, p.Topic)
 			continue
 		}
-		f := b.follower(p.Topic)
+		f := c.follower(p.Topic)
 		if f == nil {
 			continue
 		}
-		b.compareReplica(m.Address, f, p)
+		c.compareReplica(m.Address, f, p)
 	}
 }
 
-// compareReplica takes in how far a peer's copy of a topic is: this one is as new as the peer's, or
-// fetches what it lacks.
-func (b *clusterState) compareReplica(peer netip.AddrPort, f *feed.Follower, p *peerv1.TopicPosition) {
-	c := f.Copy()
-	at := b.clock.Now().Add(-time.Duration(p.AgeMs) * time.Millisecond)
-	theirs := feed.Position{End: p.End, SeenFrom: p.SeenFrom, DropEnd: p.DropEnd}
-	same := p.End == c.End()
+// compareReplica marks a replica as current if it matches the peer's, or fetches the
+// records that only the peer has.
+func (c *clusterState) compareReplica(peer netip.AddrPort, f *feed.Follower, p *peerv1.TopicPosition) {
+	replica := f.Copy()
+	at := c.clock.Now().Add(-time.Duration(p.AgeMs) * time.Millisecond)
+	peerPosition := feed.Position{End: p.End, SeenFrom: p.SeenFrom, DropEnd: p.DropEnd}
+	same := p.End == replica.End()
 	if p.Topic == topicTargets {
-		same = p.Digest == b.listingsDigest && !c.LacksDrop(theirs)
+		same = p.Digest == c.listingsDigest && !replica.LacksDrop(peerPosition)
 	}
 	switch {
-	case same && c.End() > 0 && c.CoveredBy(theirs):
-		c.Confirm(at)
-	case !same && p.End > c.End():
-		b.fetchFromPeer(peer, p.Topic, f)
+	case same && replica.End() > 0 && replica.CoveredBy(peerPosition):
+		replica.Confirm(at)
+	case !same && p.End > replica.End():
+		c.fetchFromPeer(peer, p.Topic, f)
 	}
 }
 
-// announceReplica tells a process that lacks a copy at once that this one has it. It would
-// otherwise hear of it with a later heartbeat, and read the store itself before.
-func (b *clusterState) announceReplica(m *mesh.Member, topic string) {
-	f := b.follower(topic)
-	if f == nil || f.Copy().CurrentAt().IsZero() || b.replicaAnnouncedTo[m.Address] == m.Incarnation {
+// announceReplica sends a heartbeat to a process that has no replica yet, so that it
+// fetches this process's replica and does not read the store.
+func (c *clusterState) announceReplica(m *mesh.Member, topic string) {
+	f := c.follower(topic)
+	if f == nil || f.Copy().CurrentAt().IsZero() || c.replicaAnnouncedTo[m.Address] == m.Incarnation {
 		return
 	}
-	b.replicaAnnouncedTo[m.Address] = m.Incarnation
-	b.mesh.TellMember(m.Address, func(*peerv1.Beat) {})
+	c.replicaAnnouncedTo[m.Address] = m.Incarnation
+	c.mesh.TellMember(m.Address, func(*peerv1.Beat) {})
 }
 
-func (b *clusterState) follower(topic string) *feed.Follower {
+func (c *clusterState) follower(topic string) *feed.Follower {
 	switch topic {
 	case topicOperators:
-		return b.declarations
+		return c.declarations
 	case topicTargets:
-		return b.targets
+		return c.targets
 	default:
 		return nil
 	}
 }
 
-// minFetchInterval is the least time between two fetches of a topic in a large fleet. Some
-// hundred targets that change one after the other, as when all load new weights, would
-// make every process fetch without a pause.
+// minFetchInterval is the minimum time between fetches of a topic in a large fleet. Without
+// it a rollout of weights, which changes hundreds of targets one by one, would make every
+// process fetch continuously.
 const minFetchInterval = 300 * time.Millisecond
 
 // fetchFromPeer fetches the records of a topic that a peer has and this process lacks.
-func (b *clusterState) fetchFromPeer(from netip.AddrPort, topic string, f *feed.Follower) {
-	now := b.clock.Now()
-	if b.fetching[topic] || b.large.Load() && now.Sub(b.fetchedAt[topic]) < minFetchInterval {
+func (c *clusterState) fetchFromPeer(from netip.AddrPort, topic string, f *feed.Follower) {
+	now := c.clock.Now()
+	if c.fetching[topic] || c.large.Load() && now.Sub(c.fetchedAt[topic]) < minFetchInterval {
 		return
 	}
-	b.fetching[topic], b.fetchedAt[topic] = true, now
+	c.fetching[topic], c.fetchedAt[topic] = true, now
 	offset := f.Copy().End()
 	const timeout = 800 * time.Millisecond
-	control.Do(b.loop, timeout, func(ctx context.Context) (mesh.Answer, error) {
-		return mesh.Fetch(ctx, b.peers, from, topic, offset)
+	control.Do(c.loop, timeout, func(ctx context.Context) (mesh.Answer, error) {
+		return mesh.Fetch(ctx, c.peers, from, topic, offset)
 	}, func(a mesh.Answer, err error) {
-		b.fetching[topic] = false
+		c.fetching[topic] = false
 		if err != nil {
-			b.logger.Info("fetch_failed", "topic", topic, "peer", from, "error", err.Error())
+			c.logger.Info("fetch_failed", "topic", topic, "peer", from, "error", err.Error())
 			return
 		}
 		if a.End > 0 {
-			f.Adopt(a.Page, offset, b.clock.Now().Add(-a.Age))
+			f.Adopt(a.Page, offset, c.clock.Now().Add(-a.Age))
 		}
 	})
 }
 
-// topicPage serves another process's fetch.
-func (b *clusterState) topicPage(topic string, from uint64) (mesh.Answer, bool) {
-	f := b.follower(topic)
+// topicPage serves a peer's fetch.
+func (c *clusterState) topicPage(topic string, from uint64) (mesh.Answer, bool) {
+	f := c.follower(topic)
 	if f == nil || f.Copy().CurrentAt().IsZero() {
 		return mesh.Answer{}, false
 	}
 	return mesh.Answer{
-		Page: f.Copy().Since(from), Age: b.clock.Now().Sub(b.currentAt(topic)),
+		Page: f.Copy().Since(from), Age: c.clock.Now().Sub(c.currentAt(topic)),
 	}, true
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -13,60 +13,57 @@
 	"github.com/toucanwell/toucanwell/internal/tomltext"
 )
 
-// Settings are the settings of one process in a deployment whose state lies in
-// the platform's store.
+// Settings are the settings of one process.
 type Settings struct {
-	// Name is unique among the system's processes. Required.
+	// Name is unique among all processes of the deployment. Required.
 	Name string `toml:"name"`
 	// Role is "entry" or "sidecar". Required.
 	Role settings.Role `toml:"role"`
-	// Region and AvailabilityZone are where the host stands. Required.
+	// Region and AvailabilityZone are the location of the host. AvailabilityZone is required.
 	Region           string `toml:"region"`
 	AvailabilityZone string `toml:"availability_zone"`
-	// Listen is where callers connect. Required for an entry.
+	// Listen is the address that serves callers. Required for an entry.
 	Listen string `toml:"listen"`
-	// ReadyListen is where the balancer asks whether the process takes callers.
-	// Required for an entry.
+	// ReadyListen is the address of the load balancer's readiness check. Required for an
+	// entry.
 	ReadyListen string `toml:"ready_listen"`
-	// MeshListen is where the other processes send heartbeats and fetch what
-	// they lack. Every process of a deployment has the same port. Required.
+	// MeshListen is the address for heartbeats (UDP) and fetches (HTTP) of other processes.
+	// All processes of a deployment use the same port. Required.
 	MeshListen string `toml:"mesh_listen"`
-	// MetricsListen serves metrics. Required.
+	// MetricsListen is the address that serves Prometheus metrics. Required.
 	MetricsListen string `toml:"metrics_listen"`
-	// ProbeListen is where a sidecar answers the entries' probes, over UDP. Every process
-	// of a deployment has the same port. Empty turns probes off: entries then go by what
-	// all tell each other, which carries some tens of hosts.
+	// ProbeListen is the UDP address on which a sidecar answers the entries' probes. All
+	// processes of a deployment use the same port. Empty disables probes: entries then rely on
+	// broadcasts, which suits deployments of up to some tens of hosts.
 	ProbeListen string `toml:"probe_listen"`
-	// LargeEntries and LargeEngines are the sizes up to which all processes are told of all
-	// work and of all caches. In larger fleets entries ask the sidecars of the engines that
-	// they consider. Default 24 and 60.
+	// LargeEntries and LargeEngines are the fleet sizes up to which work and cache contents
+	// are broadcast to all entries. In larger fleets entries probe the sidecars of candidate
+	// engines instead. Default 24 and 60.
 	LargeEntries int `toml:"large_entries"`
 	LargeEngines int `toml:"large_engines"`
-	// LimitsListen is where an entry answers the others about workspaces' rate limits, over
-	// UDP. Every entry of a deployment has the same port. Empty turns rate limits off.
+	// LimitsListen is the UDP address on which an entry serves the other entries' rate-limit
+	// leases. All entries of a deployment use the same port. Empty disables rate limits.
 	LimitsListen string `toml:"limits_listen"`
-	// AdminListen serves the administration API. Empty for none.
+	// AdminListen is the address of the administration API. Empty disables it.
 	AdminListen string `toml:"admin_listen"`
-	// AdminTokenSHA256 is the hex digest of the administration token. Empty closes
-	// the API.
+	// AdminTokenSHA256 is the hex digest of the administration token. If it is empty, the API
+	// refuses all requests.
 	AdminTokenSHA256 string `toml:"admin_token_sha256"`
-	// ServiceLevel is the share of requests that are to be answered within their
-	// route's target latency; the report on burn goes by it. Default 0.95.
+	// ServiceLevel is the share of requests that should meet their route's target latency. It
+	// is the objective of the burn-rate report. Default 0.95.
 	ServiceLevel float64 `toml:"service_level"`
-	// Seeds are addresses on hosts where other processes run; their ports do
-	// not matter.
+	// Seeds are addresses on hosts that may run other processes. Their ports are ignored.
 	Seeds []string `toml:"seeds"`
-	// FirstStart is set while the whole deployment starts for the first time, and no
-	// traffic comes yet.
+	// FirstStart is set while the whole deployment starts for the first time, without traffic.
 	FirstStart bool `toml:"first_start"`
-	// Engine is the engine beside a sidecar. Required for a sidecar.
+	// Engine is the address of a sidecar's engine. Required for a sidecar.
 	Engine string `toml:"engine"`
 	// Service is the engine's service.
 	Service string `toml:"service"`
-	// MemoryMB is the memory that the process may use. Default 256.
+	// MemoryMB is the memory limit of the process. Default 256.
 	MemoryMB int64 `toml:"memory_mb"`
-	// LogLinesPerSecond bounds the log's volume. Default 600: an entry writes two
-	// lines for each request that goes well, and has up to 165 requests a second.
+	// LogLinesPerSecond limits the log volume. An entry writes two lines per successful
+	// request. Default 600.
 	LogLinesPerSecond int `toml:"log_lines_per_second"`
 
 	Store      StoreSettings      `toml:"store"`
@@ -74,43 +71,43 @@
 	Quarantine QuarantineSettings `toml:"quarantine"`
 }
 
-// QuarantineSettings say what becomes of requests under which targets ended.
+// QuarantineSettings configure how requests that crash targets are treated.
 type QuarantineSettings struct {
-	// MaxCrashes is how many targets may end under a request before it is refused. Default 3:
-	// two ends may have a cause of their own, and each further one costs all that the
-	// target works on.
+	// MaxCrashes is how many crashes are attributed to a request before it is refused. Default
+	// 3: two crashes may have other causes, and each further one fails all requests that the
+	// target is running.
 	MaxCrashes int `toml:"ends"`
-	// SuspectFor is how long after its last end a request is a suspect. Default 1h.
+	// SuspectFor is how long a request stays a suspect after its last crash. Default 1h.
 	SuspectFor settings.Duration `toml:"suspect_for"`
-	// RefuseFor is how long a request is refused after its last end. Default 24h: long enough
-	// for the targets' owners to mend them.
+	// RefuseFor is how long a request is refused after its last crash. Default 24h, which
+	// gives the targets' owners time for a fix.
 	RefuseFor settings.Duration `toml:"hold_for"`
-	// MaxRecords is how many requests an entry keeps a record of, of some 300 bytes each. The
-	// least suspected are dropped first. Default 2000.
+	// MaxRecords is the most requests that an entry keeps records of, at about 300 bytes each.
+	// The least suspected ones are evicted first. Default 2000.
 	MaxRecords int `toml:"records"`
 }
 
-// StoreSettings say where the platform's store is.
+// StoreSettings configure the connection to the platform's store.
 type StoreSettings struct {
 	// Address of the store. Required.
 	Address string `toml:"address"`
 }
 
-// BoundsSettings are what the deployment promises and allows.
+// BoundsSettings are the deployment's time limits and retry budget.
 type BoundsSettings struct {
-	// GracePeriod is the time between the signal to stop and the end. Required.
+	// GracePeriod is the time between the stop signal and the forced exit. Required.
 	GracePeriod settings.Duration `toml:"grace_period"`
-	// MaxStaleness is the time within which engines have newly named weights.
+	// MaxStaleness is how long engines may run outdated weights after new ones are declared.
 	// Required.
 	MaxStaleness settings.Duration `toml:"weights"`
-	// RetryRatio is how many sends beyond the first all processes together may
-	// make for each request; RetrySlack how many beyond that in a window of some
-	// seconds. Default 0.1 and 10.
+	// RetryRatio is the number of retries per request that all processes together may make.
+	// RetrySlack is the number of additional retries in a window of some seconds. Default 0.1
+	// and 10.
 	RetryRatio float64 `toml:"retry_ratio"`
 	RetrySlack float64 `toml:"retry_slack"`
 }
 
-// LoadSettings reads and checks the settings file at path.
+// LoadSettings reads and validates the settings file at path.
 func LoadSettings(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -124,20 +121,18 @@
 	defaultLogLines   = 600
 	defaultRetryRatio = 0.1
 	defaultRetrySlack = 10
-	// Telling all grows with entries times engines, and takes most of a small entry's
-	// processor with a hundred of each.
+	// The cost of broadcasts grows with entries times engines. At a hundred of each, they take
+	// most of the CPU of a small entry.
 	defaultLargeEntries = 24
 	defaultLargeEngines = 60
-	// defaultServiceLevel is the share that operators of large deployments ask for.
 	defaultServiceLevel = 0.95
-	// The defaults of the quarantine; its settings say why.
-	defaultMaxCrashes = 3
-	defaultSuspectFor = time.Hour
-	defaultRefuseFor  = 24 * time.Hour
-	defaultMaxRecords = 2000
+	defaultMaxCrashes   = 3
+	defaultSuspectFor   = time.Hour
+	defaultRefuseFor    = 24 * time.Hour
+	defaultMaxRecords   = 2000
 )
 
-// ParseSettings checks a settings text; name stands for the file in messages.
+// ParseSettings decodes and validates a settings text. The name is used in error messages.
 func ParseSettings(name, text string) (*Settings, error) {
 	s := &Settings{
 		MemoryMB: defaultMemoryMB, LogLinesPerSecond: defaultLogLines, ServiceLevel: defaultServiceLevel,
@@ -182,7 +177,7 @@
 	if s.AdminListen != "" {
 		address("admin_listen", s.AdminListen)
 	}
-	report(s.ServiceLevel > 0 && s.ServiceLevel < 1, "service_level: allowed is above 0 and below 1")
+	report(s.ServiceLevel > 0 && s.ServiceLevel < 1, "service_level: must be above 0 and below 1")
 	if s.Role == settings.RoleEntry {
 		address("listen", s.Listen)
 		address("ready_listen", s.ReadyListen)
@@ -201,26 +196,26 @@
 	report(s.Bounds.MaxStaleness.Duration > 0, "bounds.weights: missing")
 	report(s.Quarantine.MaxCrashes > 0, "quarantine.ends: must be above 0")
 	report(s.Quarantine.SuspectFor.Duration > 0, "quarantine.suspect_for: must be above 0")
-	report(s.Quarantine.RefuseFor.Duration >= s.Quarantine.SuspectFor.Duration, "quarantine.hold_for: must not be below quarantine.suspect_for")
+	report(s.Quarantine.RefuseFor.Duration >= s.Quarantine.SuspectFor.Duration, "quarantine.hold_for: must not be shorter than quarantine.suspect_for")
 	report(s.Quarantine.MaxRecords > 0, "quarantine.records: must be above 0")
-	report(s.Bounds.RetryRatio >= 0 && s.Bounds.RetryRatio <= 1, "bounds.retry_ratio: allowed is 0 to 1")
-	report(s.Bounds.RetrySlack >= 0, "bounds.retry_slack: must not be below 0")
+	report(s.Bounds.RetryRatio >= 0 && s.Bounds.RetryRatio <= 1, "bounds.retry_ratio: must be between 0 and 1")
+	report(s.Bounds.RetrySlack >= 0, "bounds.retry_slack: must not be negative")
 	return problems
 }
 
-// seed makes a process's random choices its own.
+// seed returns a random seed that differs between processes.
 func (s *Settings) seed() uint64 { return xxhash.Sum64String(s.Name) }
 
-// meshAddress is the address that other processes know this one by.
+// meshAddress returns the address by which other processes know this one.
 func (s *Settings) meshAddress() netip.AddrPort { return netip.MustParseAddrPort(s.MeshListen) }
 
-// probeAddress is where probes are answered; false when they are off.
+// probeAddress returns the address that serves probes, or false if probes are disabled.
 func (s *Settings) probeAddress() (netip.AddrPort, bool) {
 	address, err := netip.ParseAddrPort(s.ProbeListen)
 	return address, err == nil
 }
 
-// seedHosts are the hosts on which other processes may run.
+// seedHosts returns the hosts that may run other processes.
 func (s *Settings) seedHosts() []netip.Addr {
 	var hosts []netip.Addr
 	for _, seed := range s.Seeds {
@@ -229,10 +224,9 @@
 	return hosts
 }
 
-// shutdownTimeout is how long a stopping process has, with a margin for its end.
-func (s *Settings) shutdownTimeout() time.Duration {
-	return s.Bounds.GracePeriod.Duration - graceMargin
-}
+// stopTimeout returns how long a graceful shutdown may take.
+func (s *Settings) stopTimeout() time.Duration { return s.Bounds.GracePeriod.Duration - graceMargin }
 
-// graceMargin is left of the grace period for closing connections and exiting.
+// graceMargin is the part of the grace period that is reserved for closing connections and
+// exiting.
 const graceMargin = 700 * time.Millisecond
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -17,29 +17,28 @@
 const (
 	tokenTimeout = 2 * time.Second
 	tokenRetry   = 500 * time.Millisecond
-	// resumeSettleTime is how long a host must have run since it was suspended before
-	// its sidecar gives orders: its beliefs are renewed by then.
+	// resumeSettleTime is how long after a suspension of the host no orders are given, until
+	// the cluster state is up to date again.
 	resumeSettleTime = 600 * time.Millisecond
-	// unknownAge is the age of what was not heard.
+	// unknownAge is the age of a report that was never received.
 	unknownAge = time.Hour
 )
 
-// sidecar is the role beside an engine: it watches the engine, tells the
-// entries, and gives the engine its orders.
+// sidecar is the role on an engine's host: it monitors the engine, reports its state to the
+// entries and orders its weight loads.
 type sidecar struct {
 	process    *process
 	state      *clusterState
 	address    netip.AddrPort
 	controller *weights.Controller
-	// incarnation, report and phase are the engine's as the controller said last.
+	// incarnation, report and phase are the engine's state as last reported by the controller.
 	incarnation fleet.Life
 	report      weights.Report
 	phase       weights.Phase
 	known       bool
 	token       uint64
 	caches      *cacheFollowers
-	// tracker knows the engine for the entries, which ask it through probes; nil where
-	// probes are off.
+	// tracker keeps the engine's state for probes.
 	tracker *tracker.Tracker
 	probes  *probe.Server
 }
@@ -47,7 +46,7 @@
 func newSidecar(p *process) *sidecar {
 	s := &sidecar{process: p, state: p.state, address: netip.MustParseAddrPort(p.settings.Engine)}
 	s.controller = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Surroundings{
-		Wanted: s.wanted, HealthPath: s.healthPath, Engines: s.engineViews, Unheard: s.state.large.Load, Changed: s.engineChanged,
+		Wanted: s.wantedWeights, HealthPath: s.healthPath, Engines: s.engineViews, Unheard: s.state.large.Load, Changed: s.engineChanged,
 		Token: func() (uint64, bool) { return s.token, s.token > 0 },
 		Fresh: func() bool { p.clock.Check(); return p.clock.SinceWoken() > resumeSettleTime },
 	}, weights.Options{
@@ -60,17 +59,17 @@
 	return s
 }
 
-// wanted are the weights that the engine is to have: none while it may be leaving. A load
-// would change the weights under its last runs, whose answers are worth nothing then.
-func (s *sidecar) wanted() map[string]weights.History {
-	life := fleet.Living{Life: s.incarnation, Address: s.address, BeganAfter: s.controller.BeganAfter()}
-	if b := s.state; !b.directory.Stays(b.isDeclared, &life, b.syncState(b.clock.Now()), b.clock.Now()) {
+// wantedWeights returns the wantedWeights weights. It returns none while the engine may be leaving, since
+// a load would invalidate the responses of its last requests.
+func (s *sidecar) wantedWeights() map[string]weights.History {
+	report := fleet.Living{Life: s.incarnation, Address: s.address, BeganAfter: s.controller.BeganAfter()}
+	if state := s.state; !state.directory.Stays(state.isDeclared, &report, state.syncState(state.clock.Now()), state.clock.Now()) {
 		return nil
 	}
 	return s.state.wantedWeights
 }
 
-// open begins to answer probes.
+// open starts the probe server if probes are enabled.
 func (s *sidecar) open() error {
 	address, ok := s.process.settings.probeAddress()
 	if !ok {
@@ -93,7 +92,7 @@
 	s.caches.start()
 }
 
-// fetchToken gets this life's fencing token, once the store gives one.
+// fetchToken fetches the fencing token of this process and retries until it succeeds.
 func (s *sidecar) fetchToken() {
 	control.Do(s.process.loop, tokenTimeout, func(ctx context.Context) (uint64, error) {
 		return s.process.platform.NextToken(ctx, s.process.settings.Name)
@@ -125,15 +124,15 @@
 	return service.HealthPath
 }
 
-// engineViews returns all engineViews of the own engine's service.
+// engineViews returns the state of all engines of the own engine's service.
 func (s *sidecar) engineViews(model string) []weights.EngineView {
 	now := s.process.clock.Now()
 	var all []weights.EngineView
 	for _, t := range s.state.targetsOf(s.engineService()) {
 		v := weights.EngineView{Life: t.Life, Version: t.Weights[model], Age: unknownAge}
-		if word, ok := s.state.engineReports[t.Life]; ok {
-			v.Version, v.Age = word.Weights[model], now.Sub(word.HeardAt)
-			v.Phase, v.PhaseAge = word.Phase, now.Sub(word.PhaseSince)
+		if report, ok := s.state.engineReports[t.Life]; ok {
+			v.Version, v.Age = report.Weights[model], now.Sub(report.HeardAt)
+			v.Phase, v.PhaseAge = report.Phase, now.Sub(report.PhaseSince)
 		}
 		if t.Life == s.incarnation {
 			v.Version, v.Phase, v.Age = s.report.Weights[model], s.phase, 0
@@ -150,27 +149,27 @@
 	return s.process.settings.Service
 }
 
-// engineChanged takes in the engine's newest report, and tells the others at once of
-// what they must not learn late.
-func (s *sidecar) engineChanged(life fleet.Life, report weights.Report, phase weights.Phase) {
-	told := !s.known || phase != s.phase || life != s.incarnation
+// engineChanged stores the engine's latest state. It broadcasts a heartbeat if the
+// incarnation, the phase or the weights have changed.
+func (s *sidecar) engineChanged(incarnation fleet.Life, report weights.Report, phase weights.Phase) {
+	changed := !s.known || phase != s.phase || incarnation != s.incarnation
 	for model, version := range report.Weights {
 		if s.report.Weights[model] != version {
-			told = true
+			changed = true
 		}
 	}
-	s.caches.followEngine(s.address, life)
-	s.incarnation, s.report, s.phase, s.known = life, report, phase, true
+	s.caches.followEngine(s.address, incarnation)
+	s.incarnation, s.report, s.phase, s.known = incarnation, report, phase, true
 	s.tracker.Set(tracker.State{
-		Life: life, Weights: report.Weights, Phase: phase, ReportedAt: report.At,
+		Life: incarnation, Weights: report.Weights, Phase: phase, ReportedAt: report.At,
 	})
-	if told && !s.state.large.Load() {
+	if changed && !s.state.large.Load() {
 		s.state.mesh.Tell()
 	}
 }
 
 // compose adds the engine's state to a heartbeat.
-func (s *sidecar) compose(beat *peerv1.Beat) {
+func (s *sidecar) compose(heartbeat *peerv1.Beat) {
 	if !s.known || s.incarnation.Instance == "" && s.phase != weights.Silent {
 		return
 	}
@@ -193,10 +192,10 @@
 	for model, version := range s.report.Weights {
 		e.Weights = append(e.Weights, &peerv1.ModelWeights{Model: model, Version: version})
 	}
-	beat.Engine = e
+	heartbeat.Engine = e
 }
 
-func (s *sidecar) heard(m *mesh.Member) {
+func (s *sidecar) onHeartbeat(m *mesh.Member) {
 	s.caches.onHeartbeat(m)
 	if s.state.applyEngineReport(m) {
 		s.controller.Nudge()
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// balancerNotice is how long a stopping entry still takes new connections:
-	// the balancer turns away after two questions a second apart.
-	balancerNotice = 2500 * time.Millisecond
-	// balancerReaddTime is how long after its first heartbeat an entry is given
-	// connections: the balancer asks once a second.
+	// balancerRemoveTime is how long a stopping entry still accepts new connections. The load
+	// balancer stops sending connections after two failed readiness checks, one second apart.
+	balancerRemoveTime = 2500 * time.Millisecond
+	// balancerReaddTime is how long after its first heartbeat an entry receives connections.
+	// The load balancer checks readiness once a second.
 	balancerReaddTime = 1200 * time.Millisecond
-	// stopPollPeriod is how often another entry is looked for.
+	// stopPollPeriod is the interval between checks for a successor and for running requests.
 	stopPollPeriod = 50 * time.Millisecond
-	// minStopLag is by how much later another entry must have begun to stop to be
-	// waited for by callers; less may be the way of its heartbeat.
+	// minStopLag is how much later another entry must have begun to stop to count as a
+	// successor. Smaller differences may be due to the latency of heartbeats.
 	minStopLag = 300 * time.Millisecond
-	// idleTime is the time without requests after which a stopping entry ends. A
-	// request that was sent before the port closed has arrived by then.
+	// idleTime is the time without requests after which a stopping entry exits. Requests that
+	// were sent before the port was closed have arrived by then.
 	idleTime = 200 * time.Millisecond
 )
 
-// Stop is the planned stop. The entry is not ready at once, so that the
-// balancer turns away; it goes on taking requests until the balancer has and
-// another entry takes them, and asks callers to use other connections; then it
-// ends what runs. No request is cut that ends within the grace period.
+// Stop shuts the process down gracefully. The entry becomes unready at once, but accepts
+// connections until the load balancer has stopped sending them and another entry accepts
+// callers. Then it closes the port and waits for running requests. Requests that end within
+// the grace period are not interrupted.
 func (p *process) Stop() {
 	p.logger.Info("stopping")
-	ctx, cancel := context.WithTimeout(context.Background(), p.settings.shutdownTimeout())
+	ctx, cancel := context.WithTimeout(context.Background(), p.settings.stopTimeout())
 	defer cancel()
-	endsAt, _ := ctx.Deadline()
+	shutdownAt, _ := ctx.Deadline()
 	p.loop.Post(func() {
-		p.state.stop(endsAt)
+		p.state.stop(shutdownAt)
 		p.state.publishView()
 		p.state.mesh.Tell()
 	})
 	if p.callers != nil {
-		sleep.For(ctx, balancerNotice)
+		sleep.For(ctx, balancerRemoveTime)
 		awaitSuccessor(ctx, func() bool { return p.hasSuccessor(ctx) })
 		_ = p.listener.Close()
 		p.drain(ctx)
@@ -52,11 +52,8 @@
 	p.Close()
 }
 
-// drain waits for the requests under way to end.
-//
-// The failure guarded against is a connection on which no request comes: the
-// server waits for it to the end of the grace period, and for that long the
-// host serves nobody.
+// drain waits for the running requests. It does not wait for connections on which no
+// request has been sent, as http.Server.Shutdown does.
 func (p *process) drain(ctx context.Context) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -70,11 +67,11 @@
 	}
 }
 
-// errIdle is the cause of contexts that end because no request is under way.
-var errIdle = errors.New("no request is under way")
+// errIdle is the cancellation cause when no request is running.
+var errIdle = errors.New("no request is running")
 
-// awaitIdle returns when no request has been under way for idleFor, or the context
-// has ended.
+// awaitIdle returns when no request has been running for idleTime, or the context has
+// ended.
 func awaitIdle(ctx context.Context, inFlight func() int) {
 	since := time.Now()
 	for time.Since(since) < idleTime && sleep.For(ctx, stopPollPeriod) {
@@ -84,19 +81,16 @@
 	}
 }
 
-// awaitSuccessor returns when another entry takes callers, or the context has
-// ended.
-//
-// The failure guarded against is a roll that is quicker than the stops: while
-// every entry stops, the balancer has nowhere to turn, and callers find closed
-// ports for a second and more.
-func awaitSuccessor(ctx context.Context, taken func() bool) {
-	for !taken() && sleep.For(ctx, stopPollPeriod) {
+// awaitSuccessor returns when another entry accepts callers, or the context has ended. In a
+// rolling restart that is faster than the shutdowns, all entries would otherwise have
+// closed their ports at the same time.
+func awaitSuccessor(ctx context.Context, found func() bool) {
+	for !found() && sleep.For(ctx, stopPollPeriod) {
 		continue
 	}
 }
 
-// hasSuccessor reports whether another entry takes callers.
+// hasSuccessor reports whether another entry accepts callers.
 func (p *process) hasSuccessor(ctx context.Context) bool {
 	found, ok := control.Ask(ctx, p.loop, func() bool {
 		return slices.ContainsFunc(p.state.mesh.Live(true), func(m *mesh.Member) bool {
@@ -106,12 +100,12 @@
 	return found || !ok
 }
 
-// acceptsCallers reports whether another entry takes callers in place of one that
-// stops since a time: it serves and the balancer gives it connections, or it began
-// to stop later, and so goes on until the first one is back.
-func acceptsCallers(m *mesh.Member, stopping, now time.Time) bool {
+// acceptsCallers reports whether another entry accepts callers in place of one that began
+// to stop at the given time: it is running and receives connections from the load balancer,
+// or it began to stop later and thus waits for a successor itself.
+func acceptsCallers(m *mesh.Member, stoppingSince, now time.Time) bool {
 	if !m.Leaving {
 		return now.Sub(m.Since) > balancerReaddTime
 	}
-	return m.StopsSince.Sub(stopping) > minStopLag
+	return m.StopsSince.Sub(stoppingSince) > minStopLag
 }
--- a/internal/gateway/storereads.go
+++ b/internal/gateway/storereads.go
@@ -6,76 +6,75 @@
 )
 
 const (
-	// Ages of the copy of the targets from which a process reads the store. The
-	// first entry reads, the second when the first is late, and so on: one of them
-	// keeps all others up to date through their heartbeats.
+	// A process reads the target list from the store when its replica is older than this. The
+	// first entry in name order reads regularly; the others only step in if it fails, and
+	// otherwise learn of changes through heartbeats.
 	firstEntryReadAge   = 450 * time.Millisecond
 	secondEntryReadAge  = 800 * time.Millisecond
 	otherEntriesReadAge = 1100 * time.Millisecond
 	sidecarReadAge      = 2500 * time.Millisecond
-	// The same in large fleets, in which it takes two or three heartbeats until word that
-	// the list was read has reached all.
+	// The same in large fleets, where a change takes two or three heartbeats to reach all
+	// processes.
 	largeSecondEntryReadAge  = 1300 * time.Millisecond
 	largeOtherEntriesReadAge = 2500 * time.Millisecond
 	largeSidecarReadAge      = 5 * time.Second
-	// sidecarDeclarationsReadAge is the same for what operators declare.
+	// sidecarDeclarationsReadAge is the same for sidecars and the declarations.
 	sidecarDeclarationsReadAge = 3 * time.Second
 )
 
-// maxPeerWait is how long a process that has just started waits for the copies of
-// others before it reads the store itself. Were all to read, a start of the fleet would
-// take four calls of each process at once.
+// maxPeerWait is how long a new process waits for its peers' replicas before it reads the
+// store itself. This limits the load on the store when the whole fleet starts.
 const maxPeerWait = 3 * time.Second
 
-// shouldAwaitPeers reports whether this process leaves its first read to others. Entries do
-// not while callers wait for them, nor do those that the others turn to first.
-func (b *clusterState) shouldAwaitPeers(currentAt time.Time) bool {
-	if !currentAt.IsZero() || b.clock.Now().Sub(b.startedAt) > maxPeerWait || b.isSeed() {
+// shouldAwaitPeers reports whether this process should get its first replica from a peer.
+// Seeds should not, nor should entries that may already have callers.
+func (c *clusterState) shouldAwaitPeers(currentAt time.Time) bool {
+	if !currentAt.IsZero() || c.clock.Now().Sub(c.startedAt) > maxPeerWait || c.isSeed() {
 		return false
 	}
-	return !b.isEntry() || b.settings.FirstStart
+	return !c.isEntry() || c.settings.FirstStart
 }
 
-// isSeed reports whether this process's host is one of those that others turn to first;
-// all are when none is named.
-func (b *clusterState) isSeed() bool {
-	seeds := b.settings.seedHosts()
-	return len(seeds) == 0 || slices.Contains(seeds, b.settings.meshAddress().Addr())
+// isSeed reports whether this process runs on a seed host. Without configured seeds all
+// processes count as seeds.
+func (c *clusterState) isSeed() bool {
+	seeds := c.settings.seedHosts()
+	return len(seeds) == 0 || slices.Contains(seeds, c.settings.meshAddress().Addr())
 }
 
-// declarationReaders is how many entries of a large fleet wait at the store for what
-// operators declare. All others hear of it from them, within some 100 ms. Were all to
-// wait, each change would bring as many calls to the store as there are entries.
+// declarationReaders is how many entries of a large fleet long-poll the store for
+// declarations. The other processes learn of changes from them. This limits the number of
+// store calls for each change.
 const declarationReaders = 6
 
-// longPollsDeclarations reports whether this process waits at the store for what operators
-// declare.
-func (b *clusterState) longPollsDeclarations() bool {
-	return b.isEntry() && (!b.large.Load() || b.entryRank() < declarationReaders)
+// longPollsDeclarations reports whether this process long-polls the store for declarations.
+func (c *clusterState) longPollsDeclarations() bool {
+	return c.isEntry() && (!c.large.Load() || c.entryRank() < declarationReaders)
 }
 
-// shouldReadDeclarations reports whether this process reads what operators declare.
-func (b *clusterState) shouldReadDeclarations(currentAt time.Time) bool {
-	if b.shouldAwaitPeers(currentAt) {
+// shouldReadDeclarations reports whether this process should read the declarations now.
+func (c *clusterState) shouldReadDeclarations(currentAt time.Time) bool {
+	if c.shouldAwaitPeers(currentAt) {
 		return false
 	}
-	return b.longPollsDeclarations() || b.clock.Now().Sub(currentAt) > sidecarDeclarationsReadAge
+	return c.longPollsDeclarations() || c.clock.Now().Sub(currentAt) > sidecarDeclarationsReadAge
 }
 
-// shouldReadTargets reports whether this process reads the list of targets now.
-func (b *clusterState) shouldReadTargets(currentAt time.Time) bool {
-	return !b.shouldAwaitPeers(currentAt) && b.clock.Now().Sub(currentAt) > b.targetsReadAge()
+// shouldReadTargets reports whether this process should read the target list now.
+func (c *clusterState) shouldReadTargets(currentAt time.Time) bool {
+	return !c.shouldAwaitPeers(currentAt) && c.clock.Now().Sub(currentAt) > c.targetsReadAge()
 }
 
-// targetsReadAge is the age of the copy of the targets at which this process reads.
-func (b *clusterState) targetsReadAge() time.Duration {
-	if b.large.Load() {
-		return b.largeTargetsReadAge()
+// targetsReadAge returns the age of the replica of the target list at which this process
+// reads the store.
+func (c *clusterState) targetsReadAge() time.Duration {
+	if c.large.Load() {
+		return c.largeTargetsReadAge()
 	}
-	if !b.isEntry() {
+	if !c.isEntry() {
 		return sidecarReadAge
 	}
-	switch b.entryRank() {
+	switch c.entryRank() {
 	case 0:
 		return firstEntryReadAge
 	case 1:
@@ -85,11 +84,11 @@
 	}
 }
 
-func (b *clusterState) largeTargetsReadAge() time.Duration {
-	if !b.isEntry() {
+func (c *clusterState) largeTargetsReadAge() time.Duration {
+	if !c.isEntry() {
 		return largeSidecarReadAge
 	}
-	switch b.entryRank() {
+	switch c.entryRank() {
 	case 0:
 		return firstEntryReadAge
 	case 1:
@@ -99,11 +98,11 @@
 	}
 }
 
-// entryRank is how many living entries come before this one in the order of names.
-func (b *clusterState) entryRank() int {
+// entryRank returns the number of live entries whose names sort before this one's.
+func (c *clusterState) entryRank() int {
 	before := 0
-	for _, m := range b.mesh.Live(true) {
-		if m.Name < b.settings.Name && !m.Leaving {
+	for _, m := range c.mesh.Live(true) {
+		if m.Name < c.settings.Name && !m.Leaving {
 			before++
 		}
 	}
--- a/internal/gateway/syncstate.go
+++ b/internal/gateway/syncstate.go
@@ -7,68 +7,68 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/view"
 )
 
-// syncState is how far this process has followed the list of targets.
-func (b *clusterState) syncState(now time.Time) fleet.Following {
-	c := b.targets.Copy()
+// syncState returns how completely this process has followed the target list.
+func (c *clusterState) syncState(now time.Time) fleet.Following {
+	replica := c.targets.Copy()
 	f := fleet.Following{
-		Started: b.startedAt, Since: c.FollowedSince(), OutageBegan: c.OutageBegin(), OutageEnded: c.OutageEnd(),
-		Current: now.Sub(c.CurrentAt()) <= b.targetsReadAge()+outageGap,
+		Started: c.startedAt, Since: replica.FollowedSince(), OutageBegan: replica.OutageBegin(), OutageEnded: replica.OutageEnd(),
+		Current: now.Sub(replica.CurrentAt()) <= c.targetsReadAge()+outageGap,
 	}
-	if first := c.FirstCurrentAt(); first.Sub(b.startedAt) > outageGap {
-		f.Started = first // the store was away at the start
+	if first := replica.FirstCurrentAt(); first.Sub(c.startedAt) > outageGap {
+		f.Started = first // the store was unavailable at startup
 	}
 	return f
 }
 
-// logOutage logs the end of a time without word of the list, in which entries of living
-// targets may have lapsed.
-func (b *clusterState) logOutage(f fleet.Following) {
-	if f.OutageEnded.After(b.loggedOutageEnd) {
-		b.logger.Info("list_regained", "without_for", f.OutageEnded.Sub(f.OutageBegan), "end", b.targets.Copy().End())
+// logOutage logs the end of a store outage, during which records of live targets may have
+// expired.
+func (c *clusterState) logOutage(f fleet.Following) {
+	if f.OutageEnded.After(c.loggedOutageEnd) {
+		c.logger.Info("list_regained", "without_for", f.OutageEnded.Sub(f.OutageBegan), "end", c.targets.Copy().End())
 	}
-	b.loggedOutageEnd = f.OutageEnded
+	c.loggedOutageEnd = f.OutageEnded
 }
 
-// logUnlisted logs the reported lives that the list lacks and whether they are used. Before
-// the first copy of the list it lacks all of them, which is not said.
-func (b *clusterState) logUnlisted(v *view.View, unlisted map[fleet.Life]fleet.Standing) {
-	if b.targets.Copy().FollowedSince().IsZero() {
+// logUnlisted logs reported incarnations that are missing from the target list when their
+// state changes. Nothing is logged before the first replica of the list.
+func (c *clusterState) logUnlisted(v *view.View, unlisted map[fleet.Life]fleet.Standing) {
+	if c.targets.Copy().FollowedSince().IsZero() {
 		return
 	}
-	for life, standing := range unlisted {
-		if before, known := b.unlisted[life]; known && before == standing {
+	for incarnation, state := range unlisted {
+		if before, known := c.unlisted[incarnation]; known && before == state {
 			continue
 		}
-		word := v.Engines[life]
-		b.logger.Info("target_unlisted", "target", life, "outcome", standing.String(), "began_within", b.age(word.BeganAfter), "word_age", b.age(word.HeardAt),
-			"list_age", b.age(v.ListedAt), "list_followed_for", b.age(b.targets.Copy().FollowedSince()), "started", b.age(b.startedAt))
+		report := v.Engines[incarnation]
+		c.logger.Info("target_unlisted", "target", incarnation, "outcome", state.String(), "began_within", c.age(report.BeganAfter), "word_age", c.age(report.HeardAt),
+			"list_age", c.age(v.ListedAt), "list_followed_for", c.age(c.targets.Copy().FollowedSince()), "started", c.age(c.startedAt))
 	}
-	b.unlisted = unlisted
+	c.unlisted = unlisted
 }
 
-// age is how long ago something was, for the log.
-func (b *clusterState) age(at time.Time) string {
-	if at.IsZero() {
+// age formats the time since t for the log.
+func (c *clusterState) age(t time.Time) string {
+	if t.IsZero() {
 		return "never"
 	}
-	return b.clock.Now().Sub(at).Round(time.Millisecond).String()
+	return c.clock.Now().Sub(t).Round(time.Millisecond).String()
 }
 
-// reportedTargets are the engines that their sidecars report.
-func reportedTargets(words map[fleet.Life]view.EngineWord) []fleet.Living {
-	all := make([]fleet.Living, 0, len(words))
-	for life, w := range words {
+// reportedTargets converts the sidecars' reports.
+func reportedTargets(reports map[fleet.Life]view.EngineWord) []fleet.Living {
+	all := make([]fleet.Living, 0, len(reports))
+	for incarnation, r := range reports {
 		all = append(all, fleet.Living{
-			Life: life, Service: w.Service, Address: w.Address, Zone: w.Zone, Weights: w.Weights, BeganAfter: w.BeganAfter, HeardAt: w.HeardAt,
+			Life: incarnation, Service: r.Service, Address: r.Address, Zone: r.Zone, Weights: r.Weights, BeganAfter: r.BeganAfter, HeardAt: r.HeardAt,
 		})
 	}
 	return all
 }
 
-// listedAt is the time of what the copy of the list shows.
-func (b *clusterState) listedAt() time.Time {
-	if at := b.targets.Copy().CurrentAt(); !at.IsZero() {
+// listedAt returns the time at which the replica of the target list was current.
+func (c *clusterState) listedAt() time.Time {
+	if at := c.targets.Copy().CurrentAt(); !at.IsZero() {
 		return at
 	}
-	return b.clock.Now()
+	return c.clock.Now()
 }
