--- a/internal/gateway/cachefollowers_test.go
+++ b/internal/gateway/cachefollowers_test.go
@@ -34,7 +34,7 @@
 	heartbeat := &peerv1.Beat{Name: "side-availability-zone-12", Zone: "availability-zone-12", Cache: cacheState(&holdings.Follower{Name: "i-1@1700000000123"}, cached)}
 	const maxSize = 1200 // leaves space in mesh.MaxDatagram for the engine state, topics and members
 	if size := proto.Size(heartbeat); size > maxSize {
-		t.Errorf("heartbeat takes %d bytes, at most %d allowed", size, maxSize)
+		t.Errorf("heartbeat takes %d bytes", size)
 	}
 }
 
--- a/internal/gateway/clusterstate.go
+++ b/internal/gateway/clusterstate.go
@@ -77,14 +77,15 @@
 	// rejectedListings holds the error of each invalid record of the target list.
 	rejectedListings map[string]string
 	stopping         bool
-	// These are set when the process begins to stop. The latter two are published in the view.
+	// These are set when the process begins to stop. From selectiveFrom on, only requests that
+	// end before shutdownAt are accepted.
 	stoppingSince, selectiveFrom, shutdownAt time.Time
 	view                                     blackboard.Fact[*view.View]
-	// onViewChange is onCall after each new view, onEstateChange for each new version of the
+	// onViewChange is called after each new view, onEstateChange for each new version of the
 	// estate.
 	onViewChange   func()
 	onEstateChange func(version int64)
-	// onListingRejected is onCall for each invalid record of the target list.
+	// onListingRejected is called for each invalid record of the target list.
 	onListingRejected func()
 }
 
--- a/internal/gateway/enginereports.go
+++ b/internal/gateway/enginereports.go
@@ -11,7 +11,8 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/weights"
 )
 
-// phases maps the phases on the wire. Unresponsive engines are handled separately.
+// phases maps phases on the wire to weights phases. Unresponsive engines are handled
+// separately.
 var phases = map[peerv1.EnginePhase]weights.Phase{
 	peerv1.EnginePhase_ENGINE_PHASE_SERVING:  weights.Serving,
 	peerv1.EnginePhase_ENGINE_PHASE_LOADING:  weights.Loading,
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -40,7 +40,7 @@
 	quarantine *quarantineSync
 	// cacheReportedAt is when the last report of each cache was received.
 	cacheReportedAt map[fleet.ID]time.Time
-	// probes probes sidecars; nil if probes are disabled.
+	// probes sends probes to sidecars; nil if probes are disabled.
 	probes *probe.Client
 	// limits enforces the rate limits of workspaces; nil if they are disabled.
 	limits *limits
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -36,7 +36,8 @@
 	// topic replicas.
 	largeEntryHeartbeatPeriod = 400 * time.Millisecond
 	largeHeartbeatPeriod      = time.Second
-	peerIdleTimeout           = 5 * time.Second
+	// peerIdleTimeout is how long idle connections to peers are kept open.
+	peerIdleTimeout = 5 * time.Second
 )
 
 // process is a running entry or sidecar.
--- a/internal/gateway/quarantinesync.go
+++ b/internal/gateway/quarantinesync.go
@@ -74,9 +74,9 @@
 }
 
 const (
-	// probationStagger is the delay between the probation runs that two entries of adjacent
-	// rank may start. By then an entry has received the announcement of the earlier run.
-	// maxProbationDelay limits the delay in large fleets.
+	// probationStagger is how much later than the preceding entry an entry may start the
+	// probation run of a request. By then it has received the announcement of an earlier run.
+	// maxProbationDelay limits the total delay in large fleets.
 	probationStagger  = 200 * time.Millisecond
 	maxProbationDelay = 3 * time.Second
 )
@@ -237,9 +237,9 @@
 	return s.registry.Merge(quarantine.FromMessage(m, now), false, now)
 }
 
-// storeFindings stores the records of requests that have been held since the last call, and
-// deletes those of requests that may run again. Findings that do not result from a crash
-// seen by this process are stored by the first entry only.
+// storeFindings stores the records of requests that have been held or refused since the
+// last call, and deletes those of requests that may run again. Findings that do not result
+// from a crash seen by this process are stored by the first entry only.
 func (s *quarantineSync) storeFindings() {
 	for _, change := range s.observer.takeChanges() {
 		s.process.loop.Post(func() {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -31,8 +31,9 @@
 
 // Stop shuts the process down gracefully. The entry becomes unready at once, but accepts
 // connections until the load balancer has stopped sending them and another entry accepts
-// callers. Then it closes the port and waits for running requests. Requests that end within
-// the grace period are not interrupted.
+// callers; meanwhile it asks callers to use other connections. Then it closes the port and
+// waits for running requests. Requests that end within the grace period are not
+// interrupted.
 func (p *process) Stop() {
 	p.logger.Info("stopping")
 	ctx, cancel := context.WithTimeout(context.Background(), p.settings.stopTimeout())
