--- a/cmd/toucanwell/replay.go
+++ b/cmd/toucanwell/replay.go
@@ -141,15 +141,15 @@
 		var err error
 		switch key {
 		case "waste":
-			weighing.WasteFactor, err = parseFactors(value)
+			weighing.PrefillWeight, err = parseFactors(value)
 		case "price":
-			weighing.BusyPrice, err = strconv.ParseFloat(value, 64)
+			weighing.BusyPenalty, err = strconv.ParseFloat(value, 64)
 		case "power":
-			weighing.BusyPower, err = strconv.ParseFloat(value, 64)
+			weighing.BusyExponent, err = strconv.ParseFloat(value, 64)
 		case "miss":
-			weighing.Miss, err = time.ParseDuration(value)
+			weighing.AcceptablePrefill, err = time.ParseDuration(value)
 		case "content":
-			weighing.Content, err = time.ParseDuration(value)
+			weighing.AcceptableWait, err = time.ParseDuration(value)
 		case "rounds":
 			weighing.Rounds, err = parseRounds(value)
 		case "oracle":
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -167,7 +167,7 @@
 
 // Abandon takes out a waiting request whose caller has gone. It reports
 // whether the request was waiting.
-func (q *Queue) Abandon(id uint64) bool {
+func (q *Queue) Cancel(id uint64) bool {
 	for c := range q.queued {
 		for i, it := range q.queued[c] {
 			if it.ID == id {
@@ -408,7 +408,7 @@
 		}
 	}
 	if victim.ID != it.ID {
-		q.Abandon(victim.ID)
+		q.Cancel(victim.ID)
 	}
 	retry := q.spread(max(q.waitOf(now, victim)/2, minRetry), victim.ID)
 	refusal := errkind.After(errkind.Overloaded, retry, "%d requests wait", q.limits.MaxQueued)
--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -29,17 +29,17 @@
 // Policy holds the thresholds.
 type Policy struct {
 	// Failures in a row that open the breaker.
-	Failures int
+	ConsecutiveFailures int
 	// OpenFor is the rest after opening.
 	OpenFor time.Duration
 	// Probes may run at once while half open.
-	Probes int
+	MaxProbes int
 	// ProbeTimeout frees a probe's place when its result never comes.
 	ProbeTimeout time.Duration
 }
 
 // DefaultPolicy is in force unless another is set.
-var DefaultPolicy = Policy{Failures: 5, OpenFor: 2 * time.Second, Probes: 1, ProbeTimeout: 10 * time.Second}
+var DefaultPolicy = Policy{ConsecutiveFailures: 5, OpenFor: 2 * time.Second, MaxProbes: 1, ProbeTimeout: 10 * time.Second}
 
 // State of a breaker.
 type State int
@@ -90,7 +90,7 @@
 		return Permit{}, false, b.openUntil
 	case HalfOpen:
 		b.dropExpiredProbes(now)
-		if len(b.probes) >= b.policy.Probes {
+		if len(b.probes) >= b.policy.MaxProbes {
 			return Permit{}, false, b.earliestExpiry()
 		}
 	}
@@ -109,7 +109,7 @@
 		return b.openUntil, true
 	case HalfOpen:
 		b.dropExpiredProbes(now)
-		if len(b.probes) >= b.policy.Probes {
+		if len(b.probes) >= b.policy.MaxProbes {
 			return b.earliestExpiry(), true
 		}
 	}
@@ -131,7 +131,7 @@
 		}
 	case Failure:
 		b.failures++
-		if b.state == HalfOpen || b.failures >= b.policy.Failures {
+		if b.state == HalfOpen || b.failures >= b.policy.ConsecutiveFailures {
 			b.openUntil = now + b.policy.OpenFor
 			b.enter(Open)
 		}
--- a/internal/breaker/breaker_test.go
+++ b/internal/breaker/breaker_test.go
@@ -11,7 +11,7 @@
 func TestLateResultOfAnEarlierGenerationChangesNothing(t *testing.T) {
 	b := New(DefaultPolicy)
 	late, _, _ := b.Acquire(0)
-	for range DefaultPolicy.Failures {
+	for range DefaultPolicy.ConsecutiveFailures {
 		p, ok, _ := b.Acquire(0)
 		if !ok {
 			t.Fatal("closed breaker refused")
@@ -38,7 +38,7 @@
 // After its rest the breaker lets one probe through. A neutral result frees the
 // place without closing; a lost one frees it by its timeout.
 func TestHalfOpenLetsOneProbeThrough(t *testing.T) {
-	b := New(Policy{Failures: 1, OpenFor: time.Second, Probes: 1, ProbeTimeout: 5 * time.Second})
+	b := New(Policy{ConsecutiveFailures: 1, OpenFor: time.Second, MaxProbes: 1, ProbeTimeout: 5 * time.Second})
 	p, _, _ := b.Acquire(0)
 	b.Complete(0, p, Failure)
 	probe, ok, _ := b.Acquire(time.Second)
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -207,7 +207,7 @@
 // which see different ones fail still agree; one that cannot be reached is tried
 // next.
 func pinned(targets []routing.Target, workspace, service, key string, avoid map[string]bool) (routing.Target, bool) {
-	hash := once.SlotKey(service, once.NewKey(workspace, service, key, 0, 0).Slot)
+	hash := once.SlotHash(service, once.NewKey(workspace, service, key, 0, 0).Slot)
 	best := -1
 	var score uint64
 	for i := range targets {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -66,7 +66,7 @@
 	burn     *burn.Counter
 	peers    *http.Client
 	prober   *probe.Client
-	place    routing.Place
+	place    routing.Location
 	clients  sync.Map // address to peerv1.GateClient
 	inFlight atomic.Int64
 	handler  http.Handler
@@ -91,7 +91,7 @@
 		settings: s, logger: d.Logger, metrics: d.Metrics, hosts: d.Hosts,
 		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.Control), health: newHealth(time.Now),
 		budget: retry.NewBudget(), burn: burn.NewCounter(time.Now), peers: d.Peers, prober: d.Prober,
-		place: routing.Place{Zone: s.AvailabilityZone, Region: s.Region},
+		place: routing.Location{Zone: s.AvailabilityZone, Region: s.Region},
 	}
 	e.follower = configlog.NewFollower(e.loop, d.Log, &e.board.Config, configlog.FollowerOptions{
 		Address: s.AdminListen, Peers: s.Peers, LogPolls: s.Timing.LogPolls, SyncPeriod: s.Timing.SyncPeriod.Duration,
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -25,7 +25,7 @@
 // choice is a routing decision with its reason.
 type choice struct {
 	target routing.Target
-	quote  routing.Quote
+	quote  routing.Estimate
 	// probes sent, and rounds made.
 	probes int
 	rounds int
@@ -44,7 +44,7 @@
 	}
 	policy := &routing.DefaultPolicy
 	var answers []answer
-	var quotes []routing.Quote
+	var quotes []routing.Estimate
 	asked := 0
 	made := choice{}
 	for _, upTo := range policy.Rounds {
@@ -100,7 +100,7 @@
 
 // answer is what one probe brought.
 type answer struct {
-	quote   routing.Quote
+	quote   routing.Estimate
 	matched int
 	refusal *errkind.Error
 }
@@ -152,7 +152,7 @@
 // unanswered stands for a probe that has brought nothing.
 func unanswered(target *routing.Target, index int) answer {
 	return answer{
-		quote:   routing.Quote{Index: index, Refused: true},
+		quote:   routing.Estimate{Index: index, Refused: true},
 		refusal: errkind.After(errkind.NoTarget, suspectFor, "%s does not answer", target.Name),
 	}
 }
@@ -173,12 +173,12 @@
 func (e *Entry) probe(target *routing.Target, index int, request *peerv1.ProbeRequest) answer {
 	ctx, cancel := background(probeTimeout)
 	defer cancel()
-	m, err := e.prober.Ask(ctx, target.Probe, request)
+	m, err := e.prober.Probe(ctx, target.ProbeAddr, request)
 	if err != nil {
 		e.health.note(target.Name, routing.Suspect)
 		return unanswered(target, index)
 	}
-	a := answer{quote: routing.Quote{Index: index, Distance: e.distance(target)}}
+	a := answer{quote: routing.Estimate{Index: index, RoundTrip: e.distance(target)}}
 	e.follower.Hint(m.ConfigVersion, target.Address)
 	if kind := errkind.Kind(m.RefusalKind); kind != errkind.None {
 		e.noteRefusal(target.Name, kind)
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -54,7 +54,7 @@
 	if v.Estate == nil {
 		return 0, "", false
 	}
-	return v.Estate.Version, string(v.EstateText), true
+	return v.Estate.Version, string(v.RawEstate), true
 }
 
 // ready reports whether an entry can serve callers, or a sidecar has received the estate.
@@ -90,7 +90,7 @@
 	switch {
 	case t.Leaving:
 		return oas.TargetStateLeaving
-	case t.Doubtful || v.Silent[t.Address]:
+	case t.Unconfirmed || v.Unresponsive[t.Address]:
 		return oas.TargetStateSuspect
 	default:
 		return oas.TargetStateLive
@@ -157,12 +157,12 @@
 
 func fillRating(c *oas.PlacementCandidate, candidate *placement.Candidate, r *placement.Rating) {
 	milliseconds := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, milliseconds(r.Choice.Wait), milliseconds(r.Choice.Read), milliseconds(r.Choice.Fetch)
-	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.Held, r.Choice.Fetched, candidate.Work.Running, candidate.Version
-	if r.Filtered != "" {
-		c.Filtered = oas.NewOptString(r.Filtered)
+	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, milliseconds(r.Choice.Wait), milliseconds(r.Choice.Prefill), milliseconds(r.Choice.Fetch)
+	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.CachedTokens, r.Choice.FetchedTokens, candidate.Work.Running, candidate.Version
+	if r.FilterReason != "" {
+		c.Filtered = oas.NewOptString(r.FilterReason)
 	}
-	for mark, set := range map[string]bool{"rested": candidate.Rested, "emptying": candidate.Emptying, "other zone": !candidate.Near, "loads soon": candidate.Loads, "old weights": candidate.Behind > 0} {
+	for mark, set := range map[string]bool{"rested": candidate.Ejected, "emptying": candidate.Draining, "other zone": !candidate.SameZone, "loads soon": candidate.LoadScheduled, "old weights": candidate.StaleFor > 0} {
 		if set {
 			c.Marks = append(c.Marks, mark)
 		}
--- a/internal/gateway/adminlimits.go
+++ b/internal/gateway/adminlimits.go
@@ -15,13 +15,13 @@
 		return nil
 	}
 	limiter := p.entry.limits.limiter
-	uses, share := limiter.Uses()
-	byName := make(map[string]ratelimit.Use, len(uses))
+	uses, share := limiter.Stats()
+	byName := make(map[string]ratelimit.BucketStats, len(uses))
 	for _, u := range uses {
 		byName[u.Workspace] = u
 	}
 	var all []oas.WorkspaceLimit
-	for _, w := range v.Estate.Limited() {
+	for _, w := range v.Estate.RateLimited() {
 		row := oas.WorkspaceLimit{
 			Workspace: w.Name, Unit: oas.WorkspaceLimitUnit(w.Rate.Unit.String()), PerSecond: w.Rate.PerSecond, Burst: w.Rate.Burst,
 			Coordinator: limiter.Coordinator(w.Name).String(),
--- a/internal/gateway/adminquarantine.go
+++ b/internal/gateway/adminquarantine.go
@@ -13,10 +13,10 @@
 	var all []oas.QuarantinedRequest
 	for _, l := range p.entry.quarantine.registry.List(now) {
 		row := oas.QuarantinedRequest{
-			Print: l.Print.String(), Verdict: oas.QuarantinedRequestVerdict(l.Verdict.String()), Ends: l.Standing.Ends, Targets: []string{}, Served: l.Served,
+			Print: l.Fingerprint.String(), Verdict: oas.QuarantinedRequestVerdict(l.Verdict.String()), Ends: l.Status.Crashes, Targets: []string{}, Served: l.Served,
 			Workspace: l.Workspace, Route: l.Route, ChangedMsAgo: now.Sub(l.ChangedAt()).Milliseconds(),
 		}
-		for _, e := range l.Record.Ends {
+		for _, e := range l.Record.Crashes {
 			row.Targets = append(row.Targets, strconv.FormatUint(uint64(e.Target), 16))
 		}
 		if l.Verdict == quarantine.Refused {
@@ -30,5 +30,5 @@
 // releaseRequest releases the request with a hexadecimal fingerprint from quarantine.
 func (p *process) releaseRequest(text string) bool {
 	fingerprint, err := strconv.ParseUint(text, 16, 64)
-	return err == nil && p.entry.quarantine.release(quarantine.Print(fingerprint))
+	return err == nil && p.entry.quarantine.release(quarantine.Fingerprint(fingerprint))
 }
--- a/internal/gateway/cachefollowers.go
+++ b/internal/gateway/cachefollowers.go
@@ -43,7 +43,7 @@
 type cacheFollowers struct {
 	process     *process
 	engine      *holdings.Follower
-	incarnation fleet.Life
+	incarnation fleet.Incarnation
 	stores      map[netip.AddrPort]*holdings.Follower
 	announcing  map[*holdings.Follower]bool
 	announcedTo map[netip.AddrPort]uint64
@@ -67,7 +67,7 @@
 }
 
 // followEngine follows the cache of the engine's current incarnation.
-func (c *cacheFollowers) followEngine(address netip.AddrPort, incarnation fleet.Life) {
+func (c *cacheFollowers) followEngine(address netip.AddrPort, incarnation fleet.Incarnation) {
 	if incarnation.Instance == "" || incarnation == c.incarnation {
 		return
 	}
@@ -93,16 +93,16 @@
 
 func (c *cacheFollowers) follow(address netip.AddrPort, name string, capacity int) *holdings.Follower {
 	var f *holdings.Follower
-	f = holdings.Follow(name, c.process.loop, c.process.platform.Cache(address), holdings.NewCache(capacity), c.pollInterval, func() { c.announceSoon(f) }, c.process.logger)
+	f = holdings.Follow(name, c.process.loop, c.process.platform.Cache(address), holdings.NewContents(capacity), c.pollInterval, func() { c.announceSoon(f) }, c.process.logger)
 	return f
 }
 
 // pollInterval returns the minimum time between two calls to a cache.
 func (c *cacheFollowers) pollInterval() time.Duration {
 	if c.process.state.large.Load() {
-		return holdings.GatherTimeAsked
+		return holdings.LocalPollInterval
 	}
-	return holdings.GatherTime
+	return holdings.BroadcastPollInterval
 }
 
 // assignStores starts and stops following stores according to the current assignment.
@@ -164,7 +164,7 @@
 		return
 	}
 	for {
-		cached := f.Cache.TakeChanged(maxPartsPerDatagram)
+		cached := f.Contents.TakeUpdates(maxPartsPerDatagram)
 		if len(cached) == 0 {
 			return
 		}
@@ -186,25 +186,25 @@
 	return all
 }
 
-func (c *cacheFollowers) announce(f *holdings.Follower, cached []holdings.Held) {
+func (c *cacheFollowers) announce(f *holdings.Follower, cached []holdings.CachedPart) {
 	if len(cached) == 0 {
 		return
 	}
 	if f == c.engine {
 		for _, part := range cached {
-			c.process.sidecar.tracker.Learn(part.Part, part.Tokens)
+			c.process.sidecar.tracker.SetCached(part.Part, part.Tokens)
 		}
 	}
 	if c.process.state.large.Load() {
 		return
 	}
-	c.process.state.mesh.TellEntries(func(heartbeat *peerv1.Beat) { heartbeat.Cache = cacheState(f, cached) })
+	c.process.state.mesh.BroadcastToEntries(func(heartbeat *peerv1.Beat) { heartbeat.Cache = cacheState(f, cached) })
 }
 
 // reannounce announces the next slice of each cache again.
 func (c *cacheFollowers) reannounce() {
 	for _, f := range c.all() {
-		c.announce(f, f.Cache.Repeat(min(f.Cache.Len()/reannounceSlices+1, maxPartsPerDatagram)))
+		c.announce(f, f.Contents.NextRefresh(min(f.Contents.Len()/reannounceSlices+1, maxPartsPerDatagram)))
 	}
 }
 
@@ -215,13 +215,13 @@
 	}
 	c.announcedTo[m.Address] = m.Incarnation
 	for _, f := range c.all() {
-		for cached := range slices.Chunk(f.Cache.All(maxPartsToNewEntry), maxPartsPerDatagram) {
-			c.process.state.mesh.TellMember(m.Address, func(heartbeat *peerv1.Beat) { heartbeat.Cache = cacheState(f, cached) })
+		for cached := range slices.Chunk(f.Contents.List(maxPartsToNewEntry), maxPartsPerDatagram) {
+			c.process.state.mesh.SendTo(m.Address, func(heartbeat *peerv1.Beat) { heartbeat.Cache = cacheState(f, cached) })
 		}
 	}
 }
 
-func cacheState(f *holdings.Follower, cached []holdings.Held) *peerv1.CacheState {
+func cacheState(f *holdings.Follower, cached []holdings.CachedPart) *peerv1.CacheState {
 	state := &peerv1.CacheState{Cache: uint32(fleet.IDOf(f.Name))}
 	for _, part := range cached {
 		state.Parts = append(state.Parts, uint32(part.Part))
--- a/internal/gateway/cachefollowers_test.go
+++ b/internal/gateway/cachefollowers_test.go
@@ -16,10 +16,10 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/probe"
 )
 
-func cachedParts(n int) []holdings.Held {
-	var cached []holdings.Held
+func cachedParts(n int) []holdings.CachedPart {
+	var cached []holdings.CachedPart
 	for i := range n {
-		cached = append(cached, holdings.Held{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
+		cached = append(cached, holdings.CachedPart{Part: parts.KeyOf("1.m.7.town", fmt.Sprintf("part-%d", i)), Tokens: 3000 + i})
 	}
 	return cached
 }
@@ -40,27 +40,27 @@
 
 // Cache reports and work must survive encoding and decoding.
 func TestAnnouncedStateRoundTrips(t *testing.T) {
-	e := &entry{parts: parts.NewBook(), cacheReportedAt: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
+	e := &entry{parts: parts.NewIndex(), cacheReportedAt: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
 	cached := cachedParts(3)
 	now := time.Unix(1000, 0)
-	e.applyCacheReport(&mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, cached)}}, now)
+	e.applyCacheReport(&mesh.Member{Heartbeat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, cached)}}, now)
 	for _, part := range cached {
-		if got := e.parts.At(part.Part, part.Tokens, fleet.IDOf("c"), now); got != parts.Held {
+		if got := e.parts.StateAt(part.Part, part.Tokens, fleet.IDOf("c"), now); got != parts.Cached {
 			t.Errorf("part %d: state %v, want Held", part.Part, got)
 		}
 	}
-	work := ledger.Work{Running: 3, Reading: ledger.Lane(7, 250*time.Millisecond), Memory: ledger.Lane(2, 90_000)}
-	work.Reading[0] = time.Second
-	if got := probe.WorkIn(probe.LoadOut(1, work)); got != work {
+	work := ledger.Work{Running: 3, Prefill: ledger.AtPriority(7, 250*time.Millisecond), Memory: ledger.AtPriority(2, 90_000)}
+	work.Prefill[0] = time.Second
+	if got := probe.DecodeLoad(probe.EncodeLoad(1, work)); got != work {
 		t.Errorf("work %+v, want %+v", got, work)
 	}
 }
 
 // BenchmarkApplyCacheReport measures the cost per part of applying a cache report at an entry.
 func BenchmarkApplyCacheReport(b *testing.B) {
-	e := &entry{parts: parts.NewBook(), cacheReportedAt: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
-	member := &mesh.Member{Beat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, cachedParts(maxPartsPerDatagram))}}
-	b.ReportMetric(float64(proto.Size(member.Beat))/maxPartsPerDatagram, "bytes/part")
+	e := &entry{parts: parts.NewIndex(), cacheReportedAt: map[fleet.ID]time.Time{fleet.IDOf("c"): time.Unix(1000, 0)}}
+	member := &mesh.Member{Heartbeat: &peerv1.Beat{Cache: cacheState(&holdings.Follower{Name: "c"}, cachedParts(maxPartsPerDatagram))}}
+	b.ReportMetric(float64(proto.Size(member.Heartbeat))/maxPartsPerDatagram, "bytes/part")
 	for b.Loop() {
 		e.applyCacheReport(member, time.Unix(1000, 0))
 	}
@@ -74,10 +74,10 @@
 	for i := range 200 {
 		page.Changes = append(page.Changes, holdings.Change{Scope: "1.m.7.town", Part: fmt.Sprintf("part-%d", i), Tokens: 3000})
 	}
-	cache := holdings.NewCache(0)
+	cache := holdings.NewContents(0)
 	for b.Loop() {
 		cache.Apply(page)
-		cache.TakeChanged(len(page.Changes))
+		cache.TakeUpdates(len(page.Changes))
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(len(page.Changes)), "ns/change")
 }
--- a/internal/gateway/clusterstate.go
+++ b/internal/gateway/clusterstate.go
@@ -56,9 +56,9 @@
 	// rawEstate is the record that the estate was decoded from.
 	rawEstate     []byte
 	wantedWeights map[string]weights.History
-	engineReports map[fleet.Life]view.EngineWord
+	engineReports map[fleet.Incarnation]view.EngineReport
 	// unlisted are the reported incarnations that are missing from the target list.
-	unlisted        map[fleet.Life]fleet.Standing
+	unlisted        map[fleet.Incarnation]fleet.UnlistedState
 	loggedOutageEnd time.Time
 	// unresponsive holds the time of the last report of each unresponsive engine.
 	unresponsive map[netip.AddrPort]time.Time
@@ -92,16 +92,16 @@
 func newClusterState(s *Settings, p Platform, loop *control.Loop, clock *hostclock.Clock, logger logr.Logger, peers *http.Client, onCall func(string, time.Duration, error)) *clusterState {
 	c := &clusterState{
 		settings: s, platform: p, loop: loop, clock: clock, logger: logger, peers: peers,
-		directory: fleet.NewDirectory(), wantedWeights: map[string]weights.History{}, engineReports: map[fleet.Life]view.EngineWord{}, unlisted: map[fleet.Life]fleet.Standing{}, unresponsive: map[netip.AddrPort]time.Time{},
+		directory: fleet.NewDirectory(), wantedWeights: map[string]weights.History{}, engineReports: map[fleet.Incarnation]view.EngineReport{}, unlisted: map[fleet.Incarnation]fleet.UnlistedState{}, unresponsive: map[netip.AddrPort]time.Time{},
 		replicaAnnouncedTo: map[netip.AddrPort]uint64{}, fetching: map[string]bool{}, fetchedAt: map[string]time.Time{}, digestByKey: map[string]uint64{}, rejectedListings: map[string]string{}, onViewChange: func() {}, onEstateChange: func(int64) {}, onListingRejected: func() {},
 	}
-	c.declarations = feed.NewFollower(loop, p.Declarations(), feed.NewCopy(outageGap), feed.Options{
-		Name: topicOperators, Wait: declarationsWait, Reads: c.shouldReadDeclarations, Changed: c.declarationsChanged,
-		Called: onCall, Regained: func() {}, Logger: logger, Now: clock.Now,
+	c.declarations = feed.NewFollower(loop, p.Declarations(), feed.NewReplica(outageGap), feed.Options{
+		Name: topicOperators, Wait: declarationsWait, ShouldRead: c.shouldReadDeclarations, OnChange: c.declarationsChanged,
+		OnCall: onCall, OnRecovered: func() {}, Logger: logger, Now: clock.Now,
 	})
-	c.targets = feed.NewFollower(loop, p.Targets(), feed.NewCopy(outageGap), feed.Options{
-		Name: topicTargets, Reads: c.shouldReadTargets, Changed: c.targetsChanged,
-		Called: onCall, Regained: c.declarations.Again, Logger: logger, Now: clock.Now,
+	c.targets = feed.NewFollower(loop, p.Targets(), feed.NewReplica(outageGap), feed.Options{
+		Name: topicTargets, ShouldRead: c.shouldReadTargets, OnChange: c.targetsChanged,
+		OnCall: onCall, OnRecovered: c.declarations.RestartCall, Logger: logger, Now: clock.Now,
 	})
 	return c
 }
@@ -125,7 +125,7 @@
 
 func (c *clusterState) declarationsChanged(keys []string) {
 	for _, key := range keys {
-		r, ok := c.declarations.Copy().Get(key)
+		r, ok := c.declarations.Replica().Get(key)
 		if !ok {
 			continue
 		}
@@ -138,32 +138,32 @@
 		c.applyDeclaration(d, r)
 	}
 	c.publishView()
-	c.mesh.Tell()
+	c.mesh.Broadcast()
 }
 
 func (c *clusterState) applyDeclaration(d Declaration, r feed.Record) {
 	if d.Estate != nil && (c.estate == nil || d.Estate.Version > c.estate.Version) {
 		c.estate, c.rawEstate = d.Estate, r.Value
 		c.onEstateChange(d.Estate.Version)
-		c.logger.Info("estate_in_force", "estate", d.Estate.Version, "offset", r.Offset, "routes", len(d.Estate.Routes()), "services", len(d.Estate.Services()), "stores", len(d.Estate.Stores()), "limited", len(d.Estate.Limited()))
+		c.logger.Info("estate_in_force", "estate", d.Estate.Version, "offset", r.Offset, "routes", len(d.Estate.Routes()), "services", len(d.Estate.Services()), "stores", len(d.Estate.Stores()), "limited", len(d.Estate.RateLimited()))
 	}
 	if d.Model == "" || d.Version <= c.wantedWeights[d.Model].Newest() {
 		return
 	}
-	c.wantedWeights[d.Model] = c.wantedWeights[d.Model].Add(weights.Wanted{Version: d.Version, Since: c.clock.Now()})
+	c.wantedWeights[d.Model] = c.wantedWeights[d.Model].Add(weights.WantedVersion{Version: d.Version, Since: c.clock.Now()})
 	c.logger.Info("weights_wanted", "model", d.Model, "version", d.Version, "offset", r.Offset)
 }
 
 func (c *clusterState) targetsChanged(keys []string) {
 	changed := false
 	for _, key := range keys {
-		r, ok := c.targets.Copy().Get(key)
+		r, ok := c.targets.Replica().Get(key)
 		if !ok {
 			delete(c.rejectedListings, key)
 			c.setListingDigest(key, 0)
-			if c.directory.Drop(key, c.listedAt()) {
+			if c.directory.Remove(key, c.listedAt()) {
 				changed = true
-				c.logger.Info("target_gone", "target", key, "end", c.targets.Copy().End())
+				c.logger.Info("target_gone", "target", key, "end", c.targets.Replica().End())
 			}
 			continue
 		}
@@ -200,15 +200,15 @@
 // applyListing applies a listing and reports whether a relevant field changed.
 func (c *clusterState) applyListing(l fleet.Listing, offset uint64) bool {
 	old, known := c.directory.Find(l.Instance)
-	returned := c.directory.Gone(old.Life)
-	if !c.directory.List(l, offset, c.clock.Now()) {
-		c.logger.Info("target_late_word", "target", l.Life, "newest", old.Life, "offset", offset)
+	returned := c.directory.Gone(old.Incarnation)
+	if !c.directory.Add(l, offset, c.clock.Now()) {
+		c.logger.Info("target_late_word", "target", l.Incarnation, "newest", old.Incarnation, "offset", offset)
 		return false
 	}
 	if known && !returned && listingDigest(&old.Listing) == listingDigest(&l) {
 		return false
 	}
-	c.logger.Info("target_listed", "target", l.Life, "service", l.Service, "address", l.Address, "zone", l.Zone,
+	c.logger.Info("target_listed", "target", l.Incarnation, "service", l.Service, "address", l.Address, "zone", l.Zone,
 		"leaving", l.Leaving, "weights", l.Weights, "returned", returned, "offset", offset)
 	return true
 }
@@ -227,14 +227,14 @@
 	syncState := c.syncState(now)
 	c.logOutage(syncState)
 	v := &view.View{
-		Estate: c.estate, EstateText: c.rawEstate, Targets: c.directory.Targets(c.isDeclared, now, syncState),
-		ListedAt: c.targets.Copy().CurrentAt(), DeclaredAt: c.currentAt(topicOperators), Engines: map[fleet.Life]view.EngineWord{}, Silent: map[netip.AddrPort]bool{}, Wanted: map[string]weights.History{},
-		Entries: 1 + len(c.mesh.Live(true)), EntriesBefore: c.entryRank(), Stopping: c.stopping, PicksFrom: c.selectiveFrom, EndsAt: c.shutdownAt,
+		Estate: c.estate, RawEstate: c.rawEstate, Targets: c.directory.Targets(c.isDeclared, now, syncState),
+		TargetsCurrentAt: c.targets.Replica().CurrentAt(), EstateCurrentAt: c.currentAt(topicOperators), Engines: map[fleet.Incarnation]view.EngineReport{}, Unresponsive: map[netip.AddrPort]bool{}, Wanted: map[string]weights.History{},
+		EntryCount: 1 + len(c.mesh.Live(true)), EntryRank: c.entryRank(), Stopping: c.stopping, SelectiveFrom: c.selectiveFrom, ShutdownAt: c.shutdownAt,
 	}
 	c.updateFleetSize(v.Targets)
-	v.Large = c.large.Load()
+	v.LargeFleet = c.large.Load()
 	for incarnation, report := range c.engineReports {
-		if now.Sub(report.HeardAt) <= engineReportTTL {
+		if now.Sub(report.ReceivedAt) <= engineReportTTL {
 			v.Engines[incarnation] = report
 		} else {
 			delete(c.engineReports, incarnation)
@@ -242,12 +242,12 @@
 	}
 	for address, reportedAt := range c.unresponsive {
 		if now.Sub(reportedAt) <= engineReportTTL {
-			v.Silent[address] = true
+			v.Unresponsive[address] = true
 		} else {
 			delete(c.unresponsive, address)
 		}
 	}
-	c.logUnlisted(v, c.directory.Correct(v.Targets, reportedTargets(v.Engines), syncState, now))
+	c.logUnlisted(v, c.directory.ApplyReports(v.Targets, reportedTargets(v.Engines), syncState, now))
 	for model, w := range c.wantedWeights {
 		v.Wanted[model] = w
 	}
--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -66,13 +66,13 @@
 	for model, history := range state.wantedWeights {
 		engines := d.enginesOf(model)
 		wanted := history.Newest()
-		if !d.controller.Behind(engines, model, wanted) {
+		if !d.controller.AnyStale(engines, model, wanted) {
 			continue
 		}
 		if state.entryRank() == 0 || d.lease.Held(now) {
 			d.maintainLease(now)
 		}
-		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceWoken() > resumeSettleTime {
+		if d.lease.Held(now) && d.token > 0 && d.process.clock.SinceResume() > resumeSettleTime {
 			d.controller.Step(engines, model, wanted, d.token)
 		}
 	}
@@ -82,20 +82,20 @@
 }
 
 // enginesOf returns the engines that serve a model.
-func (d *deputy) enginesOf(model string) []weights.Remote {
+func (d *deputy) enginesOf(model string) []weights.RemoteEngine {
 	state := d.process.state
 	v, ok := state.view.Get()
 	if !ok {
 		return nil
 	}
-	var found []weights.Remote
+	var found []weights.RemoteEngine
 	for _, targets := range v.Targets {
 		for i := range targets {
 			t := &targets[i]
-			if _, serves := t.Weights[model]; !serves || t.Leaving || t.Doubtful {
+			if _, serves := t.Weights[model]; !serves || t.Leaving || t.Unconfirmed {
 				continue
 			}
-			found = append(found, weights.Remote{Life: t.Life, Engine: d.engineAt(t.Address), Versions: t.Weights})
+			found = append(found, weights.RemoteEngine{Incarnation: t.Incarnation, Engine: d.engineAt(t.Address), Versions: t.Weights})
 		}
 	}
 	return found
@@ -111,11 +111,11 @@
 // maintainLease acquires or renews the lease.
 func (d *deputy) maintainLease(now time.Time) {
 	switch d.lease.Next(now) {
-	case lease.Look:
+	case lease.ReadRecord:
 		control.Do(d.process.loop, leaseTimeout, d.process.platform.Lease, func(r lease.Record, err error) {
-			d.lease.Looked(r, err, d.process.clock.Now())
+			d.lease.ReadDone(r, err, d.process.clock.Now())
 		})
-	case lease.Write:
+	case lease.WriteRecord:
 		d.writeLease()
 	case lease.Wait:
 	}
@@ -125,7 +125,7 @@
 }
 
 func (d *deputy) writeLease() {
-	holder, end := d.lease.Holder(), d.lease.End()
+	holder, end := d.lease.Holder(), d.lease.NextOffset()
 	type result struct {
 		offset uint64
 		added  bool
@@ -136,7 +136,7 @@
 	}, func(r result, err error) {
 		now := d.process.clock.Now()
 		held := d.lease.Held(now)
-		d.lease.Wrote(r.offset, r.added, err, now)
+		d.lease.WriteDone(r.offset, r.added, err, now)
 		if d.lease.Held(now) != held {
 			d.process.logger.Info("order_lease", "held", d.lease.Held(now), "offset", r.offset, "added", r.added, "end", end)
 		}
--- a/internal/gateway/enginereports.go
+++ b/internal/gateway/enginereports.go
@@ -16,13 +16,13 @@
 var phases = map[peerv1.EnginePhase]weights.Phase{
 	peerv1.EnginePhase_ENGINE_PHASE_SERVING:  weights.Serving,
 	peerv1.EnginePhase_ENGINE_PHASE_LOADING:  weights.Loading,
-	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Emptying,
+	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Draining,
 }
 
 // applyEngineReport stores a sidecar's report of its engine. It reports whether anything
 // changed that affects placement.
 func (c *clusterState) applyEngineReport(m *mesh.Member) bool {
-	e := m.Beat.Engine
+	e := m.Heartbeat.Engine
 	if e == nil {
 		return false
 	}
@@ -35,17 +35,17 @@
 		return c.applyUnresponsive(m, address)
 	}
 	delete(c.unresponsive, address)
-	incarnation := fleet.Life{Instance: e.Instance, Born: e.Born}
-	report := view.EngineWord{
+	incarnation := fleet.Incarnation{Instance: e.Instance, StartedMs: e.Born}
+	report := view.EngineReport{
 		Service: e.Service, Address: address, Zone: m.Zone,
 		Weights: map[string]int64{}, Phase: phases[e.Phase],
-		Running: int(e.Running), Queued: int(e.Queued), HeardAt: c.clock.Now(),
+		Running: int(e.Running), Queued: int(e.Queued), ReceivedAt: c.clock.Now(),
 	}
 	for _, w := range e.Weights {
 		report.Weights[w.Model] = w.Version
 	}
 	if within := time.Duration(e.BeganWithinMs) * time.Millisecond; within > 0 {
-		report.BeganAfter = report.HeardAt.Add(-within)
+		report.StartedAfter = report.ReceivedAt.Add(-within)
 	}
 	old, known := c.engineReports[incarnation]
 	if !known {
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -32,9 +32,9 @@
 type entry struct {
 	state      *clusterState
 	ledger     *ledger.Ledger
-	parts      *parts.Book
-	health     *health.Book
-	reach      *reach.Book
+	parts      *parts.Index
+	health     *health.Monitor
+	reach      *reach.Monitor
 	pool       *upstream.Pool
 	forwarder  *forward.Forwarder
 	quarantine *quarantineSync
@@ -50,8 +50,8 @@
 }
 
 func newEntry(p *process) *entry {
-	e := &entry{state: p.state, ledger: ledger.New(), parts: parts.NewBook(), reach: &reach.Book{}, cacheReportedAt: map[fleet.ID]time.Time{}, changedTargets: map[fleet.ID]bool{}}
-	e.health = health.NewBook(func(incarnation fleet.Life, until time.Time, failures, others float64, outcome health.Outcome) {
+	e := &entry{state: p.state, ledger: ledger.New(), parts: parts.NewIndex(), reach: &reach.Monitor{}, cacheReportedAt: map[fleet.ID]time.Time{}, changedTargets: map[fleet.ID]bool{}}
+	e.health = health.NewMonitor(func(incarnation fleet.Incarnation, until time.Time, failures, others float64, outcome health.Outcome) {
 		p.logger.Info("target_rested", "target", incarnation, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
 			"failures", math.Round(100*failures)/100, "others", math.Round(100*others)/100, "outcome", outcome.String())
 	})
@@ -59,7 +59,7 @@
 	e.quarantine = newQuarantineSync(p)
 	e.forwarder = forward.New(forward.Deps{
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
-		Quarantine: e.quarantine.registry, CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return e.pool.Refuses(ctx, t.Address) }),
+		Quarantine: e.quarantine.registry, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds: forward.Bounds{
 			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration,
 		},
@@ -119,7 +119,7 @@
 // partitioned, so that the load balancer prefers other entries.
 func (e *entry) ready() bool {
 	v, ok := e.currentView()
-	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.CutOff(e.state.clock.Now())
+	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.Partitioned(e.state.clock.Now())
 }
 
 // compose adds this entry's work and quarantine records to a heartbeat.
@@ -130,11 +130,11 @@
 
 func (e *entry) composeWork(heartbeat *peerv1.Beat) {
 	if e.state.large.Load() {
-		e.parts.DropFresh()
+		e.parts.DropUpdates()
 		return
 	}
 	for target, w := range e.ledger.Own(e.state.clock.Now()) {
-		heartbeat.Loads = append(heartbeat.Loads, probe.LoadOut(target, w))
+		heartbeat.Loads = append(heartbeat.Loads, probe.EncodeLoad(target, w))
 	}
 }
 
@@ -169,9 +169,9 @@
 
 func (e *entry) announceChangedWork() {
 	now := e.state.clock.Now()
-	e.state.mesh.TellEntries(func(heartbeat *peerv1.Beat) {
+	e.state.mesh.BroadcastToEntries(func(heartbeat *peerv1.Beat) {
 		for target := range e.changedTargets {
-			heartbeat.Loads = append(heartbeat.Loads, probe.LoadOut(target, e.ledger.OwnAt(target, now)))
+			heartbeat.Loads = append(heartbeat.Loads, probe.EncodeLoad(target, e.ledger.OwnAt(target, now)))
 		}
 		heartbeat.Parts = e.takePartUpdates()
 	})
@@ -181,7 +181,7 @@
 // takePartUpdates returns the part updates that have not been announced yet.
 func (e *entry) takePartUpdates() []*peerv1.PartHeld {
 	var updates []*peerv1.PartHeld
-	for _, u := range e.parts.TakeFresh(maxPartUpdates) {
+	for _, u := range e.parts.TakeUpdates(maxPartUpdates) {
 		updates = append(updates, &peerv1.PartHeld{Part: uint32(u.Part), Target: uint32(u.Target), Done: u.Done})
 	}
 	return updates
@@ -190,15 +190,15 @@
 func (e *entry) onHeartbeat(m *mesh.Member) {
 	now := e.state.clock.Now()
 	if !m.Entry {
-		e.reach.Heard(now)
+		e.reach.HeartbeatReceived(now)
 	}
 	if m.Entry && e.limits != nil {
 		e.limits.onHeartbeat(m)
 	}
 	if m.Entry {
-		e.ledger.Told(m.Address, announcedWork(m.Beat), m.Beat.Partial, now)
-		for _, p := range m.Beat.Parts {
-			e.parts.Told(parts.Fact{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
+		e.ledger.ApplyReport(m.Address, announcedWork(m.Heartbeat), m.Heartbeat.Partial, now)
+		for _, p := range m.Heartbeat.Parts {
+			e.parts.Apply(parts.Update{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
 		}
 		e.quarantine.onHeartbeat(m)
 	}
@@ -214,7 +214,7 @@
 
 // applyCacheReport updates the part index with the cached parts that a sidecar reports.
 func (e *entry) applyCacheReport(m *mesh.Member, now time.Time) {
-	c := m.Beat.Cache
+	c := m.Heartbeat.Cache
 	if c == nil || len(c.Parts) != len(c.Tokens) {
 		return
 	}
@@ -224,14 +224,14 @@
 	}
 	e.cacheReportedAt[fleet.ID(c.Cache)] = now
 	for i, part := range c.Parts {
-		e.parts.Learn(fleet.ID(c.Cache), parts.Key(part), int(c.Tokens[i]), now)
+		e.parts.RecordReport(fleet.ID(c.Cache), parts.Key(part), int(c.Tokens[i]), now)
 	}
 }
 
 func announcedWork(heartbeat *peerv1.Beat) map[fleet.ID]ledger.Work {
 	loads := make(map[fleet.ID]ledger.Work, len(heartbeat.Loads))
 	for _, l := range heartbeat.Loads {
-		loads[fleet.ID(l.Target)] = probe.WorkIn(l)
+		loads[fleet.ID(l.Target)] = probe.DecodeLoad(l)
 	}
 	return loads
 }
--- a/internal/gateway/estate/estate.go
+++ b/internal/gateway/estate/estate.go
@@ -70,7 +70,7 @@
 	GapTarget time.Duration
 	// Patience is how long a caller waits for the next event of a stream, the first
 	// one included, before it leaves; zero when that is not known.
-	Patience time.Duration
+	MaxWait time.Duration
 	// MaxAttempts is how many targets may run one request.
 	MaxAttempts int
 	// Priority ranks routes; 0 is the most urgent.
@@ -78,7 +78,7 @@
 	// Public routes take requests without a key.
 	Public bool
 	// Prompted routes carry prompts whose parts are shared.
-	Prompted bool
+	HasPrompts bool
 	// Resumable streams may be continued at another target after an event.
 	Resumable bool
 	// Backends are the services; at least one, and the weights sum above zero.
@@ -86,13 +86,13 @@
 }
 
 // Repeatable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Backend picks the service for a request by a number that is uniform in
 // [0, 1).
-func (r *Route) Backend(uniform float64) string {
+func (r *Route) PickBackend(uniform float64) string {
 	sum := 0
 	for _, b := range r.Backends {
 		sum += b.Weight
@@ -118,8 +118,8 @@
 	// LinkMbps is the speed of an engine's link to other engines.
 	LinkMbps float64
 	// Moves and Backups say whether runs may be moved and backed up.
-	Moves   bool
-	Backups bool
+	AllowsMoves   bool
+	AllowsBackups bool
 	// TokensPerEvent is how many tokens one event of a stream holds.
 	TokensPerEvent int
 	// Models are the names of the models served.
@@ -156,7 +156,7 @@
 	// Isolated workspaces share no cached part of a prompt with another.
 	Isolated bool
 	// Rate limits what the workspace may use over all entries together.
-	Rate ratelimit.Terms
+	Rate ratelimit.Policy
 }
 
 // Limits bound what a caller may send.
@@ -275,7 +275,7 @@
 		if w.Name == "" || e.byName[w.Name] != nil {
 			return errors.Newf("workspace %q: the name is empty or stands twice", w.Name)
 		}
-		if w.Rate.PerSecond < 0 || w.Rate.Burst < 0 || w.Rate.Unstated < 0 {
+		if w.Rate.PerSecond < 0 || w.Rate.Burst < 0 || w.Rate.DefaultCost < 0 {
 			return errors.Newf("workspace %q: a rate limit below zero", w.Name)
 		}
 		e.byName[w.Name] = w
@@ -316,7 +316,7 @@
 func (e *Estate) Workspace(name string) *Workspace { return e.byName[name] }
 
 // Limited returns the workspaces that have a rate limit.
-func (e *Estate) Limited() []*Workspace {
+func (e *Estate) RateLimited() []*Workspace {
 	var all []*Workspace
 	for i := range e.workspaces {
 		if e.workspaces[i].Rate.Limited() {
--- a/internal/gateway/estate/estate_test.go
+++ b/internal/gateway/estate/estate_test.go
@@ -75,7 +75,7 @@
 	r := Route{Backends: []Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[r.Backend(float64(i)/1000)]++
+		counts[r.PickBackend(float64(i)/1000)]++
 	}
 	if counts["a"] != 900 || counts["b"] != 100 {
 		t.Errorf("%v", counts)
--- a/internal/gateway/events/events.go
+++ b/internal/gateway/events/events.go
@@ -18,7 +18,7 @@
 var ErrTooLong = errors.New("event is too long")
 
 // ErrHalf says that a stream ended within an event.
-var ErrHalf = errors.New("stream ended within an event")
+var ErrTruncated = errors.New("stream ended within an event")
 
 // Event is one whole event as it came, its closing blank line included.
 type Event struct {
@@ -52,7 +52,7 @@
 			continue
 		}
 		if err == io.EOF && len(bytes.TrimSpace(e.Raw)) > 0 {
-			return Event{}, ErrHalf
+			return Event{}, ErrTruncated
 		}
 		if err != nil {
 			return Event{}, err
--- a/internal/gateway/events/events_test.go
+++ b/internal/gateway/events/events_test.go
@@ -31,7 +31,7 @@
 		for {
 			e, err := r.Next()
 			if err != nil {
-				if want := strings.HasPrefix(stream[:cut], got) && len(strings.TrimSpace(stream[len(got):cut])) > 0; errors.Is(err, ErrHalf) != want {
+				if want := strings.HasPrefix(stream[:cut], got) && len(strings.TrimSpace(stream[len(got):cut])) > 0; errors.Is(err, ErrTruncated) != want {
 					rt.Fatalf("cut at %d: error %v", cut, err)
 				}
 				break
--- a/internal/gateway/feed/feed.go
+++ b/internal/gateway/feed/feed.go
@@ -32,11 +32,11 @@
 	Snapshot
 	// Whole pages hold every key that was not dropped. Other pages hold the
 	// records from the asked offset on, dropped keys included.
-	Whole bool
+	Full bool
 }
 
 // Copy is a copy of a topic. It is used by one thread.
-type Copy struct {
+type Replica struct {
 	records map[string]Record
 	// end is the offset up to which nothing is missing.
 	end uint64
@@ -63,12 +63,12 @@
 
 // NewCopy returns an empty copy. A time without word of the store that exceeds
 // outageGap counts as an outage.
-func NewCopy(outageGap time.Duration) *Copy {
-	return &Copy{records: map[string]Record{}, outageGap: outageGap}
+func NewReplica(outageGap time.Duration) *Replica {
+	return &Replica{records: map[string]Record{}, outageGap: outageGap}
 }
 
 // End is the offset from which to read on.
-func (c *Copy) End() uint64 { return c.end }
+func (c *Replica) End() uint64 { return c.end }
 
 // Position is how far a copy has got.
 type Position struct {
@@ -81,47 +81,47 @@
 }
 
 // Position is how far the copy has got.
-func (c *Copy) Position() Position {
+func (c *Replica) Position() Position {
 	return Position{End: c.end, SeenFrom: c.dropsFrom, DropEnd: c.dropEnd}
 }
 
 // LacksDrop reports whether a copy at a position knows a drop that this one has not reached:
 // of a key that came and went since, perhaps, which neither holds.
-func (c *Copy) LacksDrop(p Position) bool { return p.DropEnd > c.end }
+func (c *Replica) LacksDrop(p Position) bool { return p.DropEnd > c.end }
 
 // CoveredBy reports whether a copy at a position has seen every change since this one's end.
 // One that has not may miss drops, and its word shows nothing of them.
-func (c *Copy) CoveredBy(p Position) bool { return p.SeenFrom <= c.end }
+func (c *Replica) CoveredBy(p Position) bool { return p.SeenFrom <= c.end }
 
 // CurrentAt is when the copy last held all that the store had acknowledged;
 // zero when it never did.
-func (c *Copy) CurrentAt() time.Time { return c.currentAt }
+func (c *Replica) CurrentAt() time.Time { return c.currentAt }
 
 // OutageEnd is when the last outage of the store ended, as seen by this copy;
 // zero when there was none.
-func (c *Copy) OutageEnd() time.Time { return c.outageEnd }
+func (c *Replica) OutageEnd() time.Time { return c.outageEnd }
 
 // OutageBegin is when the copy was current last before the last outage; zero when there was
 // none.
-func (c *Copy) OutageBegin() time.Time { return c.outageBegin }
+func (c *Replica) OutageBegin() time.Time { return c.outageBegin }
 
 // FirstCurrentAt is when the copy held all that the store had acknowledged for the first
 // time; zero when it never did.
-func (c *Copy) FirstCurrentAt() time.Time { return c.firstCurrentAt }
+func (c *Replica) FirstCurrentAt() time.Time { return c.firstCurrentAt }
 
 // FollowedSince is the time since which the copy has seen every change: that of the last
 // snapshot, or of the first records where there was none. It is zero before either.
-func (c *Copy) FollowedSince() time.Time { return c.followedSince }
+func (c *Replica) CompleteSince() time.Time { return c.followedSince }
 
 // Get returns the newest record of a key.
-func (c *Copy) Get(key string) (Record, bool) {
+func (c *Replica) Get(key string) (Record, bool) {
 	r, ok := c.records[key]
 	return r, ok && r.Value != nil
 }
 
 // Records returns the newest record of each key that was not dropped, in the
 // order of keys.
-func (c *Copy) Records() []Record {
+func (c *Replica) Records() []Record {
 	all := make([]Record, 0, len(c.records))
 	for _, r := range c.records {
 		if r.Value != nil {
@@ -143,9 +143,9 @@
 // which keys were dropped before it. Were it to hand on its records alone, the
 // other copy would move to its end and keep the dropped key for ever: requests
 // went to an engine seconds after it had left.
-func (c *Copy) Since(from uint64) Page {
+func (c *Replica) PageFrom(from uint64) Page {
 	if from < c.dropsFrom {
-		return Page{Snapshot: Snapshot{Records: c.Records(), End: c.end}, Whole: true}
+		return Page{Snapshot: Snapshot{Records: c.Records(), End: c.end}, Full: true}
 	}
 	p := Page{Snapshot: Snapshot{End: c.end}}
 	for _, r := range c.records {
@@ -157,8 +157,8 @@
 }
 
 // Take takes in a page of another copy and returns the keys that changed.
-func (c *Copy) Take(p Page, current time.Time) []string {
-	if p.Whole {
+func (c *Replica) Apply(p Page, current time.Time) []string {
+	if p.Full {
 		return c.Replace(p.Snapshot, current)
 	}
 	return c.Merge(p.Records, p.End, current)
@@ -170,7 +170,7 @@
 //
 // Records that leave a gap behind the copy's end are refused by the caller; see
 // Continues.
-func (c *Copy) Merge(records []Record, end uint64, current time.Time) []string {
+func (c *Replica) Merge(records []Record, end uint64, current time.Time) []string {
 	var changed []string
 	for _, r := range records {
 		if c.put(r) {
@@ -188,12 +188,12 @@
 }
 
 // Continues reports whether records from that offset on leave no gap.
-func (c *Copy) Continues(from uint64) bool { return from <= c.end }
+func (c *Replica) Contiguous(from uint64) bool { return from <= c.end }
 
 // Replace takes in a snapshot and returns the keys that changed. Keys that it
 // lacks were dropped while their history was not to be had. A snapshot that is
 // older than the copy changes nothing: stale reads show so.
-func (c *Copy) Replace(s Snapshot, current time.Time) []string {
+func (c *Replica) Replace(s Snapshot, current time.Time) []string {
 	if s.End < c.end {
 		return nil
 	}
@@ -215,9 +215,9 @@
 }
 
 // Confirm notes that the copy held all that matters at a time.
-func (c *Copy) Confirm(at time.Time) { c.noteCurrent(at) }
+func (c *Replica) MarkCurrent(at time.Time) { c.noteCurrent(at) }
 
-func (c *Copy) put(r Record) bool {
+func (c *Replica) put(r Record) bool {
 	old, ok := c.records[r.Key]
 	if ok && old.Offset >= r.Offset {
 		return false
@@ -231,7 +231,7 @@
 
 // noteCurrent moves the time of being current on. The failure guarded against
 // is a peer's older word: it must not make the copy look older.
-func (c *Copy) noteCurrent(at time.Time) {
+func (c *Replica) noteCurrent(at time.Time) {
 	if !at.After(c.currentAt) {
 		return
 	}
--- a/internal/gateway/feed/feed_test.go
+++ b/internal/gateway/feed/feed_test.go
@@ -52,7 +52,7 @@
 func TestCopyNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &log{}
-		a, b := NewCopy(time.Second), NewCopy(time.Second)
+		a, b := NewReplica(time.Second), NewReplica(time.Second)
 		seen := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
@@ -70,9 +70,9 @@
 				to := rapid.Uint64Range(from, l.end()).Draw(rt, "read end")
 				a.Merge(slices.Clone(l.records[from:to]), to, time.Time{})
 			case 3:
-				b.Take(a.Since(b.End()), time.Time{})
+				b.Apply(a.PageFrom(b.End()), time.Time{})
 			case 4:
-				a.Take(b.Since(a.End()), time.Time{})
+				a.Apply(b.PageFrom(a.End()), time.Time{})
 			}
 			for _, r := range a.Records() {
 				if r.Offset < seen[r.Key] {
@@ -82,10 +82,10 @@
 			}
 		}
 		a.Merge(slices.Clone(l.records[a.End():]), l.end(), time.Time{})
-		b.Take(a.Since(b.End()), time.Time{})
+		b.Apply(a.PageFrom(b.End()), time.Time{})
 		want := l.newest(l.end())
 		slices.SortFunc(want.Records, func(x, y Record) int { return int(x.Key[0]) - int(y.Key[0]) })
-		for name, c := range map[string]*Copy{"reader": a, "peer": b} {
+		for name, c := range map[string]*Replica{"reader": a, "peer": b} {
 			if got := c.Records(); !slices.EqualFunc(got, want.Records, func(x, y Record) bool { return x.Key == y.Key && x.Offset == y.Offset }) {
 				rt.Fatalf("%s has %v, the log %v", name, got, want.Records)
 			}
@@ -100,13 +100,13 @@
 func TestPeerThatBeganWithASnapshotHandsOnDrops(t *testing.T) {
 	l := &log{}
 	l.append("engine", []byte("listed"))
-	entry := NewCopy(time.Second)
+	entry := NewReplica(time.Second)
 	entry.Replace(l.newest(1), time.Time{})
 	l.append("engine", nil)
 	l.append("other", []byte("listed"))
-	sidecar := NewCopy(time.Second)
+	sidecar := NewReplica(time.Second)
 	sidecar.Replace(l.newest(3), time.Time{})
-	entry.Take(sidecar.Since(entry.End()), time.Time{})
+	entry.Apply(sidecar.PageFrom(entry.End()), time.Time{})
 	if _, ok := entry.Get("engine"); ok {
 		t.Error("the engine that left is still listed")
 	}
@@ -120,7 +120,7 @@
 func TestCopiesOfProcessesThatStartAnewConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &log{}
-		copies := []*Copy{NewCopy(time.Second), NewCopy(time.Second), NewCopy(time.Second)}
+		copies := []*Replica{NewReplica(time.Second), NewReplica(time.Second), NewReplica(time.Second)}
 		one := rapid.IntRange(0, len(copies)-1)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			i, j := one.Draw(rt, "copy"), one.Draw(rt, "peer")
@@ -134,15 +134,15 @@
 				}
 				l.append(key, value)
 			case 2:
-				copies[i] = NewCopy(time.Second)
+				copies[i] = NewReplica(time.Second)
 				copies[i].Replace(l.newest(l.end()), time.Time{})
 			case 3:
 				c.Merge(slices.Clone(l.records[c.End():]), l.end(), time.Time{})
 			case 4:
-				c.Take(copies[j].Since(c.End()), time.Time{})
+				c.Apply(copies[j].PageFrom(c.End()), time.Time{})
 			}
 			for i, c := range copies {
-				got, want := NewCopy(time.Second), l.newest(c.End())
+				got, want := NewReplica(time.Second), l.newest(c.End())
 				got.Replace(want, time.Time{})
 				if !slices.EqualFunc(c.Records(), got.Records(), func(x, y Record) bool { return x.Key == y.Key && x.Offset == y.Offset }) {
 					rt.Fatalf("copy %d at %d has %v, the store %v", i, c.End(), c.Records(), got.Records())
@@ -158,7 +158,7 @@
 	l := &log{}
 	l.append("x", []byte("1"))
 	l.append("y", []byte("1"))
-	c := NewCopy(time.Second)
+	c := NewReplica(time.Second)
 	c.Replace(l.newest(2), time.Time{})
 	l.append("x", nil)
 	if changed := c.Replace(l.newest(3), time.Time{}); !slices.Equal(changed, []string{"x"}) {
@@ -176,7 +176,7 @@
 	l.append("x", []byte("1"))
 	old := l.newest(1)
 	l.append("y", []byte("1"))
-	c := NewCopy(time.Second)
+	c := NewReplica(time.Second)
 	c.Replace(l.newest(2), time.Time{})
 	if changed := c.Replace(old, time.Time{}); len(changed) != 0 {
 		t.Errorf("changed %v", changed)
@@ -190,14 +190,14 @@
 // neither ends one nor makes one.
 func TestOutageIsTheGapBetweenTwoWords(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
-	c := NewCopy(2 * time.Second)
-	c.Confirm(at(1))
-	c.Confirm(at(2))
-	c.Confirm(at(1))
+	c := NewReplica(2 * time.Second)
+	c.MarkCurrent(at(1))
+	c.MarkCurrent(at(2))
+	c.MarkCurrent(at(1))
 	if !c.OutageEnd().IsZero() || c.CurrentAt() != at(2) {
 		t.Errorf("outage end %v, current at %v", c.OutageEnd(), c.CurrentAt())
 	}
-	c.Confirm(at(7))
+	c.MarkCurrent(at(7))
 	if c.OutageBegin() != at(2) || c.OutageEnd() != at(7) {
 		t.Errorf("outage from %v to %v", c.OutageBegin(), c.OutageEnd())
 	}
@@ -207,24 +207,24 @@
 // seen, whichever way these came.
 func TestFollowedSinceTheFirstRecordsOrTheLastSnapshot(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
-	peer := NewCopy(time.Second) // began when the topic was empty
+	peer := NewReplica(time.Second) // began when the topic was empty
 	peer.Replace(Snapshot{}, at(1))
 	peer.Merge([]Record{{Key: "a", Value: []byte("1")}}, 1, at(2))
-	c := NewCopy(time.Second)
-	if !c.FollowedSince().IsZero() {
+	c := NewReplica(time.Second)
+	if !c.CompleteSince().IsZero() {
 		t.Error("an empty copy is followed")
 	}
-	page := peer.Since(0)
-	if c.Take(page, at(3)); page.Whole || c.FollowedSince() != at(3) {
-		t.Errorf("followed since %v after the first records", c.FollowedSince())
+	page := peer.PageFrom(0)
+	if c.Apply(page, at(3)); page.Full || c.CompleteSince() != at(3) {
+		t.Errorf("followed since %v after the first records", c.CompleteSince())
 	}
 	c.Merge([]Record{{Key: "b", Value: []byte("1"), Offset: 1}}, 2, at(4))
-	if c.FollowedSince() != at(3) {
-		t.Errorf("followed since %v after more", c.FollowedSince())
+	if c.CompleteSince() != at(3) {
+		t.Errorf("followed since %v after more", c.CompleteSince())
 	}
 	c.Replace(Snapshot{End: 9}, at(5))
-	if c.FollowedSince() != at(5) {
-		t.Errorf("followed since %v after a snapshot", c.FollowedSince())
+	if c.CompleteSince() != at(5) {
+		t.Errorf("followed since %v after a snapshot", c.CompleteSince())
 	}
 }
 
@@ -232,8 +232,8 @@
 // read the drop, or began with a snapshot after it, holds it: only their positions differ.
 func TestPositionsShowADropThatNoRecordShows(t *testing.T) {
 	a := Record{Key: "a", Value: []byte("1"), Offset: 3}
-	behind, reader, late := NewCopy(time.Second), NewCopy(time.Second), NewCopy(time.Second)
-	for _, c := range []*Copy{behind, reader} {
+	behind, reader, late := NewReplica(time.Second), NewReplica(time.Second), NewReplica(time.Second)
+	for _, c := range []*Replica{behind, reader} {
 		c.Replace(Snapshot{Records: []Record{a}, End: 5}, time.Unix(1, 0))
 	}
 	if behind.LacksDrop(reader.Position()) || !behind.CoveredBy(reader.Position()) {
@@ -302,14 +302,14 @@
 	t.Helper()
 	loop := control.NewLoop(1, func(time.Duration) {})
 	options.Logger, options.Now = logr.Discard(), time.Now
-	options.Called = func(string, time.Duration, error) {}
-	if options.Changed == nil {
-		options.Changed = func([]string) {}
+	options.OnCall = func(string, time.Duration, error) {}
+	if options.OnChange == nil {
+		options.OnChange = func([]string) {}
 	}
-	if options.Regained == nil {
-		options.Regained = func() {}
+	if options.OnRecovered == nil {
+		options.OnRecovered = func() {}
 	}
-	f := NewFollower(loop, source, NewCopy(time.Second), options)
+	f := NewFollower(loop, source, NewReplica(time.Second), options)
 	go loop.Run()
 	f.Start()
 	return f, loop
@@ -317,7 +317,7 @@
 
 func has(loop *control.Loop, f *Follower, key string) bool {
 	answer := make(chan bool)
-	loop.Post(func() { _, ok := f.Copy().Get(key); answer <- ok })
+	loop.Post(func() { _, ok := f.Replica().Get(key); answer <- ok })
 	return <-answer
 }
 
@@ -332,7 +332,7 @@
 		source.set(func() { source.silent = true })
 		time.Sleep(3 * time.Second)
 		source.set(func() { source.silent = false; source.log.append("config", []byte("2")) })
-		f.Again() // another topic's reads were answered
+		f.RestartCall() // another topic's reads were answered
 		time.Sleep(500 * time.Millisecond)
 		if !has(loop, f, "config") {
 			t.Error("the configuration was not read")
--- a/internal/gateway/feed/follower.go
+++ b/internal/gateway/feed/follower.go
@@ -36,15 +36,15 @@
 	Pause time.Duration
 	// Reads reports whether this process reads the store now. Others hear from
 	// those that do. It is asked on the control thread.
-	Reads func(currentAt time.Time) bool
+	ShouldRead func(currentAt time.Time) bool
 	// Changed is told, on the control thread, of keys that have new records.
-	Changed func(keys []string)
+	OnChange func(keys []string)
 	// Called is told of each call of the store, its duration and its error.
-	Called func(topic string, took time.Duration, err error)
+	OnCall func(topic string, took time.Duration, err error)
 	// Regained is told, on the control thread, when the store answers again.
-	Regained func()
-	Logger   logr.Logger
-	Now      func() time.Time
+	OnRecovered func()
+	Logger      logr.Logger
+	Now         func() time.Time
 }
 
 const (
@@ -66,7 +66,7 @@
 type Follower struct {
 	loop    *control.Loop
 	source  Source
-	copy    *Copy
+	copy    *Replica
 	options Options
 	// snapshot is set when the next call must be for a snapshot.
 	snapshot bool
@@ -77,12 +77,12 @@
 }
 
 // NewFollower returns a follower that has not started.
-func NewFollower(loop *control.Loop, source Source, c *Copy, options Options) *Follower {
+func NewFollower(loop *control.Loop, source Source, c *Replica, options Options) *Follower {
 	return &Follower{loop: loop, source: source, copy: c, options: options, snapshot: true}
 }
 
 // Copy returns the copy, for use on the control thread.
-func (f *Follower) Copy() *Copy { return f.copy }
+func (f *Follower) Replica() *Replica { return f.copy }
 
 // Start begins to follow.
 func (f *Follower) Start() { f.loop.Go(f.run) }
@@ -120,7 +120,7 @@
 
 func (f *Follower) next() request {
 	return request{
-		reads:    f.options.Reads == nil || f.options.Reads(f.copy.CurrentAt()),
+		reads:    f.options.ShouldRead == nil || f.options.ShouldRead(f.copy.CurrentAt()),
 		snapshot: f.snapshot,
 		from:     f.copy.End(),
 	}
@@ -139,7 +139,7 @@
 	} else {
 		s, err = f.source.Read(ctx, r.from, f.options.Wait)
 	}
-	f.options.Called(f.options.Name, f.options.Now().Sub(asked), err)
+	f.options.OnCall(f.options.Name, f.options.Now().Sub(asked), err)
 	merged := make(chan struct{})
 	f.loop.Post(func() {
 		defer close(merged)
@@ -161,7 +161,7 @@
 // Again ends the call that is under way, so that a new one begins. The failure
 // guarded against is a read that waits on a connection which went silent with
 // the store: it would wait on after the store is back.
-func (f *Follower) Again() {
+func (f *Follower) RestartCall() {
 	f.cancelMu.Lock()
 	defer f.cancelMu.Unlock()
 	if f.cancel != nil {
@@ -188,7 +188,7 @@
 	if f.lost {
 		f.lost = false
 		f.options.Logger.Info("store_regained", "topic", f.options.Name, "silent_for", asked.Sub(f.copy.CurrentAt()))
-		f.options.Regained()
+		f.options.OnRecovered()
 	}
 	var changed []string
 	if r.snapshot {
@@ -198,22 +198,22 @@
 		changed = f.copy.Merge(s.Records, s.End, f.options.Now())
 	}
 	if len(changed) > 0 {
-		f.options.Changed(changed)
+		f.options.OnChange(changed)
 	}
 }
 
 // Adopt takes in a page that a peer sent for the records from an offset on.
 // current is when the peer's copy was current. It runs on the control thread and
 // reports whether the page was taken.
-func (f *Follower) Adopt(p Page, from uint64, current time.Time) bool {
-	if !p.Whole && !f.copy.Continues(from) {
+func (f *Follower) ApplyPage(p Page, from uint64, current time.Time) bool {
+	if !p.Full && !f.copy.Contiguous(from) {
 		return false
 	}
 	if f.snapshot && p.End > 0 {
 		f.snapshot = false
 	}
-	if changed := f.copy.Take(p, current); len(changed) > 0 {
-		f.options.Changed(changed)
+	if changed := f.copy.Apply(p, current); len(changed) > 0 {
+		f.options.OnChange(changed)
 	}
 	return true
 }
--- a/internal/gateway/fleet/fleet.go
+++ b/internal/gateway/fleet/fleet.go
@@ -13,7 +13,7 @@
 
 // Listing is one target as the platform's list shows it.
 type Listing struct {
-	Life
+	Incarnation
 	Service string
 	Address netip.AddrPort
 	Zone    string
@@ -22,7 +22,7 @@
 	// Leaving targets end soon and take no new work.
 	Leaving bool
 	// ColdFor is how much longer the target is slow after its start.
-	ColdFor time.Duration
+	ColdRemaining time.Duration
 	// Weights are the versions of the models that the target has loaded.
 	Weights map[string]int64
 }
@@ -45,22 +45,22 @@
 	ID ID
 	// Doubtful targets have left the list after an outage of the store. They may
 	// live and not have reported yet.
-	Doubtful bool
+	Unconfirmed bool
 	// Unlisted targets are known from their own hosts alone.
 	Unlisted bool
 }
 
 // NewTarget returns the target of a listing.
 func NewTarget(l Listing) Target {
-	return Target{Listing: l, Hash: xxhash.Sum64String(l.Instance), ID: IDOf(l.Life.String())}
+	return Target{Listing: l, Hash: xxhash.Sum64String(l.Instance), ID: IDOf(l.Incarnation.String())}
 }
 
 // withLife returns the target with a life that names its birth.
-func (t Target) withLife(life Life) Target {
+func (t Target) withLife(life Incarnation) Target {
 	listing := t.Listing
-	listing.Life = life
+	listing.Incarnation = life
 	named := NewTarget(listing)
-	named.Doubtful, named.Unlisted = t.Doubtful, t.Unlisted
+	named.Unconfirmed, named.Unlisted = t.Unconfirmed, t.Unlisted
 	return named
 }
 
@@ -107,13 +107,13 @@
 // The failure guarded against: a target starts again under its name, and a word of
 // its earlier life reaches the list after one of the new life. Taken for the newest, it
 // would bring back what is believed of a process that has ended.
-func (d *Directory) List(l Listing, offset uint64, now time.Time) bool {
+func (d *Directory) Add(l Listing, offset uint64, now time.Time) bool {
 	e := d.entries[l.Instance]
 	if e == nil {
 		e = &entry{}
 		d.entries[l.Instance] = e
 	}
-	if l.Life.Before(e.target.Life) && now.Sub(e.heardAt) < lateWord {
+	if l.Incarnation.Before(e.target.Incarnation) && now.Sub(e.heardAt) < lateWord {
 		return false
 	}
 	e.target, e.offset = NewTarget(l), offset
@@ -123,10 +123,10 @@
 
 // Drop notes that a target has left the list. It reports whether that was news. A target
 // that was listed and dropped between two reads has left, too, though it was never seen.
-func (d *Directory) Drop(instance string, now time.Time) bool {
+func (d *Directory) Remove(instance string, now time.Time) bool {
 	e := d.entries[instance]
 	if e == nil {
-		e = &entry{target: Target{Listing: Listing{Life: Life{Instance: instance}}}}
+		e = &entry{target: Target{Listing: Listing{Incarnation: Incarnation{Instance: instance}}}}
 		d.entries[instance] = e
 	}
 	if !e.goneAt.IsZero() {
@@ -141,7 +141,7 @@
 // left the list while the store was away, or just after, is doubtful until the time
 // in which it would be back has passed: lapsed entries of living targets would
 // otherwise empty the fleet at the end of each outage.
-func (d *Directory) Targets(declared func(service string) bool, now time.Time, f Following) map[string][]Target {
+func (d *Directory) Targets(declared func(service string) bool, now time.Time, f SyncState) map[string][]Target {
 	d.forget(now)
 	byService := map[string][]Target{}
 	newest := d.newestAt(declared)
@@ -154,7 +154,7 @@
 			if t.Leaving || !f.mayHaveLapsed(e.goneAt, now) {
 				continue
 			}
-			t.Doubtful = true
+			t.Unconfirmed = true
 		}
 		byService[t.Service] = append(byService[t.Service], t)
 	}
@@ -196,15 +196,15 @@
 // olderThan reports whether e's life began before that of another entry at its
 // address, or wrote before where they do not say.
 func (e *entry) olderThan(o *entry) bool {
-	if e.target.Born != o.target.Born && e.target.Born > 0 && o.target.Born > 0 {
-		return e.target.Born < o.target.Born
+	if e.target.StartedMs != o.target.StartedMs && e.target.StartedMs > 0 && o.target.StartedMs > 0 {
+		return e.target.StartedMs < o.target.StartedMs
 	}
 	return e.offset < o.offset
 }
 
 // mayHaveLapsed reports whether an entry that went at goneAt may have lapsed because its
 // target did not reach the store. One that went before the outage has left.
-func (f *Following) mayHaveLapsed(goneAt, now time.Time) bool {
+func (f *SyncState) mayHaveLapsed(goneAt, now time.Time) bool {
 	if f.OutageEnded.IsZero() || now.Sub(f.OutageEnded) > returnTime {
 		return false
 	}
@@ -223,20 +223,20 @@
 // Gone reports whether a life was listed and is not any more. A life that was born
 // after the one that has left the list is not gone: it is listed soon. Where the list did
 // not say when that was born, they are taken for one.
-func (d *Directory) Gone(life Life) bool {
+func (d *Directory) Gone(life Incarnation) bool {
 	e := d.entries[life.Instance]
-	return e != nil && !e.goneAt.IsZero() && (e.target.Born == 0 || !e.target.Life.Before(life))
+	return e != nil && !e.goneAt.IsZero() && (e.target.StartedMs == 0 || !e.target.Incarnation.Before(life))
 }
 
 // Succeeded reports whether a later life of the same target was listed after a time.
-func (d *Directory) Succeeded(life Life, since time.Time) bool {
+func (d *Directory) Superseded(life Incarnation, since time.Time) bool {
 	e := d.entries[life.Instance]
-	return e != nil && life.Before(e.target.Life) && e.heardAt.After(since)
+	return e != nil && life.Before(e.target.Incarnation) && e.heardAt.After(since)
 }
 
 // At returns the target that is listed newest at an address, of the services that are
 // declared.
-func (d *Directory) At(declared func(service string) bool, address netip.AddrPort) (Target, bool) {
+func (d *Directory) ByAddress(declared func(service string) bool, address netip.AddrPort) (Target, bool) {
 	var newest *entry
 	for _, e := range d.entries {
 		if e.target.Address != address || !e.goneAt.IsZero() || !declared(e.target.Service) {
--- a/internal/gateway/fleet/fleet_test.go
+++ b/internal/gateway/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 // followed is a list that has been followed without a gap since start, and later a time
 // at which no doubt is left from then.
 var (
-	followed = Following{Started: start, Since: start, Current: true}
+	followed = SyncState{StartedAt: start, CompleteSince: start, Current: true}
 	later    = start.Add(time.Minute)
 )
 
@@ -19,13 +19,13 @@
 func declared(service string) bool { return service == "s" }
 
 func listing(instance string, port uint16) Listing {
-	return Listing{Life: Life{Instance: instance}, Service: "s", Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), port), Zone: "a"}
+	return Listing{Incarnation: Incarnation{Instance: instance}, Service: "s", Address: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), port), Zone: "a"}
 }
 
 func names(d *Directory, now, outageEnd time.Time) map[string]bool {
 	doubtful := map[string]bool{}
-	for _, t := range d.Targets(declared, now, Following{OutageEnded: outageEnd})["s"] {
-		doubtful[t.Instance] = t.Doubtful
+	for _, t := range d.Targets(declared, now, SyncState{OutageEnded: outageEnd})["s"] {
+		doubtful[t.Instance] = t.Unconfirmed
 	}
 	return doubtful
 }
@@ -33,14 +33,14 @@
 // A target that leaves the list is not used from then on, however it left.
 func TestDroppedTargetIsNotUsed(t *testing.T) {
 	d := NewDirectory()
-	d.List(listing("x", 1), 1, start)
-	if !d.Drop("x", start) || d.Drop("x", start) {
+	d.Add(listing("x", 1), 1, start)
+	if !d.Remove("x", start) || d.Remove("x", start) {
 		t.Error("a drop counts once")
 	}
 	if got := names(d, start, time.Time{}); len(got) != 0 {
 		t.Errorf("targets %v", got)
 	}
-	if !d.Gone(Life{Instance: "x"}) {
+	if !d.Gone(Incarnation{Instance: "x"}) {
 		t.Error("the target does not count as gone")
 	}
 }
@@ -50,14 +50,14 @@
 // doubtful until they would have reported.
 func TestLapsedTargetsAreDoubtfulForAWhile(t *testing.T) {
 	d := NewDirectory()
-	d.List(listing("x", 1), 1, start)
-	d.List(listing("y", 2), 1, start)
-	d.Drop("x", start)
-	d.Drop("y", start)
+	d.Add(listing("x", 1), 1, start)
+	d.Add(listing("y", 2), 1, start)
+	d.Remove("x", start)
+	d.Remove("y", start)
 	if got := names(d, start.Add(time.Second), start); len(got) != 2 || !got["x"] {
 		t.Errorf("a second after the outage: %v", got)
 	}
-	d.List(listing("x", 1), 1, start)
+	d.Add(listing("x", 1), 1, start)
 	if got := names(d, start.Add(returnTime+time.Second), start); len(got) != 1 || got["x"] {
 		t.Errorf("later: %v", got)
 	}
@@ -67,13 +67,13 @@
 // the end of the outage made it count as one whose entry had lapsed.
 func TestTargetThatLeftBeforeAnOutageIsNotDoubtful(t *testing.T) {
 	d := NewDirectory()
-	d.List(listing("left", 1), 1, start)
-	d.List(listing("lapsed", 2), 2, start)
-	d.Drop("left", start.Add(4*time.Second))
-	f := Following{OutageBegan: start.Add(4 * time.Second), OutageEnded: start.Add(9 * time.Second)}
-	d.Drop("lapsed", f.OutageEnded)
+	d.Add(listing("left", 1), 1, start)
+	d.Add(listing("lapsed", 2), 2, start)
+	d.Remove("left", start.Add(4*time.Second))
+	f := SyncState{OutageBegan: start.Add(4 * time.Second), OutageEnded: start.Add(9 * time.Second)}
+	d.Remove("lapsed", f.OutageEnded)
 	targets := d.Targets(declared, f.OutageEnded.Add(time.Second), f)["s"]
-	if len(targets) != 1 || targets[0].Instance != "lapsed" || !targets[0].Doubtful {
+	if len(targets) != 1 || targets[0].Instance != "lapsed" || !targets[0].Unconfirmed {
 		t.Errorf("targets %v", targets)
 	}
 }
@@ -84,8 +84,8 @@
 	d := NewDirectory()
 	l := listing("x", 1)
 	l.Leaving = true
-	d.List(l, 1, start)
-	d.Drop("x", start)
+	d.Add(l, 1, start)
+	d.Remove("x", start)
 	if got := names(d, start, start); len(got) != 0 {
 		t.Errorf("targets %v", got)
 	}
@@ -97,10 +97,10 @@
 	d := NewDirectory()
 	old := listing("old", 1)
 	old.Slots = 64
-	d.List(old, 1, start)
-	d.List(listing("other", 2), 1, start)
-	byService := d.Targets(declared, start, Following{})
-	d.Correct(byService, []Living{{Life: Life{Instance: "new"}, Service: "s", Address: old.Address, Zone: "a", Weights: map[string]int64{"m": 2}}}, followed, later)
+	d.Add(old, 1, start)
+	d.Add(listing("other", 2), 1, start)
+	byService := d.Targets(declared, start, SyncState{})
+	d.ApplyReports(byService, []Report{{Incarnation: Incarnation{Instance: "new"}, Service: "s", Address: old.Address, Zone: "a", Weights: map[string]int64{"m": 2}}}, followed, later)
 	found := map[string]int{}
 	for _, t := range byService["s"] {
 		found[t.Instance] = t.Slots
@@ -108,9 +108,9 @@
 	if len(found) != 2 || found["new"] != 64 {
 		t.Errorf("targets %v", found)
 	}
-	d.List(listing("new", 1), 2, start)
-	byService = d.Targets(declared, start, Following{})
-	d.Correct(byService, []Living{{Life: Life{Instance: "new"}, Service: "s", Address: old.Address}}, followed, later)
+	d.Add(listing("new", 1), 2, start)
+	byService = d.Targets(declared, start, SyncState{})
+	d.ApplyReports(byService, []Report{{Incarnation: Incarnation{Instance: "new"}, Service: "s", Address: old.Address}}, followed, later)
 	if len(byService["s"]) != 2 {
 		t.Errorf("both lives are used: %v", byService["s"])
 	}
@@ -121,16 +121,16 @@
 // Only the newer is used; when it goes, the earlier one does not come back.
 func TestEarlierLifeAtAnAddressIsNotUsed(t *testing.T) {
 	d := NewDirectory()
-	d.List(listing("new", 1), 7, start)
-	d.List(listing("old", 1), 3, start)
+	d.Add(listing("new", 1), 7, start)
+	d.Add(listing("old", 1), 3, start)
 	if got := names(d, start, time.Time{}); len(got) != 1 || got["new"] {
 		t.Errorf("targets %v", got)
 	}
-	if at, ok := d.At(declared, listing("new", 1).Address); !ok || at.Instance != "new" {
+	if at, ok := d.ByAddress(declared, listing("new", 1).Address); !ok || at.Instance != "new" {
 		t.Errorf("at the address: %v %v", at, ok)
 	}
-	d.Drop("old", start)
-	d.Drop("new", start)
+	d.Remove("old", start)
+	d.Remove("new", start)
 	if got := names(d, start, time.Time{}); len(got) != 0 {
 		t.Errorf("targets %v", got)
 	}
--- a/internal/gateway/fleet/life_test.go
+++ b/internal/gateway/fleet/life_test.go
@@ -16,13 +16,13 @@
 // born is a listing of a target's life.
 func born(instance string, port uint16, at int64) Listing {
 	l := listing(instance, port)
-	l.Born = at
+	l.StartedMs = at
 	return l
 }
 
 func only(t *testing.T, d *Directory, now time.Time) Target {
 	t.Helper()
-	list := d.Targets(declared, now, Following{})["s"]
+	list := d.Targets(declared, now, SyncState{})["s"]
 	if len(list) != 1 {
 		t.Fatalf("targets %v", list)
 	}
@@ -34,12 +34,12 @@
 // over as busy, and sent prompts for what it does not hold.
 func TestNewLifeUnderTheSameNameHasAnotherID(t *testing.T) {
 	d := NewDirectory()
-	d.List(born("x", 1, 100), 1, start)
+	d.Add(born("x", 1, 100), 1, start)
 	before := only(t, d, start)
-	d.List(born("x", 1, 200), 2, start.Add(time.Second))
+	d.Add(born("x", 1, 200), 2, start.Add(time.Second))
 	after := only(t, d, start.Add(time.Second))
-	if before.ID == after.ID || before.Life == after.Life {
-		t.Errorf("%v and %v are taken for one", before.Life, after.Life)
+	if before.ID == after.ID || before.Incarnation == after.Incarnation {
+		t.Errorf("%v and %v are taken for one", before.Incarnation, after.Incarnation)
 	}
 	if before.Hash != after.Hash {
 		t.Error("a target that starts again has lost its place in the ranking")
@@ -50,13 +50,13 @@
 // that of its next life, which would get no work for as long as it lives.
 func TestLateWordOfAnEarlierLife(t *testing.T) {
 	d := NewDirectory()
-	d.List(born("x", 1, 200), 1, start)
+	d.Add(born("x", 1, 200), 1, start)
 	late := born("x", 1, 100)
 	late.Leaving = true
-	if d.List(late, 2, start.Add(time.Second)) {
+	if d.Add(late, 2, start.Add(time.Second)) {
 		t.Error("the late word is taken")
 	}
-	if got := only(t, d, start.Add(time.Second)); got.Born != 200 || got.Leaving {
+	if got := only(t, d, start.Add(time.Second)); got.StartedMs != 200 || got.Leaving {
 		t.Errorf("%+v", got)
 	}
 }
@@ -65,14 +65,14 @@
 // before the earlier one. It is used once that has been silent for three heartbeats.
 func TestLifeBornBeforeItsPredecessor(t *testing.T) {
 	d := NewDirectory()
-	d.List(born("x", 1, 200), 1, start)
-	d.List(born("x", 1, 150), 2, start.Add(time.Second))
-	if got := only(t, d, start.Add(time.Second)); got.Born != 200 {
-		t.Errorf("at once: %v", got.Life)
+	d.Add(born("x", 1, 200), 1, start)
+	d.Add(born("x", 1, 150), 2, start.Add(time.Second))
+	if got := only(t, d, start.Add(time.Second)); got.StartedMs != 200 {
+		t.Errorf("at once: %v", got.Incarnation)
 	}
-	d.List(born("x", 1, 150), 3, start.Add(lateWord+time.Second))
-	if got := only(t, d, start.Add(lateWord+time.Second)); got.Born != 150 {
-		t.Errorf("later: %v", got.Life)
+	d.Add(born("x", 1, 150), 3, start.Add(lateWord+time.Second))
+	if got := only(t, d, start.Add(lateWord+time.Second)); got.StartedMs != 150 {
+		t.Errorf("later: %v", got.Incarnation)
 	}
 }
 
@@ -80,9 +80,9 @@
 // list shows it, and is used.
 func TestNextLifeOfATargetThatIsGone(t *testing.T) {
 	d := NewDirectory()
-	d.List(born("x", 1, 100), 1, start)
-	d.Drop("x", start.Add(time.Second))
-	if !d.Gone(Life{"x", 100}) || d.Gone(Life{"x", 200}) {
+	d.Add(born("x", 1, 100), 1, start)
+	d.Remove("x", start.Add(time.Second))
+	if !d.Gone(Incarnation{"x", 100}) || d.Gone(Incarnation{"x", 200}) {
 		t.Error("the wrong life is gone")
 	}
 }
@@ -91,11 +91,11 @@
 // older than the list, and must not bring the earlier life back.
 func TestWordThatIsOlderThanTheList(t *testing.T) {
 	d := NewDirectory()
-	d.List(born("x", 1, 200), 1, start)
-	if !d.Succeeded(Life{"x", 100}, start.Add(-time.Second)) {
+	d.Add(born("x", 1, 200), 1, start)
+	if !d.Superseded(Incarnation{"x", 100}, start.Add(-time.Second)) {
 		t.Error("a word from before the listing counts")
 	}
-	if d.Succeeded(Life{"x", 100}, start.Add(time.Second)) {
+	if d.Superseded(Incarnation{"x", 100}, start.Add(time.Second)) {
 		t.Error("the word of a host whose clock went back does not count")
 	}
 }
@@ -104,17 +104,17 @@
 // engine keeps its work.
 func TestEntryOfAnUndeclaredServiceDisplacesNone(t *testing.T) {
 	d := NewDirectory()
-	d.List(born("x", 1, 100), 1, start)
+	d.Add(born("x", 1, 100), 1, start)
 	foreign := born("y", 1, 300)
 	foreign.Service = "nobody's"
-	d.List(foreign, 2, start)
+	d.Add(foreign, 2, start)
 	if got := only(t, d, start); got.Instance != "x" {
-		t.Errorf("%v", got.Life)
+		t.Errorf("%v", got.Incarnation)
 	}
-	if at, ok := d.At(declared, foreign.Address); !ok || at.Instance != "x" {
-		t.Errorf("at the address: %v, %v", at.Life, ok)
+	if at, ok := d.ByAddress(declared, foreign.Address); !ok || at.Instance != "x" {
+		t.Errorf("at the address: %v, %v", at.Incarnation, ok)
 	}
-	if _, ok := d.Targets(declared, start, Following{})["nobody's"]; ok {
+	if _, ok := d.Targets(declared, start, SyncState{})["nobody's"]; ok {
 		t.Error("the undeclared service has targets")
 	}
 }
@@ -123,23 +123,23 @@
 // was written last.
 func TestLaterBornAtAnAddressIsUsed(t *testing.T) {
 	d := NewDirectory()
-	d.List(born("new", 1, 200), 1, start)
-	d.List(born("old", 1, 100), 2, start)
+	d.Add(born("new", 1, 200), 1, start)
+	d.Add(born("old", 1, 100), 2, start)
 	if got := only(t, d, start); got.Instance != "new" {
-		t.Errorf("%v", got.Life)
+		t.Errorf("%v", got.Incarnation)
 	}
 }
 
 // oracle is what a directory should hold of one target: its newest life, unless that
 // has been silent for so long that an earlier-looking one must be its successor.
 type oracle struct {
-	life    Life
+	life    Incarnation
 	heardAt time.Time
 	gone    bool
 }
 
-func (o *oracle) hear(l Life, now time.Time) {
-	if l.Born < o.life.Born && now.Sub(o.heardAt) < lateWord {
+func (o *oracle) hear(l Incarnation, now time.Time) {
+	if l.StartedMs < o.life.StartedMs && now.Sub(o.heardAt) < lateWord {
 		return
 	}
 	*o = oracle{life: l, heardAt: now}
@@ -157,17 +157,17 @@
 			n := rapid.IntRange(0, 3).Draw(rt, "target")
 			name := fmt.Sprintf("t%d", n)
 			if rapid.IntRange(0, 5).Draw(rt, "drops") == 0 {
-				d.Drop(name, now)
+				d.Remove(name, now)
 				if o := oracles[name]; o != nil {
 					o.gone = true
 				}
 			} else {
 				l := born(name, uint16(n+1), rapid.Int64Range(1, 4).Draw(rt, "born"))
-				d.List(l, uint64(step), now)
+				d.Add(l, uint64(step), now)
 				if oracles[name] == nil {
 					oracles[name] = &oracle{}
 				}
-				oracles[name].hear(l.Life, now)
+				oracles[name].hear(l.Incarnation, now)
 			}
 			checkLives(rt, d, oracles, now)
 		}
@@ -175,9 +175,9 @@
 }
 
 func checkLives(rt *rapid.T, d *Directory, oracles map[string]*oracle, now time.Time) {
-	used := map[Life]netip.AddrPort{}
-	for _, t := range d.Targets(declared, now, Following{})["s"] {
-		used[t.Life] = t.Address
+	used := map[Incarnation]netip.AddrPort{}
+	for _, t := range d.Targets(declared, now, SyncState{})["s"] {
+		used[t.Incarnation] = t.Address
 	}
 	want := 0
 	for name, o := range oracles {
--- a/internal/gateway/fleet/model_test.go
+++ b/internal/gateway/fleet/model_test.go
@@ -46,12 +46,12 @@
 
 // modelEntry is an entry's view of the list.
 type modelEntry struct {
-	copy      *feed.Copy
+	copy      *feed.Replica
 	directory *Directory
 	startedAt time.Time
 	// readAt is when it reads the list next.
 	readAt time.Time
-	heard  map[Life]time.Time
+	heard  map[Incarnation]time.Time
 }
 
 type model struct {
@@ -75,30 +75,30 @@
 // way is what a process makes of reported lives that the list lacks.
 type way struct {
 	name string
-	see  func(e *modelEntry, l Living, f Following, now time.Time) (Living, Following)
+	see  func(e *modelEntry, l Report, f SyncState, now time.Time) (Report, SyncState)
 }
 
 // ways are the kept one and those that it was weighed against.
 var ways = []way{
-	{"a report is membership", func(_ *modelEntry, l Living, f Following, now time.Time) (Living, Following) {
-		l.BeganAfter = now.Add(time.Hour)
+	{"a report is membership", func(_ *modelEntry, l Report, f SyncState, now time.Time) (Report, SyncState) {
+		l.StartedAfter = now.Add(time.Hour)
 		return l, f
 	}},
-	{"the list alone", func(_ *modelEntry, l Living, f Following, _ time.Time) (Living, Following) {
-		l.BeganAfter, f.Started, f.OutageEnded, f.Current = time.Time{}, time.Time{}, time.Time{}, true
+	{"the list alone", func(_ *modelEntry, l Report, f SyncState, _ time.Time) (Report, SyncState) {
+		l.StartedAfter, f.StartedAt, f.OutageEnded, f.Current = time.Time{}, time.Time{}, time.Time{}, true
 		return l, f
 	}},
-	{"for a time after the first report", func(e *modelEntry, l Living, f Following, now time.Time) (Living, Following) {
-		if _, known := e.heard[l.Life]; !known {
-			e.heard[l.Life] = now
+	{"for a time after the first report", func(e *modelEntry, l Report, f SyncState, now time.Time) (Report, SyncState) {
+		if _, known := e.heard[l.Incarnation]; !known {
+			e.heard[l.Incarnation] = now
 		}
-		l.BeganAfter, f.Started = time.Time{}, e.heard[l.Life]
+		l.StartedAfter, f.StartedAt = time.Time{}, e.heard[l.Incarnation]
 		return l, f
 	}},
 	kept,
 }
 
-var kept = way{"seen to begin", func(_ *modelEntry, l Living, f Following, _ time.Time) (Living, Following) { return l, f }}
+var kept = way{"seen to begin", func(_ *modelEntry, l Report, f SyncState, _ time.Time) (Report, SyncState) { return l, f }}
 
 func newModel(random *rand.Rand, w way) *model {
 	m := &model{random: random, now: start, way: w, newest: map[string]uint64{}, back: start}
@@ -117,7 +117,7 @@
 }
 
 func (m *model) startEntry(i int) {
-	m.entries[i] = &modelEntry{copy: feed.NewCopy(1500 * time.Millisecond), directory: NewDirectory(), startedAt: m.now, heard: map[Life]time.Time{}}
+	m.entries[i] = &modelEntry{copy: feed.NewReplica(1500 * time.Millisecond), directory: NewDirectory(), startedAt: m.now, heard: map[Incarnation]time.Time{}}
 }
 
 // begin starts a new life at an address.
@@ -234,13 +234,13 @@
 	late := e.copy.CurrentAt().IsZero() || m.now.Sub(first.CurrentAt()) > othersRead
 	at := first.Position()
 	if e.copy != first && !late && !e.copy.LacksDrop(at) && e.copy.CoveredBy(at) && sameKeys(first, e.copy) {
-		e.copy.Confirm(first.CurrentAt())
+		e.copy.MarkCurrent(first.CurrentAt())
 		return
 	}
 	m.readStore(e)
 }
 
-func sameKeys(a, b *feed.Copy) bool {
+func sameKeys(a, b *feed.Replica) bool {
 	return slices.EqualFunc(a.Records(), b.Records(), func(x, y feed.Record) bool { return x.Key == y.Key })
 }
 
@@ -256,11 +256,11 @@
 	for _, key := range changed {
 		r, ok := e.copy.Get(key)
 		if !ok {
-			e.directory.Drop(key, m.now)
+			e.directory.Remove(key, m.now)
 			continue
 		}
 		l := listing(key, uint16(r.Value[0])+1)
-		e.directory.List(l, r.Offset, m.now)
+		e.directory.Add(l, r.Offset, m.now)
 	}
 }
 
@@ -275,31 +275,31 @@
 }
 
 // reports are those of the sidecars that run.
-func (m *model) reports() []Living {
-	var all []Living
+func (m *model) reports() []Report {
+	var all []Report
 	for i, e := range m.engines {
 		if !e.up || m.now.Before(e.sidecar) {
 			continue
 		}
 		l := listing(e.name, uint16(i+1))
-		all = append(all, Living{Life: l.Life, Service: l.Service, Address: l.Address, Zone: l.Zone, BeganAfter: e.beganAfter, HeardAt: m.now})
+		all = append(all, Report{Incarnation: l.Incarnation, Service: l.Service, Address: l.Address, Zone: l.Zone, StartedAfter: e.beganAfter, ReceivedAt: m.now})
 	}
 	return all
 }
 
 // targets are what an entry may use.
 func (m *model) targets(e *modelEntry) map[netip.AddrPort]Target {
-	f := Following{
-		Started: e.startedAt, Since: e.copy.FollowedSince(), OutageBegan: e.copy.OutageBegin(), OutageEnded: e.copy.OutageEnd(),
+	f := SyncState{
+		StartedAt: e.startedAt, CompleteSince: e.copy.CompleteSince(), OutageBegan: e.copy.OutageBegin(), OutageEnded: e.copy.OutageEnd(),
 		Current: m.now.Sub(e.copy.CurrentAt()) < 2*time.Second,
 	}
 	if first := e.copy.FirstCurrentAt(); first.Sub(e.startedAt) > 1500*time.Millisecond {
-		f.Started = first
+		f.StartedAt = first
 	}
 	byService := e.directory.Targets(declared, m.now, f)
 	for _, l := range m.reports() {
 		l, seen := m.way.see(e, l, f, m.now)
-		e.directory.Correct(byService, []Living{l}, seen, m.now)
+		e.directory.ApplyReports(byService, []Report{l}, seen, m.now)
 	}
 	used := map[netip.AddrPort]Target{}
 	for _, t := range byService["s"] {
@@ -320,7 +320,7 @@
 		switch {
 		case ok && !engine.leftAt.IsZero() && m.now.Sub(engine.leftAt) > leftBound:
 			m.late += modelStep
-			m.lateStory = fmt.Sprintf("%s left %s ago and is used (doubtful %v) by an entry that started %s ago", engine.name, m.now.Sub(engine.leftAt), t.Doubtful, m.now.Sub(e.startedAt))
+			m.lateStory = fmt.Sprintf("%s left %s ago and is used (doubtful %v) by an entry that started %s ago", engine.name, m.now.Sub(engine.leftAt), t.Unconfirmed, m.now.Sub(e.startedAt))
 		case !ok && engine.up && engine.leftAt.IsZero():
 			m.idle += modelStep
 		}
@@ -352,7 +352,7 @@
 	used := m.targets(e)
 	for i, engine := range m.engines {
 		t, ok := used[listing(engine.name, uint16(i+1)).Address]
-		if engine.up && engine.listed && (!ok || t.Instance != engine.name || t.Doubtful) {
+		if engine.up && engine.listed && (!ok || t.Instance != engine.name || t.Unconfirmed) {
 			rt.Fatalf("%s is listed and not used: %+v", engine.name, t)
 		}
 	}
--- a/internal/gateway/fleet/reported_test.go
+++ b/internal/gateway/fleet/reported_test.go
@@ -6,16 +6,16 @@
 )
 
 // reportOf is a host's report of the life of a listing, which it saw begin after a time.
-func reportOf(l Listing, beganAfter time.Time) Living {
-	return Living{Life: l.Life, Service: l.Service, Address: l.Address, Zone: l.Zone, BeganAfter: beganAfter, HeardAt: start}
+func reportOf(l Listing, beganAfter time.Time) Report {
+	return Report{Incarnation: l.Incarnation, Service: l.Service, Address: l.Address, Zone: l.Zone, StartedAfter: beganAfter, ReceivedAt: start}
 }
 
 // used returns how a directory that has listed "other" uses a reported life.
-func used(d *Directory, l Living, f Following, now time.Time) (t Target, ok bool) {
+func used(d *Directory, l Report, f SyncState, now time.Time) (t Target, ok bool) {
 	byService := d.Targets(declared, now, f)
-	d.Correct(byService, []Living{l}, f, now)
+	d.ApplyReports(byService, []Report{l}, f, now)
 	for _, t := range byService["s"] {
-		if t.Life == l.Life {
+		if t.Incarnation == l.Incarnation {
 			return t, true
 		}
 	}
@@ -25,7 +25,7 @@
 func directoryOf(listings ...Listing) *Directory {
 	d := NewDirectory()
 	for i, l := range listings {
-		d.List(l, uint64(i), start)
+		d.Add(l, uint64(i), start)
 	}
 	return d
 }
@@ -36,7 +36,7 @@
 func TestReportedTargetThatLeftBeforeTheSnapshot(t *testing.T) {
 	d := directoryOf(listing("other", 1))
 	left := reportOf(listing("left", 2), time.Time{})
-	if target, ok := used(d, left, followed, start.Add(returnTime-time.Millisecond)); !ok || !target.Doubtful {
+	if target, ok := used(d, left, followed, start.Add(returnTime-time.Millisecond)); !ok || !target.Unconfirmed {
 		t.Errorf("within the time in which a lapsed entry returns: used %v, %+v", ok, target)
 	}
 	for _, after := range []time.Duration{returnTime, time.Minute, time.Hour} {
@@ -58,15 +58,15 @@
 func TestNewTargetIsUsedBeforeItIsListed(t *testing.T) {
 	d := directoryOf(listing("other", 1))
 	target, ok := used(d, reportOf(listing("new", 2), later.Add(-time.Second)), followed, later)
-	if !ok || target.Doubtful || !target.Unlisted {
+	if !ok || target.Unconfirmed || !target.Unlisted {
 		t.Errorf("used %v, %+v", ok, target)
 	}
 }
 
 // A process that starts while the store is away has the reports alone.
 func TestReportedTargetsAreUsedWithoutAList(t *testing.T) {
-	target, ok := used(NewDirectory(), reportOf(listing("x", 1), time.Time{}), Following{Started: start}, later)
-	if !ok || target.Doubtful {
+	target, ok := used(NewDirectory(), reportOf(listing("x", 1), time.Time{}), SyncState{StartedAt: start}, later)
+	if !ok || target.Unconfirmed {
 		t.Errorf("used %v, %+v", ok, target)
 	}
 }
@@ -78,8 +78,8 @@
 	report := reportOf(listing("x", 2), time.Time{})
 	away, back := followed, followed
 	away.Current, back.OutageEnded = false, later.Add(-time.Second)
-	for name, f := range map[string]Following{"away": away, "back": back} {
-		if target, ok := used(d, report, f, later); !ok || !target.Doubtful {
+	for name, f := range map[string]SyncState{"away": away, "back": back} {
+		if target, ok := used(d, report, f, later); !ok || !target.Unconfirmed {
 			t.Errorf("%s: used %v, %+v", name, ok, target)
 		}
 	}
@@ -92,7 +92,7 @@
 // reported it.
 func TestReportedTargetStaysGone(t *testing.T) {
 	d := directoryOf(listing("other", 1), listing("left", 2))
-	d.Drop("left", start)
+	d.Remove("left", start)
 	report := reportOf(listing("left", 2), start.Add(time.Second))
 	for now := start; now.Before(start.Add(3 * goneMemory)); now = now.Add(time.Second) {
 		if _, ok := used(d, report, followed, now); ok {
@@ -105,7 +105,7 @@
 // its entry did not: the report was taken for that of a later life.
 func TestReportedTargetWhoseEntryDidNotSayItsBirthStaysGone(t *testing.T) {
 	d := directoryOf(listing("other", 1), listing("left", 2))
-	d.Drop("left", later.Add(-time.Second))
+	d.Remove("left", later.Add(-time.Second))
 	if _, ok := used(d, reportOf(born("left", 2, 300), later.Add(-2*time.Second)), followed, later); ok {
 		t.Error("used")
 	}
@@ -128,10 +128,10 @@
 	leaving := listing("leaving", 2)
 	leaving.Leaving = true
 	d := directoryOf(listing("listed", 1), leaving, listing("gone", 3), listing("before", 4))
-	d.Drop("gone", start)
+	d.Remove("gone", start)
 	for _, c := range []struct {
 		story string
-		life  Living
+		life  Report
 		want  bool
 	}{
 		{"listed", reportOf(listing("listed", 1), time.Time{}), true},
@@ -141,12 +141,12 @@
 		{"new", reportOf(listing("new", 5), later.Add(-time.Second)), true},
 		{"left before the list was read", reportOf(listing("left", 6), time.Time{}), false},
 	} {
-		if got := d.Stays(declared, &c.life, followed, later); got != c.want {
+		if got := d.Active(declared, &c.life, followed, later); got != c.want {
 			t.Errorf("%s: stays %v", c.story, got)
 		}
 	}
 	inDoubt := reportOf(listing("left", 6), time.Time{})
-	if d.Stays(declared, &inDoubt, followed, start.Add(time.Second)) {
+	if d.Active(declared, &inDoubt, followed, start.Add(time.Second)) {
 		t.Error("stays while it is in doubt")
 	}
 }
@@ -155,7 +155,7 @@
 // copy shows the drop alone, of a target that was never seen.
 func TestReportedTargetThatWasListedBetweenTwoReads(t *testing.T) {
 	d := directoryOf(listing("other", 1))
-	d.Drop("brief", later.Add(-time.Second))
+	d.Remove("brief", later.Add(-time.Second))
 	if _, ok := used(d, reportOf(listing("brief", 2), later.Add(-3*time.Second)), followed, later); ok {
 		t.Error("used")
 	}
@@ -175,10 +175,10 @@
 		{dropped.Add(time.Millisecond), later, true, false},
 	} {
 		d := directoryOf(listing("other", 1), born("x", 2, 100))
-		d.Drop("x", dropped)
+		d.Remove("x", dropped)
 		target, ok := used(d, reportOf(born("x", 2, 200), c.began), followed, c.now)
-		if ok != c.want || target.Doubtful != c.doubtful {
-			t.Errorf("began %s from the drop: used %v, doubtful %v", c.began.Sub(dropped), ok, target.Doubtful)
+		if ok != c.want || target.Unconfirmed != c.doubtful {
+			t.Errorf("began %s from the drop: used %v, doubtful %v", c.began.Sub(dropped), ok, target.Unconfirmed)
 		}
 	}
 }
@@ -186,8 +186,8 @@
 // Guards against memory that grows with each target that was replaced at its address.
 func TestGoneTargetWhoseAddressIsUsedAgainIsForgotten(t *testing.T) {
 	d := directoryOf(listing("before", 1), listing("after", 1))
-	d.Drop("before", start)
-	d.Drop("undeclared", start)
+	d.Remove("before", start)
+	d.Remove("undeclared", start)
 	d.Targets(declared, start.Add(goneMemory+time.Second), followed)
 	if len(d.entries) != 1 {
 		t.Errorf("remembered are %d", len(d.entries))
@@ -197,7 +197,7 @@
 // What was remembered of a target ends once nobody has reported it for a while.
 func TestGoneTargetIsForgotten(t *testing.T) {
 	d := directoryOf(listing("left", 2))
-	d.Drop("left", start)
+	d.Remove("left", start)
 	used(d, reportOf(listing("left", 2), time.Time{}), followed, start.Add(time.Second))
 	d.Targets(declared, start.Add(goneMemory+2*time.Second), followed)
 	if len(d.entries) != 0 {
--- a/internal/gateway/forward/explain.go
+++ b/internal/gateway/forward/explain.go
@@ -42,7 +42,7 @@
 // Explain places a request of a workspace as if it had just arrived. It sends nothing and
 // records nothing.
 func (f *Forwarder) Explain(ctx context.Context, host, path, workspace string, request wire.Request) (*Explanation, *errkind.Error) {
-	fl := &flow{Forwarder: f, arrived: time.Now(), request: request, excluded: map[fleet.Life]bool{}}
+	fl := &flow{Forwarder: f, arrived: time.Now(), request: request, excluded: map[fleet.Incarnation]bool{}}
 	var ok bool
 	if fl.view, ok = f.View(); !ok || fl.view.Estate == nil {
 		return nil, errkind.After(errkind.ConfigurationMissing, noEstateRetryAfter, "")
@@ -54,7 +54,7 @@
 		return nil, errkind.New(errkind.UnknownWorkspace, "%q", workspace)
 	}
 	x := &Explanation{
-		Route: fl.routeName(), Service: fl.serviceName(), Estate: fl.estateVersion(), ListAge: fl.age(fl.view.ListedAt),
+		Route: fl.routeName(), Service: fl.serviceName(), Estate: fl.estateVersion(), ListAge: fl.age(fl.view.TargetsCurrentAt),
 		Targets: fl.view.Targets[fl.service.Name],
 	}
 	dst, refusal := fl.choose(ctx)
@@ -62,7 +62,7 @@
 	if dst != nil {
 		x.Chosen = dst.target.Instance
 	}
-	if fl.service.Engine != nil && fl.route.Prompted {
+	if fl.service.Engine != nil && fl.route.HasPrompts {
 		x.addRatings(ctx, fl)
 	}
 	return x, nil
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -55,13 +55,13 @@
 	View     func() (*view.View, bool)
 	Pool     *upstream.Pool
 	Ledger   *ledger.Ledger
-	Parts    *parts.Book
-	Health   *health.Book
-	Reach    *reach.Book
+	Parts    *parts.Index
+	Health   *health.Monitor
+	Reach    *reach.Monitor
 	// Quarantine tracks requests that were running when targets crashed; CrashDetector
 	// distinguishes crashes from other disconnects.
-	Quarantine    *quarantine.Book
-	CrashDetector *quarantine.Endings
+	Quarantine    *quarantine.Registry
+	CrashDetector *quarantine.CrashDetector
 	// Sidecars are probed in large fleets; nil disables probes.
 	Sidecars Sidecars
 	// Limits enforces the rate limits of workspaces; nil disables them.
@@ -84,7 +84,7 @@
 // them.
 type Sidecars interface {
 	// Ask returns the answers in the order of engines, and which of the engines answered.
-	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Answer, []bool)
+	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Response, []bool)
 	// Sent reports a send and returns the ID under which its progress is to be reported.
 	Sent(engine netip.AddrPort, s probe.Send) uint32
 	Progressed(engine netip.AddrPort, number uint32, p probe.Progress)
@@ -124,15 +124,15 @@
 	inFlight       atomic.Int64
 	random         atomic.Uint64
 	retryBudgets   sync.Map // by service name; values are *retry.Budget
-	prefillTime    *readtime.Meter
-	paces          *readtime.Paces
-	turnover       parts.Turnover
+	prefillTime    *readtime.Predictor
+	paces          *readtime.Slowdowns
+	turnover       parts.RetentionEstimator
 	callerTimeouts timeoutTracker
 }
 
 // New returns a Forwarder.
 func New(d Deps) *Forwarder {
-	f := &Forwarder{Deps: d, prefillTime: readtime.New(), paces: readtime.NewPaces()}
+	f := &Forwarder{Deps: d, prefillTime: readtime.NewPredictor(), paces: readtime.NewSlowdowns()}
 	f.random.Store(d.Seed)
 	return f
 }
@@ -160,9 +160,9 @@
 	slack := f.Bounds.RetrySlack * slackShare / float64(max(entries, 1))
 	b, ok := f.retryBudgets.Load(service)
 	if !ok {
-		b, _ = f.retryBudgets.LoadOrStore(service, retry.NewBudgetOf(slack))
+		b, _ = f.retryBudgets.LoadOrStore(service, retry.NewBudgetWithLimit(slack))
 	}
-	b.(*retry.Budget).SetMost(slack)
+	b.(*retry.Budget).SetLimit(slack)
 	return b.(*retry.Budget)
 }
 
@@ -178,9 +178,9 @@
 	request   wire.Request
 	body      []byte
 	// fingerprint identifies the request across the caller's retries.
-	fingerprint quarantine.Print
+	fingerprint quarantine.Fingerprint
 	// quarantineStatus is the request's status in the quarantine when it was last checked.
-	quarantineStatus quarantine.Standing
+	quarantineStatus quarantine.Status
 	arrived          time.Time
 	deadline         time.Time
 	retries          *retry.Budget
@@ -192,7 +192,7 @@
 	// totalWork is the work of all targets at the last placement.
 	totalWork map[fleet.ID]ledger.Work
 	// excluded targets are not tried again.
-	excluded map[fleet.Life]bool
+	excluded map[fleet.Incarnation]bool
 	// lastEvent is the ID of the last event relayed. responseStarted is set once the caller
 	// has received a byte of the response.
 	lastEvent       string
@@ -287,7 +287,7 @@
 	if refusal := fl.readBody(fl.view.Estate.Limits.BodyBytes); refusal != nil {
 		return refusal
 	}
-	fl.fingerprint = quarantine.PrintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
+	fl.fingerprint = quarantine.FingerprintOf(fl.workspaceName(), fl.r.RequestURI, fl.body)
 	return fl.checkQuarantine()
 }
 
@@ -297,8 +297,8 @@
 	if fl.route = e.Match(host, path); fl.route == nil {
 		return errkind.New(errkind.UnknownRoute, "host %q, path %q", host, path)
 	}
-	fl.service = e.Service(fl.route.Backend(float64(xxhash.Sum64String(fl.request.ID)>>11) / (1 << 53)))
-	fl.retries = fl.retryBudget(fl.service.Name, fl.view.Entries)
+	fl.service = e.Service(fl.route.PickBackend(float64(xxhash.Sum64String(fl.request.ID)>>11) / (1 << 53)))
+	fl.retries = fl.retryBudget(fl.service.Name, fl.view.EntryCount)
 	fl.deadline = fl.arrived.Add(defaultTimeout)
 	fl.isRetry = fl.callerTimeouts.isRetry(fl.route.Name, fl.request.TimeLeft)
 	if fl.request.TimeLeft > 0 {
@@ -322,10 +322,10 @@
 func (fl *flow) checkOutlivesEntry() *errkind.Error {
 	v := fl.view
 	longest := min(fl.timeLeft(), slowPrefillTime+time.Duration(fl.request.MaxTokens)*slowTokenTime)
-	if !v.Stopping || fl.arrived.Before(v.PicksFrom) || time.Now().Add(longest).Before(v.EndsAt) {
+	if !v.Stopping || fl.arrived.Before(v.SelectiveFrom) || time.Now().Add(longest).Before(v.ShutdownAt) {
 		return nil
 	}
-	return errkind.After(errkind.Stopping, fl.jitter(otherEntryRetryAfter), "the entry exits in %s", time.Until(v.EndsAt).Round(time.Millisecond))
+	return errkind.After(errkind.Stopping, fl.jitter(otherEntryRetryAfter), "the entry exits in %s", time.Until(v.ShutdownAt).Round(time.Millisecond))
 }
 
 const (
@@ -378,8 +378,8 @@
 // run sends the request until it is answered or no further send is possible. It returns nil
 // if the caller got a response.
 func (fl *flow) run(ctx context.Context) *errkind.Error {
-	fl.excluded = map[fleet.Life]bool{}
-	fl.lastEvent = fl.request.LastEvent
+	fl.excluded = map[fleet.Incarnation]bool{}
+	fl.lastEvent = fl.request.LastEventID
 	var lastRefusal *errkind.Error
 	for {
 		if refusal := fl.checkNextSend(ctx, lastRefusal); refusal != nil {
@@ -460,7 +460,7 @@
 	if fl.responseStarted && !(fl.route.Resumable && fl.lastEvent != "") {
 		return false // a new run would restart the stream
 	}
-	return result.notRun || fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts
+	return result.notRun || fl.route.Retryable() && fl.runs < fl.route.MaxAttempts
 }
 
 // jitter extends a retry delay by up to half, so that callers that were refused at the same
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -186,7 +186,7 @@
 	serve := func(self **fakeTarget) func(io.Writer, *http.Request, string) bool {
 		return func(w io.Writer, r *http.Request, body string) bool {
 			(*self).writeStreamHead(w, r)
-			if last := r.Header.Get(wiretest.LastEvent); last != "" {
+			if last := r.Header.Get(wiretest.LastEventID); last != "" {
 				if last != "2" {
 					t.Errorf("resumed after event %s, want 2", last)
 				}
@@ -420,8 +420,8 @@
 func TestEntryThatIsCutOffRefusesAtOnce(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	env := newTestEnv(t, tg)
-	env.Reach.Heard(time.Now().Add(-time.Second))
-	env.Reach.Failed(time.Now())
+	env.Reach.HeartbeatReceived(time.Now().Add(-time.Second))
+	env.Reach.ConnectFailed(time.Now())
 	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil {
 		t.Fatal(err)
@@ -443,7 +443,7 @@
 	var tg *fakeTarget
 	tg = startTarget(t, "i1", func(w io.Writer, r *http.Request, _ string) bool { return tg.writeSealed(w, r, 200, "answer") })
 	env := newTestEnv(t, tg)
-	env.view.Stopping, env.view.PicksFrom, env.view.EndsAt = true, time.Now(), time.Now().Add(time.Second)
+	env.view.Stopping, env.view.SelectiveFrom, env.view.ShutdownAt = true, time.Now(), time.Now().Add(time.Second)
 	resp, body, err := env.post(t, "/again/x", "")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "stopping") {
 		t.Errorf("a request of 2 s: response %v, body %s, error %v", resp, body, err)
@@ -459,8 +459,8 @@
 func TestPromptBeyondFirstEventTimeoutIsRefused(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	env := newTestEnv(t, tg)
-	env.view.Estate.Match(host, "/prompt/").Patience = 300 * time.Millisecond
-	busy := env.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Reading: ledger.Lane(0, 2*time.Second)}, time.Hour, time.Now())
+	env.view.Estate.Match(host, "/prompt/").MaxWait = 300 * time.Millisecond
+	busy := env.Ledger.Begin(fleet.IDOf("i1-engine"), ledger.Work{Running: 1, Prefill: ledger.AtPriority(0, 2*time.Second)}, time.Hour, time.Now())
 	defer busy.End()
 	resp, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "10,1")
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, "deadline_unmeetable") || resp.Header.Get("Retry-After") == "" {
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -49,13 +49,13 @@
 
 type noObserver struct{}
 
-func (noObserver) Blamed(*quarantine.Record, quarantine.End, bool) {}
-func (noObserver) Judged(*quarantine.Record, quarantine.Finding, quarantine.Finding, bool) {
+func (noObserver) CrashAttributed(*quarantine.Record, quarantine.Crash, bool) {}
+func (noObserver) FindingChanged(*quarantine.Record, quarantine.Finding, quarantine.Finding, bool) {
 }
-func (noObserver) Cleared(*quarantine.Record)        {}
-func (noObserver) Released(*quarantine.Record, bool) {}
-func (noObserver) Evicted(*quarantine.Record)        {}
-func (noObserver) Probation(*quarantine.Record)      {}
+func (noObserver) Cleared(*quarantine.Record)          {}
+func (noObserver) Released(*quarantine.Record, bool)   {}
+func (noObserver) Evicted(*quarantine.Record)          {}
+func (noObserver) ProbationStarted(*quarantine.Record) {}
 
 // fakeTarget is a target whose responses a test writes byte by byte.
 type fakeTarget struct {
@@ -168,7 +168,7 @@
 	}
 	routes = append(routes, estate.Route{
 		Name: "prompt", Host: host, PathPrefix: "/prompt/", Kind: estate.Stream, Timeout: 2 * time.Second, MaxAttempts: 1,
-		Prompted: true, Backends: []estate.Backend{{Service: "engines", Weight: 1}},
+		HasPrompts: true, Backends: []estate.Backend{{Service: "engines", Weight: 1}},
 	})
 	services := []estate.Service{
 		{Name: "plain"},
@@ -180,21 +180,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	env := &testEnv{view: &view.View{Estate: cfg, Targets: map[string][]fleet.Target{}, Entries: 1}}
+	env := &testEnv{view: &view.View{Estate: cfg, Targets: map[string][]fleet.Target{}, EntryCount: 1}}
 	directory := fleet.NewDirectory()
 	for _, tg := range targets {
 		address := netip.MustParseAddrPort(tg.listener.Addr().String())
-		directory.List(fleet.Listing{Life: fleet.Life{Instance: tg.instance}, Service: "plain", Address: address, Zone: "a", Slots: 4}, 1, time.Now())
-		directory.List(fleet.Listing{Life: fleet.Life{Instance: tg.instance + "-engine"}, Service: "engines", Address: address, Zone: "a", Slots: 4, Weights: map[string]int64{model: 3}}, 1, time.Now())
+		directory.Add(fleet.Listing{Incarnation: fleet.Incarnation{Instance: tg.instance}, Service: "plain", Address: address, Zone: "a", Slots: 4}, 1, time.Now())
+		directory.Add(fleet.Listing{Incarnation: fleet.Incarnation{Instance: tg.instance + "-engine"}, Service: "engines", Address: address, Zone: "a", Slots: 4, Weights: map[string]int64{model: 3}}, 1, time.Now())
 	}
-	env.view.Targets = directory.Targets(func(string) bool { return true }, time.Now(), fleet.Following{})
+	env.view.Targets = directory.Targets(func(string) bool { return true }, time.Now(), fleet.SyncState{})
 	env.view.Wanted = map[string]weights.History{}
 	env.pool = upstream.NewPool(func() {})
 	env.Forwarder = New(Deps{
 		Protocol: wiretest.Protocol{}, View: func() (*view.View, bool) { return env.view, true }, Pool: env.pool,
-		Ledger: ledger.New(), Parts: parts.NewBook(), Health: health.NewBook(nil), Reach: &reach.Book{},
-		Quarantine:    quarantine.NewBook(quarantine.Limits{Ends: 3, SuspectFor: time.Hour, HoldFor: time.Hour, Records: 100}, noObserver{}),
-		CrashDetector: quarantine.NewEndings(func(ctx context.Context, t *fleet.Target) bool { return env.pool.Refuses(ctx, t.Address) }),
+		Ledger: ledger.New(), Parts: parts.NewIndex(), Health: health.NewMonitor(nil), Reach: &reach.Monitor{},
+		Quarantine:    quarantine.NewRegistry(quarantine.Limits{MaxCrashes: 3, SuspectFor: time.Hour, RefuseFor: time.Hour, MaxRecords: 100}, noObserver{}),
+		CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return env.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds:        Bounds{RetryRatio: 0.5, RetrySlack: 100, MaxStaleness: 5 * time.Second}, Zone: "a",
 		Logger: logr.Discard(), RoutineLogger: logr.Discard(), Metrics: noMetrics{}, AnnounceWork: func(fleet.ID) {}, Now: time.Now, Seed: 1,
 	})
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -63,7 +63,7 @@
 		return min(probationWait, time.Duration(probationWaitShare*float64(fl.timeLeft())))
 	}
 	wait := min(maxPlaceWait, time.Duration(placeWaitShare*float64(fl.timeLeft())))
-	if fl.view.Large && fl.route.Prompted && fl.route.TargetLatency > 0 {
+	if fl.view.LargeFleet && fl.route.HasPrompts && fl.route.TargetLatency > 0 {
 		wait = min(wait, time.Duration(unnoticedWaitShare*float64(fl.route.TargetLatency)))
 	}
 	return wait
@@ -96,9 +96,9 @@
 	now := fl.Now()
 	for i, k := range dst.partKeys {
 		cached, inProgress := false, false
-		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
-			cached = cached || s == parts.Held
-			inProgress = inProgress || s == parts.Coming
+		fl.Parts.VisitLocations(k, fl.request.Parts[i].Tokens, now, func(_ fleet.ID, s parts.State) {
+			cached = cached || s == parts.Cached
+			inProgress = inProgress || s == parts.InProgress
 		})
 		if !cached {
 			return inProgress
@@ -109,10 +109,10 @@
 
 // choose chooses a target from the current view, without waiting.
 func (fl *flow) choose(ctx context.Context) (*destination, *errkind.Error) {
-	if fl.service.Engine != nil && fl.Reach.CutOff(fl.Now()) {
+	if fl.service.Engine != nil && fl.Reach.Partitioned(fl.Now()) {
 		return nil, errkind.After(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine or sidecar has responded recently")
 	}
-	if fl.service.Engine != nil && fl.route.Prompted {
+	if fl.service.Engine != nil && fl.route.HasPrompts {
 		return fl.chooseEngine(ctx)
 	}
 	return fl.choosePlain()
@@ -122,12 +122,12 @@
 // preferably in the entry's availability zone.
 func (fl *flow) choosePlain() (*destination, *errkind.Error) {
 	totals := fl.Ledger.Totals(fl.Now())
-	ejected := fl.Health.Rested(fl.Now())
+	ejected := fl.Health.Ejected(fl.Now())
 	best, lowest := -1, math.Inf(1)
 	targets := fl.view.Targets[fl.service.Name]
 	for i := range targets {
 		t := &targets[i]
-		if t.Leaving || fl.excluded[t.Life] {
+		if t.Leaving || fl.excluded[t.Incarnation] {
 			continue
 		}
 		if fl.mustAvoid(t) {
@@ -141,7 +141,7 @@
 		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "no target of %s", fl.service.Name)
 	}
 	dst := &destination{target: targets[best], work: ledger.Work{Running: 1}}
-	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
+	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		dst.maxWait = fl.timeLeft() / 2
 	}
 	return dst, nil
@@ -161,20 +161,20 @@
 )
 
 // plainCost returns the cost of a target in running requests.
-func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, ejected map[fleet.Life]time.Time) float64 {
+func (fl *flow) plainCost(t *fleet.Target, w ledger.Work, ejected map[fleet.Incarnation]time.Time) float64 {
 	cost := float64(w.Running) + fl.uniform()/2
 	if key := fl.suspectKey(); key != 0 {
 		cost = placement.Rank(key, t.Hash)
-	} else if fl.view.Large {
+	} else if fl.view.LargeFleet {
 		cost += fl.uniform() * largeFleetSpread
 	}
 	if t.Zone != fl.Zone && fl.suspectKey() == 0 {
 		cost += crossZoneRequests
 	}
-	if t.Doubtful {
+	if t.Unconfirmed {
 		cost += doubtfulRequests
 	}
-	if _, ok := ejected[t.Life]; ok {
+	if _, ok := ejected[t.Incarnation]; ok {
 		cost += ejectedRequests
 	}
 	if excess := w.Running + 1 - t.Slots; t.Slots > 0 && excess > 0 {
@@ -194,7 +194,7 @@
 			if p.offloaded() {
 				dst.offloadTo = ""
 			}
-			dst.inProgress = p.inProgress && dst.choice.Held+dst.choice.Fetched < in.Shared
+			dst.inProgress = p.inProgress && dst.choice.CachedTokens+dst.choice.FetchedTokens < in.SharedTokens
 		}
 		return dst, refusal
 	}
@@ -203,7 +203,7 @@
 }
 
 // resolveChoice turns a placement choice into a destination or a refusal.
-func (fl *flow) resolveChoice(in *placement.Question, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
+func (fl *flow) resolveChoice(in *placement.Input, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
 	if choice.Index < 0 {
 		return nil, errkind.After(errkind.NoTarget, fl.jitter(fl.noEngineRetryAfter(in)), "no engine of %s can accept the request now", fl.service.Name)
 	}
@@ -213,8 +213,8 @@
 	c := &candidates[choice.Index]
 	dst := fl.engineDestination(targets[choice.Index], c, choice, in)
 	dst.linkTime = choice.Fetch
-	if choice.Fetched == 0 && choice.FetchFrom.IsValid() {
-		missing := unknownStoreShare * float64(max(in.Shared-choice.Held, 0))
+	if choice.FetchedTokens == 0 && choice.FetchFrom.IsValid() {
+		missing := unknownStoreShare * float64(max(in.SharedTokens-choice.CachedTokens, 0))
 		dst.linkTime = time.Duration(c.Source.FetchMs(int(missing)) * float64(time.Millisecond))
 	}
 	return dst, nil
@@ -226,8 +226,8 @@
 
 // noEngineRetryAfter returns the retry delay for a caller whose prompt no engine can
 // accept.
-func (fl *flow) noEngineRetryAfter(in *placement.Question) time.Duration {
-	if in.MemoryShare > 0 {
+func (fl *flow) noEngineRetryAfter(in *placement.Input) time.Duration {
+	if in.MaxMemoryShare > 0 {
 		return memoryFullRetryAfter
 	}
 	return busyRetryAfter
@@ -236,10 +236,10 @@
 // firstEventTimeout returns the time left for the first event, which may be less than the
 // time until the deadline: callers of streams give up earlier if they receive nothing.
 func (fl *flow) firstEventTimeout() time.Duration {
-	if fl.route.Patience == 0 {
+	if fl.route.MaxWait == 0 {
 		return fl.timeLeft()
 	}
-	return min(fl.timeLeft(), fl.route.Patience-time.Since(fl.arrived))
+	return min(fl.timeLeft(), fl.route.MaxWait-time.Since(fl.arrived))
 }
 
 // candidates returns the engines of the prompt's service, in the order of the view.
@@ -249,7 +249,7 @@
 	candidates := make([]placement.Candidate, len(targets))
 	totals := fl.Ledger.Totals(fl.Now())
 	fl.totalWork = totals
-	ejected := fl.Health.Rested(fl.Now())
+	ejected := fl.Health.Ejected(fl.Now())
 	retention := fl.partRetention(targets, totals)
 	schedule := fl.loadSchedule(targets)
 	locations := fl.locationsByVersion(retention)
@@ -257,18 +257,18 @@
 		t := &targets[i]
 		c := &candidates[i]
 		*c = placement.Candidate{
-			Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone,
-			Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Emptying: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
+			Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone,
+			Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Draining: fl.view.Phase(t) == weights.Draining, Version: fl.view.Version(t, fl.request.Model),
 			Slots: t.Slots, Memory: fl.service.Engine.CacheTokens, Work: totals[t.ID],
 		}
-		c.LoadsIn, c.Loads = schedule[t.Life]
-		c.Pace = fl.paces.Of(t.Life, fl.Now())
-		c.Behind = wanted.Behind(c.Version, fl.Now())
+		c.LoadStartsIn, c.LoadScheduled = schedule[t.Incarnation]
+		c.Slowdown = fl.paces.Factor(t.Incarnation, fl.Now())
+		c.StaleFor = wanted.StaleFor(c.Version, fl.Now())
 		if c.Slots == 0 {
 			c.Slots = fl.service.Engine.Slots
 		}
-		_, c.Rested = ejected[t.Life]
-		c.Rested = c.Rested || t.Doubtful || fl.view.Silent[t.Address]
+		_, c.Ejected = ejected[t.Incarnation]
+		c.Ejected = c.Ejected || t.Unconfirmed || fl.view.Unresponsive[t.Address]
 		locations.get(c.Version).fillCandidate(c, t)
 	}
 	return candidates
@@ -276,13 +276,13 @@
 
 // loadSchedule returns the time until each engine loads the wanted weights; nil if no
 // engine is stale.
-func (fl *flow) loadSchedule(targets []fleet.Target) map[fleet.Life]time.Duration {
+func (fl *flow) loadSchedule(targets []fleet.Target) map[fleet.Incarnation]time.Duration {
 	wanted := fl.view.Wanted[fl.request.Model].Newest()
 	engines := make([]weights.EngineView, len(targets))
 	stale := false
 	for i := range targets {
 		t := &targets[i]
-		engines[i] = weights.EngineView{Life: t.Life, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
+		engines[i] = weights.EngineView{Incarnation: t.Incarnation, Version: fl.view.Version(t, fl.request.Model), Phase: fl.view.Phase(t)}
 		stale = stale || engines[i].Version < wanted
 	}
 	if !stale {
@@ -295,27 +295,27 @@
 func (fl *flow) partRetention(targets []fleet.Target, totals map[fleet.ID]ledger.Work) time.Duration {
 	running := 0
 	for i := range targets {
-		running += totals[targets[i].ID].Memory.All()
+		running += totals[targets[i].ID].Memory.Total()
 	}
 	free := fl.service.Engine.CacheTokens - running/max(len(targets), 1)
-	return fl.turnover.Kept(fl.view.Entries, len(targets), max(free, 0), fl.Now())
+	return fl.turnover.Retention(fl.view.EntryCount, len(targets), max(free, 0), fl.Now())
 }
 
 // placementInput returns what the placement decision needs to know about the request.
-func (fl *flow) placementInput() *placement.Question {
-	in := &placement.Question{Aim: fl.route.TargetLatency - time.Since(fl.arrived), VersionBound: fl.Bounds.MaxStaleness, FarCost: placement.FarCost, ReadTime: fl.prefillTime.Of, MaxTokens: fl.request.MaxTokens}
-	in.Urgency, in.LateUrgency = fl.priority(false), fl.priority(true)
-	in.Apart = fl.suspectKey()
+func (fl *flow) placementInput() *placement.Input {
+	in := &placement.Input{Objective: fl.route.TargetLatency - time.Since(fl.arrived), MaxStaleness: fl.Bounds.MaxStaleness, CrossZoneCost: placement.CrossZoneCost, PrefillTime: fl.prefillTime.PrefillTime, MaxTokens: fl.request.MaxTokens}
+	in.Priority, in.LatePriority = fl.priority(false), fl.priority(true)
+	in.PinKey = fl.suspectKey()
 	for i, p := range fl.request.Parts {
 		if i < len(fl.request.Parts)-1 {
-			in.Shared += p.Tokens
+			in.SharedTokens += p.Tokens
 			in.Family = xxhash.Sum64String(p.ID)
 		}
 		if i == 0 {
-			in.Outer = xxhash.Sum64String(fl.isolatedWorkspace() + "\x00" + p.ID)
+			in.FirstPart = xxhash.Sum64String(fl.isolatedWorkspace() + "\x00" + p.ID)
 		}
 	}
-	in.Own = max(fl.request.PromptTokens-in.Shared, 0)
+	in.OwnTokens = max(fl.request.PromptTokens-in.SharedTokens, 0)
 	return in
 }
 
@@ -323,19 +323,19 @@
 const meanAnswerDivisor = 2
 
 // engineDestination returns the destination for a chosen candidate.
-func (fl *flow) engineDestination(t fleet.Target, c *placement.Candidate, choice placement.Choice, in *placement.Question) *destination {
+func (fl *flow) engineDestination(t fleet.Target, c *placement.Candidate, choice placement.Choice, in *placement.Input) *destination {
 	cacheScope := fl.cacheScopeAt(c.Version)
 	partKeys := parts.Keys(cacheScope, fl.request.Parts)
-	slowdown := max(c.Pace, 1)
+	slowdown := max(c.Slowdown, 1)
 	dst := &destination{
 		slowdown:           slowdown,
-		expectedFirstEvent: time.Duration(float64(choice.Wait+choice.Read)/slowdown) + choice.Fetch,
+		expectedFirstEvent: time.Duration(float64(choice.Wait+choice.Prefill)/slowdown) + choice.Fetch,
 		target:             t, cacheScope: cacheScope, weightsVersion: c.Version, choice: choice, fetchFrom: choice.FetchFrom, partKeys: partKeys, offloadTo: fl.offloadTo(partKeys, in),
-		work: ledger.Work{Running: 1, Reading: ledger.Lane(choice.Urgency, choice.Read)},
+		work: ledger.Work{Running: 1, Prefill: ledger.AtPriority(choice.Priority, choice.Prefill)},
 	}
-	dst.memoryTokens = choice.ReadTokens + choice.Fetched + in.MaxTokens/meanAnswerDivisor
-	dst.work.Memory = ledger.Lane(choice.Urgency, dst.memoryTokens)
-	if fl.route.Repeatable() && fl.runs+1 < fl.route.MaxAttempts {
+	dst.memoryTokens = choice.PrefillTokens + choice.FetchedTokens + in.MaxTokens/meanAnswerDivisor
+	dst.work.Memory = ledger.AtPriority(choice.Priority, dst.memoryTokens)
+	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		dst.maxWait = firstEventMaxWait(choice, fl.timeLeft())
 	}
 	return dst
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -38,7 +38,7 @@
 	// selected holds the indexes of the probed engines among the service's targets.
 	selected   map[int]bool
 	targets    []fleet.Target
-	answers    []probe.Answer
+	answers    []probe.Response
 	answered   []bool
 	candidates []placement.Candidate
 	choice     placement.Choice
@@ -49,40 +49,40 @@
 // probeEngines probes the best ranked engines of a prompt, and others when those are busy.
 // It returns nil if no sidecar answers: the entry then relies on the target list and its
 // own sends.
-func (fl *flow) probeEngines(ctx context.Context, in *placement.Question) *probeRound {
-	if !fl.view.Large || fl.Sidecars == nil {
+func (fl *flow) probeEngines(ctx context.Context, in *placement.Input) *probeRound {
+	if !fl.view.LargeFleet || fl.Sidecars == nil {
 		return nil
 	}
-	in.FarCost = placement.FarCostAsked
+	in.CrossZoneCost = placement.CrossZoneCostProbed
 	switch {
 	case fl.route.Priority == 0: // engines preempt others for these
 	case fl.isRetry:
-		in.MemoryShare = placement.ReturnMemoryShare
+		in.MaxMemoryShare = placement.RetryMemoryShare
 	default:
-		in.MemoryShare = placement.LaterMemoryShare
+		in.MaxMemoryShare = placement.LowPriorityMemoryShare
 	}
 	p := &probeRound{fl: fl, selected: map[int]bool{}}
 	ranked := fl.ranked()
-	if in.Apart != 0 {
+	if in.PinKey != 0 {
 		return p.probeSuspect(ctx, in, ranked)
 	}
-	p.probeMore(ctx, placement.Shortlist(in.Outer, in.Family, ranked, familyProbes, sameZoneProbes))
+	p.probeMore(ctx, placement.Shortlist(in.FirstPart, in.Family, ranked, familyProbes, sameZoneProbes))
 	if !p.anyAnswered() {
 		return nil
 	}
 	p.pick(in)
-	if p.choice.Index >= 0 && !p.choice.Late && p.choice.Estimate <= time.Duration(busyShare*float64(in.Aim)) {
+	if p.choice.Index >= 0 && !p.choice.Late && p.choice.Estimate <= time.Duration(busyShare*float64(in.Objective)) {
 		return p
 	}
-	p.probeMore(ctx, placement.Draw(ranked, p.selected, randomProbes, fl.uniform))
+	p.probeMore(ctx, placement.Sample(ranked, p.selected, randomProbes, fl.uniform))
 	p.pick(in)
 	return p
 }
 
 // probeSuspect probes the best ranked engines for a quarantined request. They are the same
 // at every entry.
-func (p *probeRound) probeSuspect(ctx context.Context, in *placement.Question, ranked []placement.Ranked) *probeRound {
-	p.probeMore(ctx, placement.Shortlist(in.Apart, in.Apart, ranked, familyProbes, 0))
+func (p *probeRound) probeSuspect(ctx context.Context, in *placement.Input, ranked []placement.RankedEngine) *probeRound {
+	p.probeMore(ctx, placement.Shortlist(in.PinKey, in.PinKey, ranked, familyProbes, 0))
 	if !p.anyAnswered() {
 		return nil
 	}
@@ -91,14 +91,14 @@
 }
 
 // ranked returns the engines of the prompt's service for ranking.
-func (fl *flow) ranked() []placement.Ranked {
+func (fl *flow) ranked() []placement.RankedEngine {
 	targets := fl.view.Targets[fl.service.Name]
-	ejected := fl.Health.Rested(fl.Now())
-	ranked := make([]placement.Ranked, len(targets))
+	ejected := fl.Health.Ejected(fl.Now())
+	ranked := make([]placement.RankedEngine, len(targets))
 	for i := range targets {
 		t := &targets[i]
-		_, isEjected := ejected[t.Life]
-		ranked[i] = placement.Ranked{Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || isEjected || t.Doubtful || fl.excluded[t.Life] || fl.view.Silent[t.Address]}
+		_, isEjected := ejected[t.Incarnation]
+		ranked[i] = placement.RankedEngine{Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || isEjected || t.Unconfirmed || fl.excluded[t.Incarnation] || fl.view.Unresponsive[t.Address]}
 	}
 	return ranked
 }
@@ -120,7 +120,7 @@
 }
 
 // pick chooses among all engines probed so far.
-func (p *probeRound) pick(in *placement.Question) {
+func (p *probeRound) pick(in *placement.Input) {
 	p.adoptIncarnations()
 	p.inProgress = false
 	byVersion := map[int64]*promptLocations{}
@@ -132,15 +132,15 @@
 		}
 		byVersion[c.Version].fillCandidate(&c, &p.targets[i])
 		p.candidates[i] = c
-		p.inProgress = p.inProgress || p.answered[i] && p.answers[i].Coming
+		p.inProgress = p.inProgress || p.answered[i] && p.answers[i].PrefillInProgress
 	}
 	p.choice = placement.Pick(in, p.candidates)
 }
 
 // answerOf returns an engine's answer, or one of unknown age if it did not answer.
-func (p *probeRound) answerOf(i int) probe.Answer {
+func (p *probeRound) answerOf(i int) probe.Response {
 	if !p.answered[i] {
-		return probe.Answer{ReportAge: unknownAge}
+		return probe.Response{ReportAge: unknownAge}
 	}
 	return p.answers[i]
 }
@@ -150,9 +150,9 @@
 func (p *probeRound) adoptIncarnations() {
 	for i := range p.targets {
 		t := &p.targets[i]
-		if incarnation := p.answers[i].Life; p.answered[i] && incarnation.Instance != "" && incarnation != t.Life {
+		if incarnation := p.answers[i].Incarnation; p.answered[i] && incarnation.Instance != "" && incarnation != t.Incarnation {
 			listing := t.Listing
-			listing.Life = incarnation
+			listing.Incarnation = incarnation
 			*t = fleet.NewTarget(listing)
 		}
 	}
@@ -163,24 +163,24 @@
 func (p *probeRound) candidate(i int) placement.Candidate {
 	fl, t, a := p.fl, &p.targets[i], &p.answers[i]
 	c := placement.Candidate{
-		Address: t.Address, Hash: t.Hash, Near: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Life] || fl.mustAvoid(t),
+		Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t),
 		Version: fl.view.Version(t, fl.request.Model), Slots: t.Slots, Memory: fl.service.Engine.CacheTokens,
 	}
 	if c.Slots == 0 {
 		c.Slots = fl.service.Engine.Slots
 	}
 	if p.answered[i] {
-		c.Work, c.Arriving, c.Pace, c.Held = a.Work, a.Arriving, a.Pace, a.Held
-		c.Loading, c.Emptying = a.Phase == weights.Loading, a.Phase == weights.Emptying
-		c.Rested = a.Ill || a.ReportAge > staleReportAge || t.Doubtful
-		c.Excluded = c.Excluded || a.Phase == weights.Silent
-		if version, ok := a.Weights[fl.request.Model]; ok {
+		c.Work, c.OfferedLoad, c.Slowdown, c.CachedTokens = a.Work, a.OfferedLoad, a.Slowdown, a.CachedTokens
+		c.Loading, c.Draining = a.Phase == weights.Loading, a.Phase == weights.Draining
+		c.Ejected = a.Unhealthy || a.ReportAge > staleReportAge || t.Unconfirmed
+		c.Excluded = c.Excluded || a.Phase == weights.Unresponsive
+		if version, ok := a.WeightVersions[fl.request.Model]; ok {
 			c.Version = version
 		}
 	} else {
-		c.Work, c.Rested = fl.Ledger.OwnAt(t.ID, fl.Now()), true
+		c.Work, c.Ejected = fl.Ledger.OwnAt(t.ID, fl.Now()), true
 	}
-	c.Behind = fl.view.Wanted[fl.request.Model].Behind(c.Version, fl.Now())
+	c.StaleFor = fl.view.Wanted[fl.request.Model].StaleFor(c.Version, fl.Now())
 	return c
 }
 
@@ -189,18 +189,18 @@
 //
 // A store is a source only for prompts that are offloaded. Its content isn't known here, so
 // that it would otherwise be preferred to engines that do have the parts.
-func (p *probeRound) lookUp(in *placement.Question, version int64) *promptLocations {
+func (p *probeRound) lookUp(in *placement.Input, version int64) *promptLocations {
 	fl := p.fl
 	out := &promptLocations{cached: map[fleet.ID]int{}, sharedTokens: fl.sharedTokens()}
 	for i := range p.targets {
 		t, a := &p.targets[i], &p.answers[i]
-		if !p.answered[i] || a.Held == 0 || a.Weights[fl.request.Model] != version {
+		if !p.answered[i] || a.CachedTokens == 0 || a.WeightVersions[fl.request.Model] != version {
 			continue
 		}
-		out.cached[t.ID] = a.Held
-		if a.Phase != weights.Silent && a.ReportAge <= staleReportAge {
+		out.cached[t.ID] = a.CachedTokens
+		if a.Phase != weights.Unresponsive && a.ReportAge <= staleReportAge {
 			out.sources = append(out.sources, source{
-				id: t.ID, address: t.Address, zone: t.Zone, peer: true, tokens: a.Held, rate: fl.linkRate(fl.service.Engine.LinkMbps),
+				id: t.ID, address: t.Address, zone: t.Zone, peer: true, tokens: a.CachedTokens, rate: fl.linkRate(fl.service.Engine.LinkMbps),
 			})
 		}
 	}
@@ -217,12 +217,12 @@
 	fl := p.fl
 	for i := range p.answers {
 		a := &p.answers[i]
-		if !a.Holder.IsValid() || a.Weights[fl.request.Model] != version || p.hasAnswered(a.Holder) {
+		if !a.Holder.IsValid() || a.WeightVersions[fl.request.Model] != version || p.hasAnswered(a.Holder) {
 			continue
 		}
 		targets := fl.view.Targets[fl.service.Name]
 		index := slices.IndexFunc(targets, func(t fleet.Target) bool { return t.Address == a.Holder })
-		if index < 0 || fl.view.Silent[a.Holder] {
+		if index < 0 || fl.view.Unresponsive[a.Holder] {
 			continue
 		}
 		out.sources = append(out.sources, source{
@@ -264,12 +264,12 @@
 
 // offloaded reports whether a probed engine has offloaded the prompt's parts recently.
 func (p *probeRound) offloaded() bool {
-	return slices.ContainsFunc(p.answers, func(a probe.Answer) bool { return a.Saved })
+	return slices.ContainsFunc(p.answers, func(a probe.Response) bool { return a.Offloaded })
 }
 
 // sharedParts returns the prompt's shared parts for a probe.
 func (fl *flow) sharedParts() probe.Prompt {
-	p := probe.Prompt{Model: fl.request.Model, Isolated: fl.isolatedWorkspace()}
+	p := probe.Prompt{Model: fl.request.Model, IsolatedWorkspace: fl.isolatedWorkspace()}
 	if n := len(fl.request.Parts) - 1; n > 0 {
 		p.Parts = fl.request.Parts[:n]
 	}
@@ -288,12 +288,12 @@
 		return
 	}
 	dst.sendID = fl.Sidecars.Sent(dst.target.Address, probe.Send{
-		Prompt: fl.sharedParts(), Weights: dst.weightsVersion, Read: time.Duration(dst.slowdown * float64(fl.prefillTime.Occupies(dst.choice.ReadTokens))),
-		Urgency: dst.choice.Urgency, Memory: dst.choice.Held + dst.memoryTokens, Saved: dst.offloadTo != "",
+		Prompt: fl.sharedParts(), WeightVersion: dst.weightsVersion, PrefillTime: time.Duration(dst.slowdown * float64(fl.prefillTime.BlockingTime(dst.choice.PrefillTokens))),
+		Priority: dst.choice.Priority, Memory: dst.choice.CachedTokens + dst.memoryTokens, Offloaded: dst.offloadTo != "",
 		Lifetime: min(fl.timeLeft(), dst.choice.Estimate+time.Duration(fl.request.MaxTokens)*slowTokenTime+lifetimeMargin),
 	})
-	if dst.familyFirst != dst.target.Address && dst.choice.ReadTokens > fl.request.PromptTokens-fl.sharedTokens() {
-		dst.familyFirstSendID = fl.Sidecars.Sent(dst.familyFirst, probe.Send{Prompt: fl.sharedParts(), Weights: dst.weightsVersion, Saved: dst.offloadTo != "", Holder: dst.target.Address})
+	if dst.familyFirst != dst.target.Address && dst.choice.PrefillTokens > fl.request.PromptTokens-fl.sharedTokens() {
+		dst.familyFirstSendID = fl.Sidecars.Sent(dst.familyFirst, probe.Send{Prompt: fl.sharedParts(), WeightVersion: dst.weightsVersion, Offloaded: dst.offloadTo != "", Holder: dst.target.Address})
 	}
 }
 
@@ -302,9 +302,9 @@
 	if !dst.probed {
 		return
 	}
-	progress := probe.Progress{Read: true}
-	if dst.choice.ReadTokens > 0 {
-		progress.Took, progress.Expected = time.Since(fl.sentAt), dst.expectedFirstEvent
+	progress := probe.Progress{PrefillDone: true}
+	if dst.choice.PrefillTokens > 0 {
+		progress.Latency, progress.ExpectedLatency = time.Since(fl.sentAt), dst.expectedFirstEvent
 	}
 	fl.notifyProgress(dst, progress)
 }
@@ -327,5 +327,5 @@
 // recordOutcome records the health outcome of a send.
 func (fl *flow) recordOutcome(dst *destination, o health.Outcome) {
 	fl.outcome = o
-	fl.Health.Note(fl.service.Name, dst.target.Life, o, fl.Now())
+	fl.Health.Record(fl.service.Name, dst.target.Incarnation, o, fl.Now())
 }
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -21,7 +21,7 @@
 // fakeSidecars answers probes by engine address and records what is reported.
 type fakeSidecars struct {
 	mu       sync.Mutex
-	answers  map[netip.AddrPort]probe.Answer
+	answers  map[netip.AddrPort]probe.Response
 	probes   int
 	sends    map[netip.AddrPort][]probe.Send
 	progress map[netip.AddrPort][]probe.Progress
@@ -30,14 +30,14 @@
 }
 
 func newFakeSidecars() *fakeSidecars {
-	return &fakeSidecars{answers: map[netip.AddrPort]probe.Answer{}, sends: map[netip.AddrPort][]probe.Send{}, progress: map[netip.AddrPort][]probe.Progress{}}
+	return &fakeSidecars{answers: map[netip.AddrPort]probe.Response{}, sends: map[netip.AddrPort][]probe.Send{}, progress: map[netip.AddrPort][]probe.Progress{}}
 }
 
-func (s *fakeSidecars) Ask(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Answer, []bool) {
+func (s *fakeSidecars) Ask(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Response, []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probes++
-	answers, known := make([]probe.Answer, len(engines)), make([]bool, len(engines))
+	answers, known := make([]probe.Response, len(engines)), make([]bool, len(engines))
 	for i, engine := range engines {
 		answers[i], known[i] = s.answers[engine]
 	}
@@ -60,7 +60,7 @@
 	s.progress[engine] = append(s.progress[engine], p)
 }
 
-func (s *fakeSidecars) setAnswer(engine netip.AddrPort, a probe.Answer) {
+func (s *fakeSidecars) setAnswer(engine netip.AddrPort, a probe.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers[engine] = a
@@ -72,10 +72,10 @@
 	t.Helper()
 	env := newTestEnv(t, targets...)
 	sidecars := newFakeSidecars()
-	env.view.Large, env.Forwarder.Sidecars = true, sidecars
+	env.view.LargeFleet, env.Forwarder.Sidecars = true, sidecars
 	for i := range env.view.Targets["engines"] {
 		tg := &env.view.Targets["engines"][i]
-		sidecars.answers[tg.Address] = probe.Answer{Life: tg.Life, Weights: map[string]int64{model: 3}, Pace: 1}
+		sidecars.answers[tg.Address] = probe.Response{Incarnation: tg.Incarnation, WeightVersions: map[string]int64{model: 3}, Slowdown: 1}
 		// All engines rank equally for the tests' family.
 		tg.Hash = 0
 	}
@@ -132,7 +132,7 @@
 	busy, idle := startStreamTarget(t, "busy"), startStreamTarget(t, "idle")
 	env, sidecars := newProbedEnv(t, busy, idle)
 	a := sidecars.answers[addressOf(busy)]
-	a.Work = ledger.Work{Running: 30, Reading: ledger.Lane(0, 3*time.Second)}
+	a.Work = ledger.Work{Running: 30, Prefill: ledger.AtPriority(0, 3*time.Second)}
 	sidecars.setAnswer(addressOf(busy), a)
 	if resp := postPrompt(t, env); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
@@ -143,11 +143,11 @@
 	env.server.Close()
 	sidecars.mu.Lock()
 	defer sidecars.mu.Unlock()
-	if sends := sidecars.sends[addressOf(idle)]; len(sends) != 1 || sends[0].Weights != 3 || len(sends[0].Prompt.Parts) != 2 {
+	if sends := sidecars.sends[addressOf(idle)]; len(sends) != 1 || sends[0].WeightVersion != 3 || len(sends[0].Prompt.Parts) != 2 {
 		t.Errorf("reported sends: %+v", sends)
 	}
 	progress := sidecars.progress[addressOf(idle)]
-	if len(progress) != 2 || !progress[0].Read || !progress[1].Ended || progress[1].Outcome != health.Good {
+	if len(progress) != 2 || !progress[0].PrefillDone || !progress[1].Ended || progress[1].Outcome != health.Good {
 		t.Errorf("reported progress: %+v", progress)
 	}
 }
@@ -157,7 +157,7 @@
 func TestProbeAnswerOverridesTargetList(t *testing.T) {
 	tg, got := startHeaderRecorder(t, "old")
 	env, sidecars := newProbedEnv(t, tg)
-	sidecars.setAnswer(addressOf(tg), probe.Answer{Life: fleet.Life{Instance: "new"}, Weights: map[string]int64{model: 4}, Pace: 1})
+	sidecars.setAnswer(addressOf(tg), probe.Response{Incarnation: fleet.Incarnation{Instance: "new"}, WeightVersions: map[string]int64{model: 4}, Slowdown: 1})
 	postPrompt(t, env)
 	if got.Get(wiretest.Instance) != "new" || got.Get(wiretest.Weights) != "4" {
 		t.Errorf("request for instance %q with weights %q; want new and 4", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
@@ -179,7 +179,7 @@
 func TestLoadingAndUnresponsiveEnginesAreNotUsed(t *testing.T) {
 	loading, unresponsive := startStreamTarget(t, "loading"), startStreamTarget(t, "silent")
 	env, sidecars := newProbedEnv(t, loading, unresponsive)
-	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, unresponsive: weights.Silent} {
+	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, unresponsive: weights.Unresponsive} {
 		a := sidecars.answers[addressOf(tg)]
 		a.Phase = phase
 		sidecars.setAnswer(addressOf(tg), a)
@@ -199,18 +199,18 @@
 	env, sidecars := newProbedEnv(t, tg)
 	holder := netip.MustParseAddrPort("127.0.0.2:7")
 	listing := env.view.Targets["engines"][0].Listing
-	listing.Life, listing.Address = fleet.Life{Instance: "holder"}, holder
+	listing.Incarnation, listing.Address = fleet.Incarnation{Instance: "holder"}, holder
 	other := fleet.NewTarget(listing)
 	other.Leaving = true // not probed itself
 	env.view.Targets["engines"] = append(env.view.Targets["engines"], other)
 	a := sidecars.answers[addressOf(tg)]
-	a.Holder, a.Saved = holder, true
+	a.Holder, a.Offloaded = holder, true
 	sidecars.setAnswer(addressOf(tg), a)
 	postPrompt(t, env)
-	if got.Get(wiretest.Fetch) != holder.String() {
-		t.Errorf("fetched from %q", got.Get(wiretest.Fetch))
+	if got.Get(wiretest.FetchFrom) != holder.String() {
+		t.Errorf("fetched from %q", got.Get(wiretest.FetchFrom))
 	}
-	if got.Get(wiretest.Save) != "" {
+	if got.Get(wiretest.OffloadTo) != "" {
 		t.Error("the parts were offloaded again")
 	}
 }
@@ -229,7 +229,7 @@
 	defer close(release)
 	env, sidecars := newProbedEnv(t, tg)
 	env.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
-	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Answer{Phase: weights.Silent} }
+	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Response{Phase: weights.Unresponsive} }
 	start := time.Now()
 	_, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err == nil {
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -33,12 +33,12 @@
 // crashed too many targets. The refusal neither waits for a target nor uses the retry
 // budget.
 func (fl *flow) checkQuarantine() *errkind.Error {
-	fl.quarantineStatus = fl.Quarantine.Standing(fl.fingerprint, fl.Now())
+	fl.quarantineStatus = fl.Quarantine.Status(fl.fingerprint, fl.Now())
 	if fl.quarantineStatus.Verdict != quarantine.Refused {
 		return nil
 	}
 	hold := min(fl.quarantineStatus.Until.Sub(fl.Now()), maxHoldRetryAfter)
-	return errkind.After(errkind.Quarantined, fl.jitter(hold), "%d targets crashed while they ran request %s; it is quarantined for %s", fl.quarantineStatus.Ends, fl.fingerprint, hold.Round(time.Second))
+	return errkind.After(errkind.Quarantined, fl.jitter(hold), "%d targets crashed while they ran request %s; it is quarantined for %s", fl.quarantineStatus.Crashes, fl.fingerprint, hold.Round(time.Second))
 }
 
 // suspectKey returns the key that ranks the targets for a suspect, so that all its runs go
@@ -53,7 +53,7 @@
 // mustAvoid reports whether a target is running another suspect. If it crashed, the crash
 // could not be attributed to either of them.
 func (fl *flow) mustAvoid(t *fleet.Target) bool {
-	return fl.quarantineStatus.Verdict == quarantine.Alone && fl.Quarantine.Occupied(t.ID, fl.fingerprint, fl.Now())
+	return fl.quarantineStatus.Verdict == quarantine.Alone && fl.Quarantine.RunsOtherSuspect(t.ID, fl.fingerprint, fl.Now())
 }
 
 // chooseForStatus chooses a target according to the request's quarantine status. It starts
@@ -63,14 +63,14 @@
 		return nil, refusal
 	}
 	if fl.quarantineStatus.Verdict == quarantine.Held {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request; it is on hold until the crashes are attributed", fl.quarantineStatus.Ends)
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request; it is on hold until the crashes are attributed", fl.quarantineStatus.Crashes)
 	}
 	dst, refusal := fl.choose(ctx)
 	if refusal != nil || fl.quarantineStatus.Verdict != quarantine.Alone {
 		return dst, refusal
 	}
-	if !fl.Quarantine.Begin(fl.fingerprint, dst.target.ID, fl.Now()) {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request, and another run of it is in progress", fl.quarantineStatus.Ends)
+	if !fl.Quarantine.StartProbationRun(fl.fingerprint, dst.target.ID, fl.Now()) {
+		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request, and another run of it is in progress", fl.quarantineStatus.Crashes)
 	}
 	dst.probation = true
 	return dst, nil
@@ -81,28 +81,28 @@
 // it may have started.
 func (fl *flow) startRun(dst *destination, cancel context.CancelCauseFunc) *quarantine.Run {
 	var abandonSend func()
-	if fl.route.Repeatable() {
+	if fl.route.Retryable() {
 		abandonSend = func() { cancel(errCrashedElsewhere) }
 	}
-	return fl.Quarantine.Start(fl.fingerprint, dst.target.ID, abandonSend)
+	return fl.Quarantine.StartRun(fl.fingerprint, dst.target.ID, abandonSend)
 }
 
 // endRun unregisters the send.
 func (fl *flow) endRun(dst *destination, run *quarantine.Run) {
-	fl.Quarantine.Done(run)
+	fl.Quarantine.EndRun(run)
 	fl.endProbation(dst)
 }
 
 func (fl *flow) endProbation(dst *destination) {
 	if dst.probation {
-		fl.Quarantine.End(fl.fingerprint, dst.target.ID)
+		fl.Quarantine.EndProbationRun(fl.fingerprint, dst.target.ID)
 	}
 }
 
 // recordServed records that a target answered the request completely and survived. It is
 // recorded for all requests: one that is always running would otherwise be quarantined
 // after its third unrelated crash within the hour.
-func (fl *flow) recordServed() { fl.Quarantine.Served(fl.fingerprint) }
+func (fl *flow) recordServed() { fl.Quarantine.MarkServed(fl.fingerprint) }
 
 // isDisconnect reports whether an error is a connection closed or reset by the target's
 // host, as when the target's process ends. An unresponsive or unreachable host closes
@@ -112,10 +112,10 @@
 }
 
 // suspectedCrash describes a possible crash of the target while it ran the request.
-func (fl *flow) suspectedCrash(dst *destination) quarantine.Doubt {
-	return quarantine.Doubt{
-		Print: fl.fingerprint, Who: quarantine.Who{Workspace: fl.workspaceName(), Route: fl.routeName()},
-		Target: dst.target, Unlisted: !quarantine.Lists(fl.view, &dst.target), Step: dst.quarantineStatus.Step, At: fl.Now(), Ran: time.Since(fl.sentAt), RequestID: fl.request.ID,
+func (fl *flow) suspectedCrash(dst *destination) quarantine.SuspectedCrash {
+	return quarantine.SuspectedCrash{
+		Fingerprint: fl.fingerprint, Caller: quarantine.Caller{Workspace: fl.workspaceName(), Route: fl.routeName()},
+		Target: dst.target, Unlisted: !quarantine.IsListed(fl.view, &dst.target), Step: dst.quarantineStatus.Step, At: fl.Now(), Elapsed: time.Since(fl.sentAt), RequestID: fl.request.ID,
 	}
 }
 
@@ -131,25 +131,25 @@
 		return
 	}
 	d := fl.suspectedCrash(dst)
-	evidence := fl.CrashDetector.Ended(ctx, v, d)
-	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.fingerprint, "target", dst.target.Life, "evidence", string(evidence),
-		"list_age", fl.age(v.ListedAt), "step", d.Step, "ran", roundForLog(time.Since(fl.sentAt)))
+	evidence := fl.CrashDetector.Detect(ctx, v, d)
+	fl.Logger.Info("target_broke_off", "request_id", fl.request.ID, "print", fl.fingerprint, "target", dst.target.Incarnation, "evidence", string(evidence),
+		"list_age", fl.age(v.TargetsCurrentAt), "step", d.Step, "ran", roundForLog(time.Since(fl.sentAt)))
 	if evidence != quarantine.NoEvidence {
-		fl.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
+		fl.Quarantine.AttributeCrash(d.Fingerprint, d.Caller, quarantine.Crash{Target: d.Target.ID, Step: d.Step, At: d.At, Elapsed: d.Elapsed})
 	}
 }
 
 // RecheckCrashes checks suspected crashes against the current view, and updates the
 // requests that are on hold. Call it when the view has changed.
 func (f *Forwarder) RecheckCrashes() {
-	defer func() { f.Quarantine.Settle(f.Now()) }()
+	defer func() { f.Quarantine.Reevaluate(f.Now()) }()
 	v, ok := f.View()
 	if !ok {
 		return
 	}
-	doubts, evidence := f.CrashDetector.Settle(v, f.Now())
+	doubts, evidence := f.CrashDetector.Resolve(v, f.Now())
 	for i, d := range doubts {
-		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Print, "target", d.Target.Life, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
-		f.Quarantine.Blame(d.Print, d.Who, quarantine.End{Target: d.Target.ID, Step: d.Step, At: d.At, Ran: d.Ran})
+		f.Logger.Info("target_had_ended", "request_id", d.RequestID, "print", d.Fingerprint, "target", d.Target.Incarnation, "evidence", string(evidence[i]), "after", f.Now().Sub(d.At).Round(time.Millisecond))
+		f.Quarantine.AttributeCrash(d.Fingerprint, d.Caller, quarantine.Crash{Target: d.Target.ID, Step: d.Step, At: d.At, Elapsed: d.Elapsed})
 	}
 }
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -32,18 +32,18 @@
 	if fl.retryCause != "" {
 		log = fl.Logger
 	}
-	report := fl.view.Engines[dst.target.Life]
-	phase, age := report.Phase, fl.age(report.HeardAt)
+	report := fl.view.Engines[dst.target.Incarnation]
+	phase, age := report.Phase, fl.age(report.ReceivedAt)
 	if dst.probed {
 		phase, age = dst.probeAnswer.Phase, dst.probeAnswer.ReportAge
 	}
 	log.Info("request_sent", "request_id", fl.request.ID, "print", fl.fingerprint, "send", fl.sends, "cause", fl.retryCause, "last_event", fl.lastEvent,
 		"route", fl.routeName(), "service", fl.serviceName(), "workspace", fl.workspaceName(), "estate", fl.estateVersion(),
-		"target", dst.target.Life, "address", dst.target.Address, "zone", dst.target.Zone,
-		"list_age", fl.age(fl.view.ListedAt), "listed", !dst.target.Unlisted, "asked", dst.probeCount, "word_age", age, "phase", phase.String(),
+		"target", dst.target.Incarnation, "address", dst.target.Address, "zone", dst.target.Zone,
+		"list_age", fl.age(fl.view.TargetsCurrentAt), "listed", !dst.target.Unlisted, "asked", dst.probeCount, "word_age", age, "phase", phase.String(),
 		"weights", dst.weightsVersion, "wanted", fl.view.Wanted[fl.request.Model].Newest(),
-		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", familyName(dst), "answer", fl.request.MaxTokens, "held", dst.choice.Held, "fetched", dst.choice.Fetched, "fetch_from", dst.fetchFrom, "save_to", dst.offloadTo,
-		"late", dst.choice.Late, "urgency", dst.choice.Urgency, "wait", roundForLog(dst.choice.Wait), "read", roundForLog(dst.choice.Read), "fetch", roundForLog(dst.choice.Fetch),
+		"prompt", fl.request.PromptTokens, "shared", fl.sharedTokens(), "family", familyName(dst), "answer", fl.request.MaxTokens, "held", dst.choice.CachedTokens, "fetched", dst.choice.FetchedTokens, "fetch_from", dst.fetchFrom, "save_to", dst.offloadTo,
+		"late", dst.choice.Late, "urgency", dst.choice.Priority, "wait", roundForLog(dst.choice.Wait), "read", roundForLog(dst.choice.Prefill), "fetch", roundForLog(dst.choice.Fetch),
 		"patience", roundForLog(dst.maxWait), "kept", roundForLog(time.Since(fl.arrived)), "left", fl.timeLeft().Round(time.Millisecond))
 }
 
@@ -68,7 +68,7 @@
 	if err != nil {
 		detail = err.Error()
 	}
-	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.fingerprint, "send", fl.sends, "target", dst.target.Life,
+	fl.Logger.Info("send_failed", "request_id", fl.request.ID, "print", fl.fingerprint, "send", fl.sends, "target", dst.target.Incarnation,
 		"status", status, "error", detail, "after", roundForLog(time.Since(fl.sentAt)))
 }
 
@@ -86,7 +86,7 @@
 	if len(dst.partKeys) == 0 {
 		return
 	}
-	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, dst.choice.Held+dst.choice.Fetched, fl.recomputedTokens(dst))
+	fl.Metrics.Tokens(fl.serviceName(), fl.class(), fl.request.PromptTokens, dst.choice.CachedTokens+dst.choice.FetchedTokens, fl.recomputedTokens(dst))
 }
 
 // recomputedTokens returns how many of a prompt's shared tokens the engine computes
@@ -95,14 +95,14 @@
 	tokens := 0
 	for i, k := range dst.partKeys {
 		elsewhere := false
-		fl.Parts.Holders(k, fl.request.Parts[i].Tokens, fl.Now(), func(target fleet.ID, s parts.State) {
-			elsewhere = elsewhere || s == parts.Held && target != dst.target.ID
+		fl.Parts.VisitLocations(k, fl.request.Parts[i].Tokens, fl.Now(), func(target fleet.ID, s parts.State) {
+			elsewhere = elsewhere || s == parts.Cached && target != dst.target.ID
 		})
 		if elsewhere {
 			tokens += fl.request.Parts[i].Tokens
 		}
 	}
-	return max(tokens-dst.choice.Held-dst.choice.Fetched, 0)
+	return max(tokens-dst.choice.CachedTokens-dst.choice.FetchedTokens, 0)
 }
 
 // sharedTokens returns the number of tokens in the prompt's shared parts.
--- a/internal/gateway/forward/refusal.go
+++ b/internal/gateway/forward/refusal.go
@@ -52,7 +52,7 @@
 // so that a load balancer can choose another entry. It reads the current view, since the
 // process may have begun to stop while the request ran.
 func (fl *flow) setConnectionClose(header http.Header) {
-	if v, ok := fl.View(); ok && v.Stopping || fl.Reach.CutOff(fl.Now()) {
+	if v, ok := fl.View(); ok && v.Stopping || fl.Reach.Partitioned(fl.Now()) {
 		header.Set("Connection", "close")
 	}
 }
--- a/internal/gateway/forward/relay.go
+++ b/internal/gateway/forward/relay.go
@@ -67,7 +67,7 @@
 	if ctx.Err() != nil && !abandoned(ctx) {
 		return sendResult{final: true, refusal: fl.contextRefusal(ctx)}
 	}
-	fl.excluded[dst.target.Life] = true
+	fl.excluded[dst.target.Incarnation] = true
 	fl.recordBroken(ctx, dst, err)
 	kind := errkind.TargetFailed
 	if fl.responseStarted {
@@ -78,7 +78,7 @@
 
 // relayStream relays a stream event by event. The response head is delayed until the first
 // event, so that the request can be retried if the target fails before it.
-func (fl *flow) relayStream(ctx context.Context, dst *destination, resp *upstream.Response, item *ledger.Item, maxWaitTimer *time.Timer, watch *engineWatch, run *quarantine.Run) sendResult {
+func (fl *flow) relayStream(ctx context.Context, dst *destination, resp *upstream.Response, item *ledger.Request, maxWaitTimer *time.Timer, watch *engineWatch, run *quarantine.Run) sendResult {
 	reader := events.NewReader(resp)
 	flusher := http.NewResponseController(fl.w)
 	first := true
@@ -92,8 +92,8 @@
 		}
 		if first {
 			first = false
-			fl.Quarantine.Begun(run)
-			item.Read()
+			fl.Quarantine.MarkResponding(run)
+			item.PrefillDone()
 			fl.notifyPrefilled(dst)
 			if fl.recordParts(dst, true) {
 				fl.AnnounceWork(dst.target.ID)
@@ -154,19 +154,19 @@
 // learnPrefillTime updates the pace of the engine and, if the prompt was not queued, the
 // model of prefill times.
 func (fl *flow) learnPrefillTime(dst *destination) {
-	if dst.choice.ReadTokens > 0 {
-		fl.paces.Note(dst.target.Life, time.Since(fl.sentAt), dst.expectedFirstEvent, fl.Now())
+	if dst.choice.PrefillTokens > 0 {
+		fl.paces.Record(dst.target.Incarnation, time.Since(fl.sentAt), dst.expectedFirstEvent, fl.Now())
 	}
-	if dst.choice.Wait > maxUnqueuedWait || dst.choice.ReadTokens == 0 {
+	if dst.choice.Wait > maxUnqueuedWait || dst.choice.PrefillTokens == 0 {
 		return
 	}
-	fl.prefillTime.Note(dst.choice.ReadTokens, time.Since(fl.sentAt)-dst.choice.Fetch)
+	fl.prefillTime.Record(dst.choice.PrefillTokens, time.Since(fl.sentAt)-dst.choice.Fetch)
 }
 
 // finishStream handles the regular end of a stream.
 func (fl *flow) finishStream(dst *destination) sendResult {
 	if !fl.responseStarted {
-		fl.excluded[dst.target.Life] = true
+		fl.excluded[dst.target.Incarnation] = true
 		return sendResult{refusal: errkind.New(errkind.TargetFailed, "the stream ended without an event")}
 	}
 	fl.recordOutcome(dst, health.Good)
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -41,14 +41,14 @@
 	expectedFirstEvent time.Duration
 	// quarantineStatus is the request's status when the target was chosen. probation is set
 	// if the send is a probation run.
-	quarantineStatus quarantine.Standing
+	quarantineStatus quarantine.Status
 	probation        bool
 	// probed is set if the target was chosen by probes, inProgress if a probed engine is
 	// computing parts that the chosen one lacks.
 	probed, inProgress bool
 	// probeCount is the number of engines probed, probeAnswer the answer of the chosen one.
 	probeCount  int
-	probeAnswer probe.Answer
+	probeAnswer probe.Response
 	// familyFirst is the best ranked engine of the prompt's family, whose sidecar tracks
 	// where the family's parts are computed. familyFirstSendID is the ID of the send at
 	// that sidecar; zero if the send was not reported to it.
@@ -64,7 +64,7 @@
 
 // sendRecord is what is logged of the last send.
 type sendRecord struct {
-	incarnation fleet.Life
+	incarnation fleet.Incarnation
 	status      int
 }
 
@@ -99,7 +99,7 @@
 	// delivered and runs are corrected if the request did not reach the target or was not run.
 	fl.delivered++
 	fl.runs++
-	fl.lastSend = sendRecord{incarnation: dst.target.Life}
+	fl.lastSend = sendRecord{incarnation: dst.target.Incarnation}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	dst.quarantineStatus = fl.quarantineStatus
@@ -110,14 +110,14 @@
 		maxWaitTimer = time.AfterFunc(dst.maxWait, func() { cancel(errMaxWait) })
 		defer maxWaitTimer.Stop()
 	}
-	fl.turnover.Intake(dst.memoryTokens, fl.Now())
+	fl.turnover.AddTokens(dst.memoryTokens, fl.Now())
 	item := fl.Ledger.Begin(dst.target.ID, dst.work, dst.choice.Wait+dst.choice.Fetch, fl.Now())
 	defer item.End()
 	fl.notifySent(dst)
 	defer fl.notifyEnded(dst)
 	link := fl.beginFetch(dst)
 	defer link.End()
-	if fl.recordParts(dst, false) || dst.choice.Read > announcePrefill {
+	if fl.recordParts(dst, false) || dst.choice.Prefill > announcePrefill {
 		fl.AnnounceWork(dst.target.ID)
 	}
 	fl.sentAt = time.Now()
@@ -132,12 +132,12 @@
 	}
 	defer resp.Close()
 	if fl.service.Engine != nil {
-		fl.Reach.Answered(fl.Now())
+		fl.Reach.EngineResponded(fl.Now())
 	}
 	fl.lastSend.status = resp.Status
 	reply := fl.Protocol.ReadReply(resp.Status, resp.Header)
 	if reply.IdleTimeout > 0 {
-		fl.Pool.LimitIdle(dst.target.Address, reply.IdleTimeout)
+		fl.Pool.SetIdleLimit(dst.target.Address, reply.IdleTimeout)
 	}
 	if reply.NotRun {
 		return fl.handleNotRun(dst, resp, reply)
@@ -153,27 +153,27 @@
 
 // beginFetch adds the fetch to the work of the source's link, so that other prompts take
 // its queue into account.
-func (fl *flow) beginFetch(dst *destination) *ledger.Item {
-	return fl.Ledger.Begin(linkID(dst.fetchFrom), ledger.Work{Reading: ledger.Lane(0, dst.linkTime)}, fl.linkQueue(dst.fetchFrom), fl.Now())
+func (fl *flow) beginFetch(dst *destination) *ledger.Request {
+	return fl.Ledger.Begin(linkID(dst.fetchFrom), ledger.Work{Prefill: ledger.AtPriority(0, dst.linkTime)}, fl.linkQueue(dst.fetchFrom), fl.Now())
 }
 
 // recordParts records that the engine, and the store that it offloads to, has the prompt's
 // parts or is computing them. It reports whether the other entries should be told.
 func (fl *flow) recordParts(dst *destination, done bool) bool {
-	updated := fl.Parts.Note(dst.target.ID, dst.partKeys, done, fl.Now())
+	updated := fl.Parts.Record(dst.target.ID, dst.partKeys, done, fl.Now())
 	if dst.offloadTo != "" {
-		updated = fl.Parts.Note(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
+		updated = fl.Parts.Record(storeID(dst.offloadTo), dst.partKeys, done, fl.Now()) || updated
 	}
 	return updated
 }
 
 func (fl *flow) upstreamRequest(dst *destination) *upstream.Request {
-	send := wire.Send{
-		TimeLeft: fl.timeLeft(), Instance: dst.target.Instance, Urgency: -1,
-		CacheScope: dst.cacheScope, Weights: dst.weightsVersion, SaveTo: dst.offloadTo,
+	send := wire.Attempt{
+		TimeLeft: fl.timeLeft(), Instance: dst.target.Instance, Priority: -1,
+		CacheScope: dst.cacheScope, Weights: dst.weightsVersion, OffloadTo: dst.offloadTo,
 	}
 	if fl.route.Resumable {
-		send.LastEvent = fl.lastEvent
+		send.LastEventID = fl.lastEvent
 	}
 	if fl.workspace != nil {
 		send.Workspace = fl.workspace.Name
@@ -182,12 +182,12 @@
 		send.FetchFrom = dst.fetchFrom.String()
 	}
 	if fl.service.Engine != nil {
-		send.Urgency = dst.choice.Urgency
+		send.Priority = dst.choice.Priority
 	}
 	return &upstream.Request{
-		Method: fl.r.Method, Target: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, Fresh: !fl.route.Repeatable(),
-		Mine: func(status int, h http.Header) bool {
+		Method: fl.r.Method, RequestURI: fl.r.RequestURI, Host: fl.r.Host,
+		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Retryable(),
+		Matches: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
 		},
@@ -197,7 +197,7 @@
 const (
 	// onTimePriorities is the number of priorities for requests that can be answered in
 	// time; as many follow for late ones.
-	onTimePriorities = ledger.Urgencies / 2
+	onTimePriorities = ledger.Priorities / 2
 	// workspaceStep is the weight of a workspace's priority relative to a route's.
 	workspaceStep = 2
 )
@@ -224,12 +224,12 @@
 	if ctx.Err() != nil && !abandoned(ctx) {
 		return sendResult{final: true, refusal: fl.contextRefusal(ctx)}
 	}
-	fl.excluded[dst.target.Life] = true
+	fl.excluded[dst.target.Incarnation] = true
 	if errors.Is(err, upstream.ErrNotSent) {
 		fl.runs--
 		fl.delivered--
 		if fl.service.Engine != nil {
-			fl.Reach.Failed(fl.Now())
+			fl.Reach.ConnectFailed(fl.Now())
 		}
 		fl.recordOutcome(dst, health.Unreachable)
 		return sendResult{notRun: true, refusal: errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%v", err)}
@@ -242,7 +242,7 @@
 // that was cancelled because of another target's crash says nothing about its target.
 func (fl *flow) recordBroken(ctx context.Context, dst *destination, err error) {
 	if errors.Is(context.Cause(ctx), errCrashedElsewhere) {
-		fl.CrashDetector.GivenUp(fl.suspectedCrash(dst))
+		fl.CrashDetector.AddCancelled(fl.suspectedCrash(dst))
 		return
 	}
 	fl.recordOutcome(dst, health.Broken)
@@ -252,7 +252,7 @@
 // handleNotRun handles a target's statement that it did not run the request.
 func (fl *flow) handleNotRun(dst *destination, resp *upstream.Response, reply wire.Reply) sendResult {
 	fl.runs--
-	fl.excluded[dst.target.Life] = true
+	fl.excluded[dst.target.Incarnation] = true
 	drain(resp)
 	refusal := errkind.After(errkind.Overloaded, fl.jitter(busyRetryAfter), "the target refused with status %d", resp.Status)
 	if resp.Status == http.StatusMisdirectedRequest {
@@ -275,19 +275,19 @@
 	success := resp.Status < http.StatusMultipleChoices
 	if reply.Encoded || success && (!reply.Sealed || reply.ID != fl.request.ID) {
 		fl.recordOutcome(dst, health.Broken)
-		fl.excluded[dst.target.Life] = true
+		fl.excluded[dst.target.Incarnation] = true
 		return sendResult{refusal: errkind.New(errkind.TargetFailed, "the target's response is not sealed or is encoded")}, false
 	}
 	if resp.Status >= http.StatusInternalServerError {
 		fl.recordOutcome(dst, health.Failed)
-		if fl.route.Repeatable() && fl.runs < fl.route.MaxAttempts && !fl.responseStarted && ctx.Err() == nil {
-			fl.excluded[dst.target.Life] = true
+		if fl.route.Retryable() && fl.runs < fl.route.MaxAttempts && !fl.responseStarted && ctx.Err() == nil {
+			fl.excluded[dst.target.Incarnation] = true
 			drain(resp)
 			return sendResult{refusal: errkind.New(errkind.TargetFailed, "the target answered with status %d", resp.Status)}, false
 		}
 	}
 	if fl.responseStarted && !success {
-		fl.excluded[dst.target.Life] = true
+		fl.excluded[dst.target.Incarnation] = true
 		return sendResult{refusal: errkind.New(errkind.StreamBroken, "resuming the stream failed with status %d", resp.Status)}, false
 	}
 	return sendResult{}, true
--- a/internal/gateway/forward/sources.go
+++ b/internal/gateway/forward/sources.go
@@ -104,7 +104,7 @@
 			rate := fl.linkRate(min(s.Store.LinkMbps, fl.service.Engine.LinkMbps))
 			p.sources = append(p.sources, source{
 				id: id, address: s.Store.Address, zone: s.Store.Zone, tokens: tokens, rate: rate,
-				unknown: !fl.Parts.Known(id, fl.Now()) && fl.linkQueue(s.Store.Address) < maxLinkQueue,
+				unknown: !fl.Parts.ReportedRecently(id, fl.Now()) && fl.linkQueue(s.Store.Address) < maxLinkQueue,
 			})
 		}
 	}
@@ -116,7 +116,7 @@
 	for i := range targets {
 		t := &targets[i]
 		tokens := p.cached[t.ID]
-		if tokens == 0 || fl.view.Silent[t.Address] || fl.view.Version(t, fl.request.Model) != version {
+		if tokens == 0 || fl.view.Unresponsive[t.Address] || fl.view.Version(t, fl.request.Model) != version {
 			continue
 		}
 		p.sources = append(p.sources, source{
@@ -136,7 +136,7 @@
 // queued.
 func (fl *flow) linkQueue(address netip.AddrPort) time.Duration {
 	work := fl.totalWork[linkID(address)]
-	return work.Reading.All()
+	return work.Prefill.Total()
 }
 
 // linkRate returns how many of the service's tokens a link transfers per millisecond.
@@ -147,7 +147,7 @@
 // fillCandidate sets how much of the prompt a candidate has cached, and its best source for
 // the rest.
 func (p *promptLocations) fillCandidate(c *placement.Candidate, t *fleet.Target) {
-	c.Held = p.cached[t.ID]
+	c.CachedTokens = p.cached[t.ID]
 	best := -1
 	for i := range p.sources {
 		if p.sources[i].id != t.ID && (best < 0 || p.betterThan(&p.sources[i], &p.sources[best], t.Zone)) {
@@ -158,8 +158,8 @@
 		return
 	}
 	s := &p.sources[best]
-	c.Source = placement.Source{Address: s.address, Near: s.zone == t.Zone, Rate: s.rate}
-	c.Fetchable = s.tokens
+	c.Source = placement.Source{Address: s.address, SameZone: s.zone == t.Zone, TokensPerMs: s.rate}
+	c.FetchableTokens = s.tokens
 }
 
 // unknownStoreShare is the share of a prompt that a store of unknown content is expected to
@@ -213,13 +213,13 @@
 const minSharedShare = 0.4
 
 // shouldOffload reports whether a prompt is worth offloading to a store.
-func shouldOffload(in *placement.Question) bool {
-	return float64(in.Shared) >= minSharedShare*float64(in.Shared+in.Own)
+func shouldOffload(in *placement.Input) bool {
+	return float64(in.SharedTokens) >= minSharedShare*float64(in.SharedTokens+in.OwnTokens)
 }
 
 // offloadTo returns the address of the store to offload the prompt's parts to, or "" if the
 // store has them or is receiving them.
-func (fl *flow) offloadTo(keys []parts.Key, in *placement.Question) string {
+func (fl *flow) offloadTo(keys []parts.Key, in *placement.Input) string {
 	if len(keys) == 0 || !shouldOffload(in) {
 		return ""
 	}
@@ -228,7 +228,7 @@
 		return ""
 	}
 	last := len(keys) - 1
-	if fl.Parts.At(keys[last], fl.request.Parts[last].Tokens, storeID(s.Store.Address.String()), fl.Now()) != parts.Absent {
+	if fl.Parts.StateAt(keys[last], fl.request.Parts[last].Tokens, storeID(s.Store.Address.String()), fl.Now()) != parts.Absent {
 		return ""
 	}
 	return s.Store.Address.String()
--- a/internal/gateway/forward/sources_test.go
+++ b/internal/gateway/forward/sources_test.go
@@ -22,22 +22,22 @@
 		p.fillCandidate(&c, target)
 		return c
 	}
-	if got := choose(store, engine); got.Source.Rate != 101 || got.Fetchable != 0 {
+	if got := choose(store, engine); got.Source.TokensPerMs != 101 || got.FetchableTokens != 0 {
 		t.Errorf("chosen source: %+v", got)
 	}
 	store.unknown = false
-	if got := choose(store, engine); got.Source.Rate != 102 || got.Fetchable != 500 {
+	if got := choose(store, engine); got.Source.TokensPerMs != 102 || got.FetchableTokens != 500 {
 		t.Errorf("chosen source: %+v", got)
 	}
 	store.tokens = 6000
-	if got := choose(engine, store); got.Source.Rate != 101 || got.Fetchable != 6000 {
+	if got := choose(engine, store); got.Source.TokensPerMs != 101 || got.FetchableTokens != 6000 {
 		t.Errorf("chosen source: %+v", got)
 	}
 	engine.tokens = 6000
-	if got := choose(store, engine); got.Source.Rate != 102 {
+	if got := choose(store, engine); got.Source.TokensPerMs != 102 {
 		t.Errorf("an engine with as many tokens: %+v", got)
 	}
-	if got := choose(store, source{id: 3, tokens: 6000, zone: "a", peer: true}); got.Source.Rate != 101 {
+	if got := choose(store, source{id: 3, tokens: 6000, zone: "a", peer: true}); got.Source.TokensPerMs != 101 {
 		t.Errorf("the engine is its own source: %+v", got)
 	}
 }
--- a/internal/gateway/forward/unresponsive.go
+++ b/internal/gateway/forward/unresponsive.go
@@ -96,7 +96,7 @@
 		w.reschedule(silenceCheckInterval)
 		return
 	}
-	w.fl.Logger.Info("send_given_up", "request_id", w.fl.request.ID, "target", w.dst.target.Life, "cause", errUnresponsive.Error())
+	w.fl.Logger.Info("send_given_up", "request_id", w.fl.request.ID, "target", w.dst.target.Incarnation, "cause", errUnresponsive.Error())
 	w.cancel(errUnresponsive)
 }
 
@@ -117,12 +117,12 @@
 
 // isUnresponsive reports whether the engine does not respond to its own sidecar.
 func (fl *flow) isUnresponsive(ctx context.Context, dst *destination) bool {
-	if v, ok := fl.View(); ok && v.Silent[dst.target.Address] {
+	if v, ok := fl.View(); ok && v.Unresponsive[dst.target.Address] {
 		return true
 	}
 	if !dst.probed {
 		return false
 	}
 	answers, answered := fl.Sidecars.Ask(ctx, []netip.AddrPort{dst.target.Address}, probe.Prompt{})
-	return answered[0] && answers[0].Phase == weights.Silent
+	return answered[0] && answers[0].Phase == weights.Unresponsive
 }
--- a/internal/gateway/health/health.go
+++ b/internal/gateway/health/health.go
@@ -64,20 +64,20 @@
 }
 
 // Book holds the records of all targets. It is safe for concurrent use.
-type Book struct {
+type Monitor struct {
 	mu      sync.Mutex
-	records map[fleet.Life]*record
+	records map[fleet.Incarnation]*record
 	// changed is told when a target begins to rest.
-	changed func(life fleet.Life, until time.Time, failures, others float64, outcome Outcome)
+	changed func(life fleet.Incarnation, until time.Time, failures, others float64, outcome Outcome)
 }
 
 // NewBook returns an empty book. changed is told of each rest that begins.
-func NewBook(changed func(life fleet.Life, until time.Time, failures, others float64, outcome Outcome)) *Book {
-	return &Book{records: map[fleet.Life]*record{}, changed: changed}
+func NewMonitor(changed func(life fleet.Incarnation, until time.Time, failures, others float64, outcome Outcome)) *Monitor {
+	return &Monitor{records: map[fleet.Incarnation]*record{}, changed: changed}
 }
 
 // Note takes in an outcome at a target of a service.
-func (b *Book) Note(service string, life fleet.Life, o Outcome, now time.Time) {
+func (b *Monitor) Record(service string, life fleet.Incarnation, o Outcome, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[life]
@@ -125,7 +125,7 @@
 }
 
 // othersFailures is the mean share of bad outcomes at the other targets.
-func (b *Book) othersFailures(service string, life fleet.Life) float64 {
+func (b *Monitor) othersFailures(service string, life fleet.Incarnation) float64 {
 	sum, n := 0.0, 0
 	for other, r := range b.records {
 		if r.service == service && other != life && r.weight >= minOutcomes {
@@ -140,10 +140,10 @@
 }
 
 // Rested returns the targets that rest now, with when each may be tried again.
-func (b *Book) Rested(now time.Time) map[fleet.Life]time.Time {
+func (b *Monitor) Ejected(now time.Time) map[fleet.Incarnation]time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var rested map[fleet.Life]time.Time
+	var rested map[fleet.Incarnation]time.Time
 	for life, r := range b.records {
 		if now.Sub(r.seen) > forgetAfter {
 			delete(b.records, life)
@@ -151,7 +151,7 @@
 		}
 		if now.Before(r.restUntil) {
 			if rested == nil {
-				rested = map[fleet.Life]time.Time{}
+				rested = map[fleet.Incarnation]time.Time{}
 			}
 			rested[life] = r.restUntil
 		}
--- a/internal/gateway/holdings/follow.go
+++ b/internal/gateway/holdings/follow.go
@@ -21,10 +21,10 @@
 	// GatherTime is the least time between two questions where all entries are told of
 	// what changes: what does meanwhile is told together. A cache under load changes some
 	// 150 times a second, mostly the same few parts.
-	GatherTime = 40 * time.Millisecond
+	BroadcastPollInterval = 40 * time.Millisecond
 	// GatherTimeAsked is the same where only the sidecar itself needs to know, which has
 	// heard of each send before the cache can: it halves what following costs.
-	GatherTimeAsked = 120 * time.Millisecond
+	LocalPollInterval = 120 * time.Millisecond
 	// failurePause is the wait after a question that failed. A cache answers so many
 	// at once, and refuses others.
 	failurePause = 500 * time.Millisecond
@@ -38,11 +38,11 @@
 // Follower keeps a Cache true to its feed until it is stopped.
 type Follower struct {
 	// Name of the cache, for the log.
-	Name   string
-	Cache  *Cache
-	feed   Feed
-	loop   *control.Loop
-	logger logr.Logger
+	Name     string
+	Contents *Contents
+	feed     Feed
+	loop     *control.Loop
+	logger   logr.Logger
 	// changed is called on the control thread after changes were taken in.
 	changed func()
 	cancel  context.CancelFunc
@@ -55,8 +55,8 @@
 
 // Follow begins to follow a feed. gather returns the least time between two questions;
 // changed is called on the control thread.
-func Follow(name string, loop *control.Loop, feed Feed, cache *Cache, gather func() time.Duration, changed func(), logger logr.Logger) *Follower {
-	f := &Follower{Name: name, Cache: cache, feed: feed, loop: loop, logger: logger, changed: changed, gather: gather}
+func Follow(name string, loop *control.Loop, feed Feed, cache *Contents, gather func() time.Duration, changed func(), logger logr.Logger) *Follower {
+	f := &Follower{Name: name, Contents: cache, feed: feed, loop: loop, logger: logger, changed: changed, gather: gather}
 	loop.Go(func(ctx context.Context) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if list {
-		return f.feed.All(ctx)
+		return f.feed.List(ctx)
 	}
 	return f.feed.Changes(ctx, next, waitTime)
 }
@@ -116,13 +116,13 @@
 	}
 	if f.failing {
 		f.failing = false
-		f.logger.Info("cache_feed_regained", "cache", f.Name, "held", f.Cache.Len())
+		f.logger.Info("cache_feed_regained", "cache", f.Name, "held", f.Contents.Len())
 	}
 	if list {
-		before := f.Cache.Len()
-		f.Cache.Replace(page)
+		before := f.Contents.Len()
+		f.Contents.Replace(page)
 		f.doubtful.Store(false)
-		f.logger.Info("cache_listed", "cache", f.Name, "held", f.Cache.Len(), "before", before, "next", page.Next)
+		f.logger.Info("cache_listed", "cache", f.Name, "held", f.Contents.Len(), "before", before, "next", page.Next)
 	} else {
 		f.apply(page)
 	}
@@ -130,11 +130,11 @@
 }
 
 func (f *Follower) apply(page Page) {
-	anew := f.Cache.Apply(page)
+	anew := f.Contents.Apply(page)
 	if anew || page.Gap {
-		f.logger.Info("cache_feed_broken", "cache", f.Name, "epoch", page.Epoch, "anew", anew, "gap", page.Gap, "next", page.Next, "held", f.Cache.Len())
+		f.logger.Info("cache_feed_broken", "cache", f.Name, "epoch", page.Epoch, "anew", anew, "gap", page.Gap, "next", page.Next, "held", f.Contents.Len())
 	}
-	if page.Gap && !anew || f.Cache.Doubtful() {
+	if page.Gap && !anew || f.Contents.OverCapacity() {
 		f.doubtful.Store(true)
 	}
 }
--- a/internal/gateway/holdings/holdings.go
+++ b/internal/gateway/holdings/holdings.go
@@ -40,17 +40,17 @@
 	Changes(ctx context.Context, from uint64, wait time.Duration) (Page, error)
 	// All returns what the cache holds, and the position from which changes follow. The
 	// question holds up the cache's work.
-	All(ctx context.Context) (Page, error)
+	List(ctx context.Context) (Page, error)
 }
 
 // Held is one part that a cache holds.
-type Held struct {
+type CachedPart struct {
 	Part   parts.Key
 	Tokens int
 }
 
 // Cache is what one cache is known to hold. It is used by one thread.
-type Cache struct {
+type Contents struct {
 	// room is the cache's size in tokens; zero when it is not known.
 	room    int
 	epoch   string
@@ -63,15 +63,15 @@
 
 // NewCache returns a cache of which nothing is known, with room for so many tokens;
 // zero when that is not known.
-func NewCache(room int) *Cache {
-	return &Cache{room: room, held: map[parts.Key]int{}, changed: map[parts.Key]struct{}{}}
+func NewContents(room int) *Contents {
+	return &Contents{room: room, held: map[parts.Key]int{}, changed: map[parts.Key]struct{}{}}
 }
 
 // Len is the number of parts that are held.
-func (c *Cache) Len() int { return len(c.held) }
+func (c *Contents) Len() int { return len(c.held) }
 
 // Apply takes in a page. It reports whether the cache has begun a new life.
-func (c *Cache) Apply(p Page) bool {
+func (c *Contents) Apply(p Page) bool {
 	anew := c.epoch != "" && p.Epoch != c.epoch
 	if anew {
 		c.clear()
@@ -83,13 +83,13 @@
 	return anew
 }
 
-func (c *Cache) clear() {
+func (c *Contents) clear() {
 	for k := range c.held {
 		c.set(k, 0)
 	}
 }
 
-func (c *Cache) set(k parts.Key, tokens int) {
+func (c *Contents) set(k parts.Key, tokens int) {
 	c.sum += tokens - c.held[k]
 	c.changed[k] = struct{}{}
 	if tokens > 0 {
@@ -109,10 +109,12 @@
 // the part counts as held for as long as the cache lives. Prompts are sent there for
 // it, and fetched from there in vain. To drop what was said longest ago instead takes
 // the parts that are used most, which are never said again.
-func (c *Cache) Doubtful() bool { return c.room > 0 && float64(c.sum) > overfull*float64(c.room) }
+func (c *Contents) OverCapacity() bool {
+	return c.room > 0 && float64(c.sum) > overfull*float64(c.room)
+}
 
 // Replace takes in all that the cache holds.
-func (c *Cache) Replace(p Page) {
+func (c *Contents) Replace(p Page) {
 	left := maps.Clone(c.held)
 	for _, change := range p.Changes {
 		k := parts.KeyOf(change.Scope, change.Part)
@@ -128,14 +130,14 @@
 }
 
 // TakeChanged returns up to n parts that have changed since they were returned last.
-func (c *Cache) TakeChanged(n int) []Held {
+func (c *Contents) TakeUpdates(n int) []CachedPart {
 	n = min(n, len(c.changed))
-	all := make([]Held, 0, n)
+	all := make([]CachedPart, 0, n)
 	for k := range c.changed {
 		if len(all) == n {
 			break
 		}
-		all = append(all, Held{Part: k, Tokens: c.held[k]})
+		all = append(all, CachedPart{Part: k, Tokens: c.held[k]})
 		delete(c.changed, k)
 	}
 	return all
@@ -143,31 +145,31 @@
 
 // Repeat returns up to n of the parts that are held. Calls return one part after the
 // other, and begin again when all were returned.
-func (c *Cache) Repeat(n int) []Held {
+func (c *Contents) NextRefresh(n int) []CachedPart {
 	if len(c.round) == 0 {
 		for k := range c.held {
 			c.round = append(c.round, k)
 		}
 	}
-	var all []Held
+	var all []CachedPart
 	for len(all) < n && len(c.round) > 0 {
 		k := c.round[len(c.round)-1]
 		c.round = c.round[:len(c.round)-1]
 		if tokens, ok := c.held[k]; ok {
-			all = append(all, Held{Part: k, Tokens: tokens})
+			all = append(all, CachedPart{Part: k, Tokens: tokens})
 		}
 	}
 	return all
 }
 
 // All returns the parts that are held, up to n.
-func (c *Cache) All(n int) []Held {
-	all := make([]Held, 0, min(n, len(c.held)))
+func (c *Contents) List(n int) []CachedPart {
+	all := make([]CachedPart, 0, min(n, len(c.held)))
 	for k, tokens := range c.held {
 		if len(all) == n {
 			break
 		}
-		all = append(all, Held{Part: k, Tokens: tokens})
+		all = append(all, CachedPart{Part: k, Tokens: tokens})
 	}
 	return all
 }
--- a/internal/gateway/holdings/holdings_test.go
+++ b/internal/gateway/holdings/holdings_test.go
@@ -20,24 +20,24 @@
 
 func change(part string, tokens int) Change { return Change{Scope: "s", Part: part, Tokens: tokens} }
 
-func tokensOf(c *Cache, part string) int { return c.held[parts.KeyOf("s", part)] }
+func tokensOf(c *Contents, part string) int { return c.held[parts.KeyOf("s", part)] }
 
 // A part that is dropped block by block changes many times, and is told once.
 func TestChangesOfOnePartAreToldOnce(t *testing.T) {
-	c := NewCache(0)
+	c := NewContents(0)
 	c.Apply(Page{Epoch: "1", Next: 4, Changes: []Change{change("x", 900), change("x", 500), change("x", 100), change("y", 50)}})
 	told := map[parts.Key]int{}
-	for _, h := range c.TakeChanged(10) {
+	for _, h := range c.TakeUpdates(10) {
 		told[h.Part] = h.Tokens
 	}
 	if len(told) != 2 || told[parts.KeyOf("s", "x")] != 100 || told[parts.KeyOf("s", "y")] != 50 {
 		t.Errorf("told %v", told)
 	}
-	if again := c.TakeChanged(10); len(again) != 0 {
+	if again := c.TakeUpdates(10); len(again) != 0 {
 		t.Errorf("again %v", again)
 	}
 	c.Apply(Page{Epoch: "1", Next: 5, Changes: []Change{change("x", 0)}})
-	if gone := c.TakeChanged(10); len(gone) != 1 || gone[0].Tokens != 0 {
+	if gone := c.TakeUpdates(10); len(gone) != 1 || gone[0].Tokens != 0 {
 		t.Errorf("a dropped part is told as %v", gone)
 	}
 }
@@ -45,13 +45,13 @@
 // An engine starts again under its name. The parts of its earlier life must be taken
 // back, or prompts are sent there for them.
 func TestNewLifeHoldsNothing(t *testing.T) {
-	c := NewCache(0)
+	c := NewContents(0)
 	c.Apply(Page{Epoch: "1", Next: 2, Changes: []Change{change("x", 900), change("y", 500)}})
-	c.TakeChanged(10)
+	c.TakeUpdates(10)
 	if !c.Apply(Page{Epoch: "2", Next: 1, Changes: []Change{change("y", 10)}}) {
 		t.Error("the new life is not noticed")
 	}
-	told := c.TakeChanged(10)
+	told := c.TakeUpdates(10)
 	if len(told) != 2 || c.Len() != 1 || tokensOf(c, "x") != 0 || tokensOf(c, "y") != 10 {
 		t.Errorf("held %v, told %v", c.held, told)
 	}
@@ -61,7 +61,7 @@
 // is room for. A list sets it right: what it lacks is taken back, what it adds is told.
 func TestListReplacesWhatIsDoubtful(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c := NewCache(1000)
+		c := NewContents(1000)
 		list := Page{Epoch: "1", Next: 7}
 		for _, name := range rapid.SliceOfDistinct(rapid.StringMatching("[a-h]"), rapid.ID[string]).Draw(rt, "held") {
 			list.Changes = append(list.Changes, change(name, rapid.IntRange(1, 100).Draw(rt, "tokens")))
@@ -71,7 +71,7 @@
 		}
 		told := map[parts.Key]int{}
 		tell := func() {
-			for _, h := range c.TakeChanged(100) {
+			for _, h := range c.TakeUpdates(100) {
 				told[h.Part] = h.Tokens
 			}
 		}
@@ -85,7 +85,7 @@
 				rt.Fatalf("%s: %d tokens, told %d, want %d", want.Part, got, told[parts.KeyOf("s", want.Part)], want.Tokens)
 			}
 		}
-		if c.Len() != len(list.Changes) || c.sum != sum || c.Doubtful() {
+		if c.Len() != len(list.Changes) || c.sum != sum || c.OverCapacity() {
 			rt.Fatalf("held %v of %d tokens, want %v", c.held, c.sum, list.Changes)
 		}
 		for k, tokens := range told {
@@ -112,7 +112,7 @@
 				feed := &scriptedFeed{pages: pages, all: Page{Epoch: "1", Next: 9, Changes: []Change{change("x", 900)}}}
 				loop := control.NewLoop(1, func(time.Duration) {})
 				go loop.Run()
-				Follow("c", loop, feed, NewCache(1000), func() time.Duration { return GatherTime }, func() {}, logr.Discard())
+				Follow("c", loop, feed, NewContents(1000), func() time.Duration { return BroadcastPollInterval }, func() {}, logr.Discard())
 				time.Sleep(25 * time.Second)
 				loop.Stop()
 				synctest.Wait()
@@ -127,13 +127,13 @@
 // What is held is said again in slices, each part once a round, so that an entry that
 // missed a word hears it.
 func TestRepeatSaysAllInRounds(t *testing.T) {
-	c := NewCache(0)
+	c := NewContents(0)
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		c.Apply(Page{Epoch: "1", Changes: []Change{change(name, 10)}})
 	}
 	seen := map[parts.Key]int{}
 	for range 5 {
-		for _, h := range c.Repeat(2) {
+		for _, h := range c.NextRefresh(2) {
 			seen[h.Part]++
 		}
 	}
@@ -156,7 +156,7 @@
 	lists int
 }
 
-func (f *scriptedFeed) All(context.Context) (Page, error) {
+func (f *scriptedFeed) List(context.Context) (Page, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lists++
@@ -186,8 +186,8 @@
 		}}
 		loop := control.NewLoop(1, func(time.Duration) {})
 		go loop.Run()
-		cache := NewCache(0)
-		Follow("c", loop, feed, cache, func() time.Duration { return GatherTime }, func() {}, logr.Discard())
+		cache := NewContents(0)
+		Follow("c", loop, feed, cache, func() time.Duration { return BroadcastPollInterval }, func() {}, logr.Discard())
 		time.Sleep(time.Second)
 		loop.Stop()
 		synctest.Wait()
--- a/internal/gateway/hostclock/hostclock.go
+++ b/internal/gateway/hostclock/hostclock.go
@@ -41,7 +41,7 @@
 func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.suspended.Load())) }
 
 // SinceWoken is the time since the host last woke, or a long time.
-func (c *Clock) SinceWoken() time.Duration {
+func (c *Clock) SinceResume() time.Duration {
 	at := c.wokeAt.Load()
 	if at == nil {
 		return time.Hour
--- a/internal/gateway/lease/lease.go
+++ b/internal/gateway/lease/lease.go
@@ -21,7 +21,7 @@
 	// TakeOver is how long another process must have seen the same newest record. It
 	// exceeds ValidFor by the three seconds within which two holders of one target count
 	// as taking turns, and by one more for answers that are late.
-	TakeOver = ValidFor + 4*time.Second
+	TakeoverAfter = ValidFor + 4*time.Second
 	// renewAfter is how old the holder's record gets before it writes another one.
 	renewAfter = 700 * time.Millisecond
 	// lookPeriod is how often a process that waits for the lease looks at the store.
@@ -33,7 +33,7 @@
 	// Holder names one life of a process; empty when nobody ever held it.
 	Holder string
 	// Offset of the record, and End, which the next one gets.
-	Offset, End uint64
+	Offset, NextOffset uint64
 }
 
 // Action is what a process does next.
@@ -44,9 +44,9 @@
 	// Wait until later.
 	Wait Action = iota
 	// Look at the newest record, and tell Looked.
-	Look
+	ReadRecord
 	// Write a record where the topic ends at End, and tell Wrote.
-	Write
+	WriteRecord
 )
 
 // Lease is one process's part. It is used by one thread and does no input or output.
@@ -72,7 +72,7 @@
 func (l *Lease) Held(now time.Time) bool { return now.Before(l.validUntil) }
 
 // End is where the topic ends as far as is known: the condition of the next record.
-func (l *Lease) End() uint64 { return l.seen.End }
+func (l *Lease) NextOffset() uint64 { return l.seen.NextOffset }
 
 // Next returns what to do now. A call that it asks for is under way until its result is
 // told.
@@ -87,18 +87,18 @@
 		}
 	case !l.known || now.Sub(l.lookedAt) >= lookPeriod:
 		l.busy, l.lookedAt = true, now
-		return Look
-	case l.seen.Holder != "" && l.seen.Holder != l.self && now.Sub(l.seenAt) < TakeOver:
+		return ReadRecord
+	case l.seen.Holder != "" && l.seen.Holder != l.self && now.Sub(l.seenAt) < TakeoverAfter:
 		return Wait
 	case now.Sub(l.wroteAt) < renewAfter:
 		return Wait
 	}
 	l.busy, l.wroteAt = true, now
-	return Write
+	return WriteRecord
 }
 
 // Looked takes in the newest record.
-func (l *Lease) Looked(r Record, err error, now time.Time) {
+func (l *Lease) ReadDone(r Record, err error, now time.Time) {
 	l.busy = false
 	if err != nil {
 		return
@@ -114,13 +114,13 @@
 //
 // The failure guarded against: the answer to a write is lost after it took effect. The
 // next look finds a record of this process, and the next write continues from there.
-func (l *Lease) Wrote(offset uint64, added bool, err error, now time.Time) {
+func (l *Lease) WriteDone(offset uint64, added bool, err error, now time.Time) {
 	l.busy = false
 	if err != nil || !added {
 		l.known = false
 		l.validUntil = time.Time{}
 		return
 	}
-	l.seen, l.seenAt = Record{Holder: l.self, Offset: offset, End: offset + 1}, now
+	l.seen, l.seenAt = Record{Holder: l.self, Offset: offset, NextOffset: offset + 1}, now
 	l.validUntil = l.wroteAt.Add(ValidFor)
 }
--- a/internal/gateway/lease/lease_test.go
+++ b/internal/gateway/lease/lease_test.go
@@ -19,7 +19,7 @@
 type store struct{ records []string }
 
 func (s *store) look() Record {
-	r := Record{End: uint64(len(s.records))}
+	r := Record{NextOffset: uint64(len(s.records))}
 	if n := len(s.records); n > 0 {
 		r.Holder, r.Offset = s.records[n-1], uint64(n-1)
 	}
@@ -45,23 +45,23 @@
 // it never comes.
 func (p *process) step(s *store, now time.Time, down, lost bool) {
 	switch p.Next(now) {
-	case Look:
+	case ReadRecord:
 		if down {
-			p.Looked(Record{}, errLost, now)
+			p.ReadDone(Record{}, errLost, now)
 			return
 		}
-		p.Looked(s.look(), nil, now)
-	case Write:
+		p.ReadDone(s.look(), nil, now)
+	case WriteRecord:
 		if down {
-			p.Wrote(0, false, errLost, now)
+			p.WriteDone(0, false, errLost, now)
 			return
 		}
-		offset, added := s.write(p.name, p.End())
+		offset, added := s.write(p.name, p.NextOffset())
 		if lost {
-			p.Wrote(0, false, errLost, now)
+			p.WriteDone(0, false, errLost, now)
 			return
 		}
-		p.Wrote(offset, added, nil, now)
+		p.WriteDone(offset, added, nil, now)
 	}
 }
 
@@ -126,7 +126,7 @@
 	if !first.Held(now) || second.Held(now) {
 		t.Fatal("a holder that lives was replaced")
 	}
-	run(TakeOver+2*lookPeriod, second)
+	run(TakeoverAfter+2*lookPeriod, second)
 	if first.Held(now) || !second.Held(now) {
 		t.Error("a holder that died was not replaced")
 	}
--- a/internal/gateway/ledger/ledger.go
+++ b/internal/gateway/ledger/ledger.go
@@ -15,34 +15,34 @@
 	// Running counts requests that are not finished.
 	Running int
 	// Reading is the time that the target still needs to read prompts.
-	Reading Lanes[time.Duration]
+	Prefill PerPriority[time.Duration]
 	// Memory counts the tokens of memory that the requests take beside what the
 	// target's cache held before.
-	Memory Lanes[int]
+	Memory PerPriority[int]
 }
 
 func (w *Work) add(o Work) {
 	w.Running += o.Running
-	w.Reading.add(&o.Reading)
+	w.Prefill.add(&o.Prefill)
 	w.Memory.add(&o.Memory)
 }
 
 // Urgencies is how many ranks of urgency targets know; 0 is the first.
-const Urgencies = 10
+const Priorities = 10
 
 // Lanes is what requests take of a target, by their urgency. A prompt waits for those
 // that are as urgent or more so, and not for the others: they make room for it.
-type Lanes[T ~int | ~int64] [Urgencies]T
+type PerPriority[T ~int | ~int64] [Priorities]T
 
 // Lane returns what one request of an urgency takes.
-func Lane[T ~int | ~int64](urgency int, amount T) Lanes[T] {
-	var l Lanes[T]
+func AtPriority[T ~int | ~int64](urgency int, amount T) PerPriority[T] {
+	var l PerPriority[T]
 	l[urgency] = amount
 	return l
 }
 
 // UpTo is what requests take that are as urgent or more so.
-func (l Lanes[T]) UpTo(urgency int) T {
+func (l PerPriority[T]) UpTo(urgency int) T {
 	sum := T(0)
 	for _, amount := range l[:urgency+1] {
 		sum += amount
@@ -51,9 +51,9 @@
 }
 
 // All is what requests of all urgencies take.
-func (l Lanes[T]) All() T { return l.UpTo(Urgencies - 1) }
+func (l PerPriority[T]) Total() T { return l.UpTo(Priorities - 1) }
 
-func (l *Lanes[T]) add(o *Lanes[T]) {
+func (l *PerPriority[T]) add(o *PerPriority[T]) {
 	for u := range o {
 		l[u] += o[u]
 	}
@@ -72,17 +72,17 @@
 // Ledger is safe for concurrent use.
 type Ledger struct {
 	mu     sync.Mutex
-	own    map[fleet.ID]map[*Item]struct{}
+	own    map[fleet.ID]map[*Request]struct{}
 	others map[netip.AddrPort]told
 }
 
 // New returns an empty ledger.
 func New() *Ledger {
-	return &Ledger{own: map[fleet.ID]map[*Item]struct{}{}, others: map[netip.AddrPort]told{}}
+	return &Ledger{own: map[fleet.ID]map[*Request]struct{}{}, others: map[netip.AddrPort]told{}}
 }
 
 // Item is one request at a target.
-type Item struct {
+type Request struct {
 	ledger *Ledger
 	target fleet.ID
 	work   Work
@@ -92,26 +92,26 @@
 
 // Begin counts a request that is sent to a target. Its prompt is expected to be
 // read from wait on.
-func (l *Ledger) Begin(target fleet.ID, w Work, wait time.Duration, now time.Time) *Item {
+func (l *Ledger) Begin(target fleet.ID, w Work, wait time.Duration, now time.Time) *Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	item := &Item{ledger: l, target: target, work: w, startsAt: now.Add(wait)}
+	item := &Request{ledger: l, target: target, work: w, startsAt: now.Add(wait)}
 	if l.own[target] == nil {
-		l.own[target] = map[*Item]struct{}{}
+		l.own[target] = map[*Request]struct{}{}
 	}
 	l.own[target][item] = struct{}{}
 	return item
 }
 
 // Read notes that the target has read the request's prompt.
-func (i *Item) Read() {
+func (i *Request) PrefillDone() {
 	i.ledger.mu.Lock()
 	defer i.ledger.mu.Unlock()
-	i.work.Reading = Lanes[time.Duration]{}
+	i.work.Prefill = PerPriority[time.Duration]{}
 }
 
 // End notes that the request has left the target.
-func (i *Item) End() {
+func (i *Request) End() {
 	l := i.ledger
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,14 +126,14 @@
 const readAtLeast = 0.15
 
 // left is the item's work with what the target has probably read taken off.
-func (i *Item) left(now time.Time) Work {
+func (i *Request) left(now time.Time) Work {
 	w := i.work
 	done := now.Sub(i.startsAt)
 	if done < 0 {
 		return w
 	}
 	// A prompt that is being read holds up all others, however urgent they are.
-	w.Reading = Lane(0, remaining(w.Reading.All(), done))
+	w.Prefill = AtPriority(0, remaining(w.Prefill.Total(), done))
 	return w
 }
 
@@ -173,7 +173,7 @@
 
 // Told takes in what another entry said of its work; partial words hold only
 // what changed.
-func (l *Ledger) Told(entry netip.AddrPort, work map[fleet.ID]Work, partial bool, now time.Time) {
+func (l *Ledger) ApplyReport(entry netip.AddrPort, work map[fleet.ID]Work, partial bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !partial {
--- a/internal/gateway/ledger/ledger_test.go
+++ b/internal/gateway/ledger/ledger_test.go
@@ -17,14 +17,14 @@
 // not read yet, and nothing from the first event on.
 func TestWorkIsCountedWhileItLasts(t *testing.T) {
 	l := New()
-	item := l.Begin(1, Work{Running: 1, Reading: Lane(0, 100*time.Millisecond), Memory: Lane(3, 120)}, 50*time.Millisecond, now)
+	item := l.Begin(1, Work{Running: 1, Prefill: AtPriority(0, 100*time.Millisecond), Memory: AtPriority(3, 120)}, 50*time.Millisecond, now)
 	for after, want := range map[time.Duration]time.Duration{0: 100, 50: 100, 90: 60, 400: 15} {
-		if got := l.Totals(now.Add(after * time.Millisecond))[1]; got.Reading.All() != want*time.Millisecond || got.Running != 1 || got.Memory.All() != 120 {
+		if got := l.Totals(now.Add(after * time.Millisecond))[1]; got.Prefill.Total() != want*time.Millisecond || got.Running != 1 || got.Memory.Total() != 120 {
 			t.Errorf("after %d ms: %+v", after, got)
 		}
 	}
-	item.Read()
-	if got := l.Totals(now)[1]; got.Reading.All() != 0 || got.Memory.All() != 120 {
+	item.PrefillDone()
+	if got := l.Totals(now)[1]; got.Prefill.Total() != 0 || got.Memory.Total() != 120 {
 		t.Errorf("%+v", got)
 	}
 	item.End()
@@ -38,12 +38,12 @@
 // on it holds them up like any other.
 func TestPromptHoldsUpMoreUrgentOnesOnceItIsRead(t *testing.T) {
 	l := New()
-	item := l.Begin(1, Work{Running: 1, Reading: Lane(9, 300*time.Millisecond)}, 100*time.Millisecond, now)
+	item := l.Begin(1, Work{Running: 1, Prefill: AtPriority(9, 300*time.Millisecond)}, 100*time.Millisecond, now)
 	defer item.End()
-	if got := l.Totals(now)[1]; got.Reading.UpTo(8) != 0 || got.Reading.UpTo(9) != 300*time.Millisecond {
+	if got := l.Totals(now)[1]; got.Prefill.UpTo(8) != 0 || got.Prefill.UpTo(9) != 300*time.Millisecond {
 		t.Errorf("before: %+v", got)
 	}
-	if got := l.Totals(now.Add(150 * time.Millisecond))[1]; got.Reading.UpTo(0) != 250*time.Millisecond || got.Reading.All() != 250*time.Millisecond {
+	if got := l.Totals(now.Add(150 * time.Millisecond))[1]; got.Prefill.UpTo(0) != 250*time.Millisecond || got.Prefill.Total() != 250*time.Millisecond {
 		t.Errorf("while it is read: %+v", got)
 	}
 }
@@ -54,15 +54,15 @@
 	l := New()
 	item := l.Begin(1, Work{Running: 1}, 0, now)
 	defer item.End()
-	l.Told(other, map[fleet.ID]Work{1: {Running: 3}, 2: {Running: 1}}, false, now)
+	l.ApplyReport(other, map[fleet.ID]Work{1: {Running: 3}, 2: {Running: 1}}, false, now)
 	if got := l.Totals(now); got[1].Running != 4 || got[2].Running != 1 {
 		t.Errorf("%v", got)
 	}
-	l.Told(other, map[fleet.ID]Work{1: {Running: 2}}, false, now)
+	l.ApplyReport(other, map[fleet.ID]Work{1: {Running: 2}}, false, now)
 	if got := l.Totals(now); got[1].Running != 3 || got[2].Running != 0 {
 		t.Errorf("the newer word does not replace the older: %v", got)
 	}
-	l.Told(other, map[fleet.ID]Work{2: {Running: 5}}, true, now)
+	l.ApplyReport(other, map[fleet.ID]Work{2: {Running: 5}}, true, now)
 	if got := l.Totals(now); got[1].Running != 3 || got[2].Running != 5 {
 		t.Errorf("a partial word replaces all: %v", got)
 	}
@@ -73,9 +73,9 @@
 
 // A prompt waits for those that are as urgent or more so.
 func TestLanesSumUpToAnUrgency(t *testing.T) {
-	w := Work{Reading: Lane(1, 10*time.Millisecond), Memory: Lane(1, 100)}
-	w.add(Work{Reading: Lane(3, 5*time.Millisecond), Memory: Lane(3, 50)})
-	if w.Reading.UpTo(0) != 0 || w.Reading.UpTo(2) != 10*time.Millisecond || w.Reading.All() != 15*time.Millisecond || w.Memory.UpTo(3) != 150 {
+	w := Work{Prefill: AtPriority(1, 10*time.Millisecond), Memory: AtPriority(1, 100)}
+	w.add(Work{Prefill: AtPriority(3, 5*time.Millisecond), Memory: AtPriority(3, 50)})
+	if w.Prefill.UpTo(0) != 0 || w.Prefill.UpTo(2) != 10*time.Millisecond || w.Prefill.Total() != 15*time.Millisecond || w.Memory.UpTo(3) != 150 {
 		t.Errorf("%+v", w)
 	}
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -62,7 +62,7 @@
 func (l *limits) refresh() {
 	state := l.state
 	known, unreachable := state.mesh.Known(true)
-	m := &ratelimit.Members{At: state.clock.Now(), StartedAt: l.startedAt, Known: 1 + known, Silent: unreachable, Self: l.limitsAddress(state.settings.meshAddress())}
+	m := &ratelimit.Members{AsOf: state.clock.Now(), StartedAt: l.startedAt, Known: 1 + known, Unreachable: unreachable, Self: l.limitsAddress(state.settings.meshAddress())}
 	if !state.stopping {
 		m.Live = append(m.Live, m.Self)
 	}
@@ -71,7 +71,7 @@
 			m.Live = append(m.Live, l.limitsAddress(member.Address))
 		}
 	}
-	m.Heard = len(l.seenIncarnations) > 0 || state.settings.FirstStart
+	m.HeardPeer = len(l.seenIncarnations) > 0 || state.settings.FirstStart
 	l.limiter.SetMembers(m)
 }
 
--- a/internal/gateway/mesh/fetch.go
+++ b/internal/gateway/mesh/fetch.go
@@ -16,7 +16,7 @@
 const fetchTimeout = 700 * time.Millisecond
 
 // Answer is what a process knows of a topic.
-type Answer struct {
+type TopicPage struct {
 	feed.Page
 	// Age since the records were known to be all.
 	Age time.Duration
@@ -26,11 +26,11 @@
 type Server struct {
 	loop *control.Loop
 	// answer is asked on the control thread.
-	answer func(topic string, from uint64) (Answer, bool)
+	answer func(topic string, from uint64) (TopicPage, bool)
 }
 
 // NewServer returns a server; answer is asked on the control thread.
-func NewServer(loop *control.Loop, answer func(topic string, from uint64) (Answer, bool)) *Server {
+func NewServer(loop *control.Loop, answer func(topic string, from uint64) (TopicPage, bool)) *Server {
 	return &Server{loop: loop, answer: answer}
 }
 
@@ -54,7 +54,7 @@
 	if !ok {
 		return &peerv1.FetchResponse{}
 	}
-	resp := &peerv1.FetchResponse{End: a.End, Whole: a.Whole, AgeMs: uint32(a.Age.Milliseconds())}
+	resp := &peerv1.FetchResponse{End: a.End, Whole: a.Full, AgeMs: uint32(a.Age.Milliseconds())}
 	for _, r := range a.Records {
 		resp.Records = append(resp.Records, &peerv1.TopicRecord{Key: r.Key, Value: r.Value, Offset: r.Offset, Dropped: r.Value == nil})
 	}
@@ -62,16 +62,16 @@
 }
 
 // Fetch asks another process for the records of a topic from an offset on.
-func Fetch(ctx context.Context, client *http.Client, from netip.AddrPort, topic string, offset uint64) (Answer, error) {
+func Fetch(ctx context.Context, client *http.Client, from netip.AddrPort, topic string, offset uint64) (TopicPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	peer := peerv1.NewMeshClient(client, "http://"+from.String())
 	resp, err := peer.Fetch(ctx, connect.NewRequest(&peerv1.FetchRequest{Topic: topic, From: offset}))
 	if err != nil {
-		return Answer{}, err
+		return TopicPage{}, err
 	}
-	a := Answer{Age: time.Duration(resp.Msg.AgeMs) * time.Millisecond}
-	a.End, a.Whole = resp.Msg.End, resp.Msg.Whole
+	a := TopicPage{Age: time.Duration(resp.Msg.AgeMs) * time.Millisecond}
+	a.End, a.Full = resp.Msg.End, resp.Msg.Whole
 	for _, r := range resp.Msg.Records {
 		value := r.Value
 		if r.Dropped {
--- a/internal/gateway/mesh/mesh.go
+++ b/internal/gateway/mesh/mesh.go
@@ -53,15 +53,15 @@
 	Leaving     bool
 	Incarnation uint64
 	Sequence    uint64
-	HeardAt     time.Time
+	LastSeen    time.Time
 	// Since is when this life of the process was first heard, or heard again after
 	// it had been silent.
-	Since time.Time
+	AliveSince time.Time
 	// StopsSince is when the process was first heard to stop; zero while it does
 	// not.
-	StopsSince time.Time
+	StoppingSince time.Time
 	// Beat is the newest heartbeat.
-	Beat *peerv1.Beat
+	Heartbeat *peerv1.Beat
 }
 
 // Options are a mesh's surroundings. The functions are called on the control
@@ -78,7 +78,7 @@
 	// Compose fills in what this process tells of itself.
 	Compose func(*peerv1.Beat)
 	// Heard is told of each newer heartbeat.
-	Heard func(*Member)
+	OnHeartbeat func(*Member)
 	// Period returns the time between two rounds to processes of a role.
 	Period func(entries bool) time.Duration
 	Logger logr.Logger
@@ -137,7 +137,7 @@
 	if beat.Partial && (member == nil || member.Incarnation != beat.Incarnation) {
 		return // its first whole heartbeat follows
 	}
-	fresh := member == nil || m.options.Now().Sub(member.HeardAt) > m.liveFor(member.Entry) || member.Incarnation != beat.Incarnation
+	fresh := member == nil || m.options.Now().Sub(member.LastSeen) > m.liveFor(member.Entry) || member.Incarnation != beat.Incarnation
 	if fresh {
 		m.options.Logger.Info("peer_heard", "peer", beat.Name, "address", from, "entry", beat.Entry, "incarnation", beat.Incarnation)
 	}
@@ -146,28 +146,28 @@
 		m.members[from] = member
 	}
 	if fresh {
-		member.Since = m.options.Now()
+		member.AliveSince = m.options.Now()
 	}
 	if !beat.Partial {
 		member.noteStop(beat.Leaving, m.options.Now())
 		member.Name, member.Zone, member.Entry, member.Leaving = beat.Name, beat.Zone, beat.Entry, beat.Leaving
 	}
 	member.Incarnation, member.Sequence = beat.Incarnation, beat.Sequence
-	member.HeardAt, member.Beat = m.options.Now(), beat
+	member.LastSeen, member.Heartbeat = m.options.Now(), beat
 	for _, text := range beat.Members {
 		if address, err := netip.ParseAddrPort(text); err == nil && address != m.options.Listen && m.members[address] == nil {
-			m.members[address] = &Member{Address: address, HeardAt: m.options.Now().Add(-m.liveFor(false))}
+			m.members[address] = &Member{Address: address, LastSeen: m.options.Now().Add(-m.liveFor(false))}
 		}
 	}
-	m.options.Heard(member)
+	m.options.OnHeartbeat(member)
 }
 
 func (m *Member) noteStop(stops bool, now time.Time) {
 	switch {
 	case !stops:
-		m.StopsSince = time.Time{}
-	case m.StopsSince.IsZero():
-		m.StopsSince = now
+		m.StoppingSince = time.Time{}
+	case m.StoppingSince.IsZero():
+		m.StoppingSince = now
 	}
 }
 
@@ -180,7 +180,7 @@
 	var live []*Member
 	within := m.liveFor(entries)
 	for _, member := range m.members {
-		if member.Beat != nil && member.Entry == entries && m.options.Now().Sub(member.HeardAt) <= within {
+		if member.Heartbeat != nil && member.Entry == entries && m.options.Now().Sub(member.LastSeen) <= within {
 			live = append(live, member)
 		}
 	}
@@ -193,11 +193,11 @@
 // one is.
 func (m *Mesh) Known(entries bool) (known, silent int) {
 	for _, member := range m.members {
-		if member.Beat == nil || member.Entry != entries || !member.StopsSince.IsZero() {
+		if member.Heartbeat == nil || member.Entry != entries || !member.StoppingSince.IsZero() {
 			continue
 		}
 		known++
-		if m.options.Now().Sub(member.HeardAt) > m.liveFor(entries)/2 {
+		if m.options.Now().Sub(member.LastSeen) > m.liveFor(entries)/2 {
 			silent++
 		}
 	}
@@ -206,7 +206,7 @@
 
 // lives reports whether a process was heard lately.
 func (m *Mesh) lives(member *Member) bool {
-	return m.options.Now().Sub(member.HeardAt) <= m.liveFor(member.Entry)
+	return m.options.Now().Sub(member.LastSeen) <= m.liveFor(member.Entry)
 }
 
 // liveFor is how long a process of a role counts as living after its last heartbeat. It
@@ -217,7 +217,7 @@
 }
 
 // At returns the process at an address, or nil.
-func (m *Mesh) At(address netip.AddrPort) *Member { return m.members[address] }
+func (m *Mesh) ByAddress(address netip.AddrPort) *Member { return m.members[address] }
 
 // round sends one heartbeat to the processes of a role, and to the hosts of
 // which no process is known.
@@ -225,7 +225,7 @@
 	m.forget()
 	var to []netip.AddrPort
 	for _, member := range m.members {
-		if member.Beat == nil && !entries || member.Beat != nil && member.Entry == entries {
+		if member.Heartbeat == nil && !entries || member.Heartbeat != nil && member.Entry == entries {
 			to = append(to, member.Address)
 		}
 	}
@@ -255,7 +255,7 @@
 
 // Tell sends a heartbeat to all living processes at once, when something has
 // changed that they should not learn a round later.
-func (m *Mesh) Tell() {
+func (m *Mesh) Broadcast() {
 	var to []netip.AddrPort
 	for _, member := range m.members {
 		if m.lives(member) {
@@ -267,7 +267,7 @@
 
 // TellEntries sends the living entries a partial heartbeat, which holds only
 // what fill adds.
-func (m *Mesh) TellEntries(fill func(*peerv1.Beat)) {
+func (m *Mesh) BroadcastToEntries(fill func(*peerv1.Beat)) {
 	var to []netip.AddrPort
 	for _, member := range m.members {
 		if member.Entry && m.lives(member) {
@@ -286,7 +286,7 @@
 
 // TellMember sends one process a whole heartbeat, with what fill adds: one that has
 // just started knows the sender from then on.
-func (m *Mesh) TellMember(to netip.AddrPort, fill func(*peerv1.Beat)) {
+func (m *Mesh) SendTo(to netip.AddrPort, fill func(*peerv1.Beat)) {
 	m.sendBeat([]netip.AddrPort{to}, func(beat *peerv1.Beat) {
 		m.options.Compose(beat)
 		fill(beat)
@@ -309,7 +309,7 @@
 func (m *Mesh) forget() {
 	m.same = 0
 	for address, member := range m.members {
-		silent := m.options.Now().Sub(member.HeardAt)
+		silent := m.options.Now().Sub(member.LastSeen)
 		if member.Entry == m.options.Self.Entry {
 			m.same++
 		}
@@ -317,7 +317,7 @@
 			delete(m.members, address)
 			continue
 		}
-		if silent > m.liveFor(member.Entry) && member.Beat != nil && member.Name != "" && !member.Leaving {
+		if silent > m.liveFor(member.Entry) && member.Heartbeat != nil && member.Name != "" && !member.Leaving {
 			member.Leaving = true // said once
 			m.options.Logger.Info("peer_silent", "peer", member.Name, "address", address, "silent_for", silent)
 		}
@@ -361,7 +361,7 @@
 		if len(told) == toldMembers {
 			break
 		}
-		if member.Beat != nil && m.lives(member) {
+		if member.Heartbeat != nil && m.lives(member) {
 			told = append(told, address.String())
 		}
 	}
