--- a/internal/gateway/mesh/mesh_test.go
+++ b/internal/gateway/mesh/mesh_test.go
@@ -21,7 +21,7 @@
 	b.Mesh = &Mesh{
 		options: Options{
 			Self: &peerv1.Beat{Name: "self", Entry: true}, Listen: netip.MustParseAddrPort("10.0.0.1:7000"),
-			Heard: func(*Member) {}, Period: func(bool) time.Duration { return period },
+			OnHeartbeat: func(*Member) {}, Period: func(bool) time.Duration { return period },
 			Now: func() time.Time { return b.now }, Logger: logr.Discard(),
 		},
 		members: map[netip.AddrPort]*Member{}, due: map[bool][]netip.AddrPort{},
@@ -97,7 +97,7 @@
 	b := newBench(100 * time.Millisecond)
 	b.beat(1, 5)
 	b.hear(address(1), &peerv1.Beat{Name: "late", Entry: true, Incarnation: 1, Sequence: 4, Leaving: true})
-	if m := b.At(address(1)); m.Name == "late" || m.Leaving {
+	if m := b.ByAddress(address(1)); m.Name == "late" || m.Leaving {
 		t.Errorf("member %+v", m)
 	}
 }
--- a/internal/gateway/parts/parts.go
+++ b/internal/gateway/parts/parts.go
@@ -65,9 +65,9 @@
 const (
 	Absent State = iota
 	// Coming parts are being read.
-	Coming
+	InProgress
 	// Held parts were read to their end.
-	Held
+	Cached
 )
 
 const (
@@ -91,7 +91,7 @@
 )
 
 // Fact is one belief, as processes tell it to each other.
-type Fact struct {
+type Update struct {
 	Part   Key
 	Target fleet.ID
 	Done   bool
@@ -99,7 +99,7 @@
 
 // Whole is the number of tokens of a part that is held to its end, for one whose length
 // is not known.
-const Whole = math.MaxInt32
+const AllTokens = math.MaxInt32
 
 type belief struct {
 	target fleet.ID
@@ -117,21 +117,21 @@
 // Keys live in two generations. A key that is noted moves to the young one; when
 // that is full it becomes the old one, and what was left in the old one is
 // dropped, without a walk over all keys.
-type Book struct {
+type Index struct {
 	mu         sync.Mutex
 	young, old map[Key][]belief
-	fresh      []Fact
+	fresh      []Update
 	// told is when each target's own word came last.
 	told map[fleet.ID]time.Time
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{young: map[Key][]belief{}, old: map[Key][]belief{}, told: map[fleet.ID]time.Time{}}
+func NewIndex() *Index {
+	return &Index{young: map[Key][]belief{}, old: map[Key][]belief{}, told: map[fleet.ID]time.Time{}}
 }
 
 // get returns what is believed of a key. The caller holds mu.
-func (b *Book) get(k Key) []belief {
+func (b *Index) get(k Key) []belief {
 	if list, ok := b.young[k]; ok {
 		return list
 	}
@@ -139,7 +139,7 @@
 }
 
 // put keeps what is believed of a key. The caller holds mu.
-func (b *Book) put(k Key, list []belief) {
+func (b *Index) put(k Key, list []belief) {
 	if len(b.young) >= maxKeys/2 {
 		b.old, b.young = b.young, map[Key][]belief{}
 	}
@@ -150,30 +150,30 @@
 // them. It is told to other processes.
 //
 // It reports whether others should hear of it.
-func (b *Book) Note(target fleet.ID, keys []Key, done bool, now time.Time) bool {
+func (b *Index) Record(target fleet.ID, keys []Key, done bool, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before := len(b.fresh)
 	for _, k := range keys {
-		if b.note(Fact{Part: k, Target: target, Done: done}, now) {
-			b.fresh = append(b.fresh, Fact{Part: k, Target: target, Done: done})
+		if b.note(Update{Part: k, Target: target, Done: done}, now) {
+			b.fresh = append(b.fresh, Update{Part: k, Target: target, Done: done})
 		}
 	}
 	return len(b.fresh) > before
 }
 
 // Told takes in what another process learned.
-func (b *Book) Told(f Fact, now time.Time) {
+func (b *Index) Apply(f Update, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.note(f, now)
 }
 
 // note reports whether it changed what others should know.
-func (b *Book) note(f Fact, now time.Time) bool {
-	state := Coming
+func (b *Index) note(f Update, now time.Time) bool {
+	state := InProgress
 	if f.Done {
-		state = Held
+		state = Cached
 	}
 	list := b.get(f.Part)
 	for i := range list {
@@ -181,8 +181,8 @@
 			continue
 		}
 		was := list[i]
-		if was.state == Held && now.Sub(was.at) <= heldFor {
-			state = Held
+		if was.state == Cached && now.Sub(was.at) <= heldFor {
+			state = Cached
 		}
 		list[i].state, list[i].at = state, now
 		b.put(f.Part, list)
@@ -194,7 +194,7 @@
 
 // Learn takes in a target's own word: so many tokens of a part are in its cache now.
 // What was noted of sends before is overruled, but for a part that is being read.
-func (b *Book) Learn(target fleet.ID, k Key, tokens int, now time.Time) {
+func (b *Index) RecordReport(target fleet.ID, k Key, tokens int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.noteWord(target, now)
@@ -210,7 +210,7 @@
 }
 
 // noteWord notes that a target's own word came, and forgets those that are silent.
-func (b *Book) noteWord(target fleet.ID, now time.Time) {
+func (b *Index) noteWord(target fleet.ID, now time.Time) {
 	if _, known := b.told[target]; !known {
 		maps.DeleteFunc(b.told, func(_ fleet.ID, at time.Time) bool { return now.Sub(at) > sureFor })
 	}
@@ -219,7 +219,7 @@
 
 // Known reports whether a target has told of its cache lately: what it has not named
 // it does not hold.
-func (b *Book) Known(target fleet.ID, now time.Time) bool {
+func (b *Index) ReportedRecently(target fleet.ID, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at, ok := b.told[target]
@@ -233,7 +233,7 @@
 // old word taken, the next prompts would find the part held in part, and read the rest
 // again elsewhere.
 func (b *belief) learn(tokens int, now time.Time) {
-	settled := b.state == Held && now.Sub(b.at) > settleTime
+	settled := b.state == Cached && now.Sub(b.at) > settleTime
 	if settled {
 		b.state = Absent
 	}
@@ -249,16 +249,16 @@
 func (b *belief) sure(now time.Time) bool { return b.tokens > 0 && now.Sub(b.toldAt) <= sureFor }
 
 func (b *belief) coming(now time.Time) bool {
-	return b.state == Coming && now.Sub(b.at) <= comingFor
+	return b.state == InProgress && now.Sub(b.at) <= comingFor
 }
 
 // current is the state of the part, whether it is held in full or in part.
 func (b *belief) current(now time.Time) State {
 	switch {
 	case b.coming(now):
-		return Coming
-	case b.sure(now), b.state == Held && now.Sub(b.at) <= heldFor:
-		return Held
+		return InProgress
+	case b.sure(now), b.state == Cached && now.Sub(b.at) <= heldFor:
+		return Cached
 	default:
 		return Absent
 	}
@@ -269,9 +269,9 @@
 func (b *belief) whole(tokens int, now time.Time) State {
 	switch {
 	case b.held(heldFor, now) > max(tokens-blockTokens, 0):
-		return Held
+		return Cached
 	case b.coming(now):
-		return Coming
+		return InProgress
 	default:
 		return Absent
 	}
@@ -281,8 +281,8 @@
 // send counts for the time kept, in which a cache drops what is not used.
 func (b *belief) held(kept time.Duration, now time.Time) int {
 	switch {
-	case b.state == Held && now.Sub(b.at) <= min(kept, heldFor):
-		return Whole
+	case b.state == Cached && now.Sub(b.at) <= min(kept, heldFor):
+		return AllTokens
 	case b.sure(now):
 		return b.tokens
 	default:
@@ -291,7 +291,7 @@
 }
 
 // TakeFresh returns up to n facts that others were not told yet.
-func (b *Book) TakeFresh(n int) []Fact {
+func (b *Index) TakeUpdates(n int) []Update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n = min(n, len(b.fresh))
@@ -304,14 +304,14 @@
 }
 
 // DropFresh forgets which facts others were not told: in a large fleet they are not.
-func (b *Book) DropFresh() {
+func (b *Index) DropUpdates() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fresh = nil
 }
 
 // Forget drops what is believed of a target, which was emptied.
-func (b *Book) Forget(target fleet.ID) {
+func (b *Index) Forget(target fleet.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, generation := range []map[Key][]belief{b.young, b.old} {
@@ -322,7 +322,7 @@
 }
 
 // At returns the state of a part of so many tokens at a target.
-func (b *Book) At(k Key, tokens int, target fleet.ID, now time.Time) State {
+func (b *Index) StateAt(k Key, tokens int, target fleet.ID, now time.Time) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := b.get(k)
@@ -335,7 +335,7 @@
 }
 
 // Holders calls visit with each target that holds or reads a part of so many tokens.
-func (b *Book) Holders(k Key, tokens int, now time.Time, visit func(target fleet.ID, s State)) {
+func (b *Index) VisitLocations(k Key, tokens int, now time.Time, visit func(target fleet.ID, s State)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := b.get(k)
--- a/internal/gateway/parts/parts_test.go
+++ b/internal/gateway/parts/parts_test.go
@@ -16,8 +16,8 @@
 var now = time.Unix(1000, 0)
 
 // stateAt is a part's state at a target.
-func stateAt(b *Book, k Key, target fleet.ID, at time.Time) State {
-	return b.At(k, 10, target, at)
+func stateAt(b *Index, k Key, target fleet.ID, at time.Time) State {
+	return b.StateAt(k, 10, target, at)
 }
 
 func prompt(ids ...string) []wire.Part {
@@ -62,17 +62,17 @@
 // Beliefs end: engines evict what was not used, and a read that takes long has
 // failed.
 func TestBeliefsEnd(t *testing.T) {
-	b := NewBook()
+	b := NewIndex()
 	keys := Keys("s", prompt("x", "own"))
-	b.Note(1, keys, false, now)
-	if got := stateAt(b, keys[0], 1, now); got != Coming {
+	b.Record(1, keys, false, now)
+	if got := stateAt(b, keys[0], 1, now); got != InProgress {
 		t.Errorf("state %v", got)
 	}
 	if got := stateAt(b, keys[0], 1, now.Add(comingFor+1)); got != Absent {
 		t.Errorf("a read that hangs: state %v", got)
 	}
-	b.Note(1, keys, true, now)
-	if got := stateAt(b, keys[0], 1, now.Add(heldFor-1)); got != Held {
+	b.Record(1, keys, true, now)
+	if got := stateAt(b, keys[0], 1, now.Add(heldFor-1)); got != Cached {
 		t.Errorf("state %v", got)
 	}
 	if got := stateAt(b, keys[0], 1, now.Add(heldFor+1)); got != Absent {
@@ -82,47 +82,47 @@
 
 // A part that is held stays so while another request reads it.
 func TestHeldPartIsNotComingAgain(t *testing.T) {
-	b := NewBook()
+	b := NewIndex()
 	keys := Keys("s", prompt("x", "own"))
-	b.Note(1, keys, true, now)
-	b.Note(1, keys, false, now.Add(time.Second))
-	if got := stateAt(b, keys[0], 1, now.Add(time.Second)); got != Held {
+	b.Record(1, keys, true, now)
+	b.Record(1, keys, false, now.Add(time.Second))
+	if got := stateAt(b, keys[0], 1, now.Add(time.Second)); got != Cached {
 		t.Errorf("state %v", got)
 	}
 }
 
 // What one process learned is told once; what it was told is not told on.
 func TestFactsAreToldOnce(t *testing.T) {
-	b := NewBook()
+	b := NewIndex()
 	keys := Keys("s", prompt("x", "y", "own"))
-	b.Note(1, keys, true, now)
-	b.Note(1, keys, true, now.Add(time.Millisecond))
-	b.Told(Fact{Part: 5, Target: 2, Done: true}, now)
-	if got := b.TakeFresh(10); len(got) != 2 {
+	b.Record(1, keys, true, now)
+	b.Record(1, keys, true, now.Add(time.Millisecond))
+	b.Apply(Update{Part: 5, Target: 2, Done: true}, now)
+	if got := b.TakeUpdates(10); len(got) != 2 {
 		t.Errorf("facts %v", got)
 	}
-	if got := b.TakeFresh(10); len(got) != 0 {
+	if got := b.TakeUpdates(10); len(got) != 0 {
 		t.Errorf("again %v", got)
 	}
-	if stateAt(b, 5, 2, now) != Held {
+	if stateAt(b, 5, 2, now) != Cached {
 		t.Error("what was told is not believed")
 	}
 }
 
 // A target that was emptied holds nothing, and memory stays bounded.
 func TestForgetAndBound(t *testing.T) {
-	b := NewBook()
+	b := NewIndex()
 	for i := range 3 * maxKeys {
-		b.Told(Fact{Part: Key(i), Target: 1, Done: true}, now)
+		b.Apply(Update{Part: Key(i), Target: 1, Done: true}, now)
 	}
 	if n := len(b.young) + len(b.old); n > maxKeys {
 		t.Errorf("%d keys", n)
 	}
-	if stateAt(b, Key(3*maxKeys-1), 1, now) != Held {
+	if stateAt(b, Key(3*maxKeys-1), 1, now) != Cached {
 		t.Error("the newest belief was dropped")
 	}
-	b = NewBook()
-	b.Told(Fact{Part: 7, Target: 1, Done: true}, now)
+	b = NewIndex()
+	b.Apply(Update{Part: 7, Target: 1, Done: true}, now)
 	b.Forget(1)
 	if stateAt(b, 7, 1, now) != Absent {
 		t.Error("an emptied target holds a part")
--- a/internal/gateway/parts/prefix.go
+++ b/internal/gateway/parts/prefix.go
@@ -23,7 +23,7 @@
 // Prefixes returns, for each target that holds the beginning of a prompt's shared
 // parts, how many of their tokens it holds. keys are those of the parts. What was noted
 // of sends counts for the time kept.
-func (b *Book) Prefixes(keys []Key, shared []wire.Part, kept time.Duration, now time.Time) []Prefix {
+func (b *Index) Prefixes(keys []Key, shared []wire.Part, kept time.Duration, now time.Time) []Prefix {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []Prefix
--- a/internal/gateway/parts/turnover.go
+++ b/internal/gateway/parts/turnover.go
@@ -23,7 +23,7 @@
 // Turnover estimates for how long engines keep a part that is not used. Caches
 // drop what was not used for the longest time, so that it is the time in which
 // new tokens fill a cache. It is safe for concurrent use.
-type Turnover struct {
+type RetentionEstimator struct {
 	mu sync.Mutex
 	// rate is the intake of tokens a second that this process sees.
 	rate float64
@@ -31,14 +31,14 @@
 }
 
 // Intake notes tokens that a request brings into some engine's cache.
-func (t *Turnover) Intake(tokens int, now time.Time) {
+func (t *RetentionEstimator) AddTokens(tokens int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rate = t.decayed(now) + float64(tokens)/turnoverWindow.Seconds()
 	t.at = now
 }
 
-func (t *Turnover) decayed(now time.Time) float64 {
+func (t *RetentionEstimator) decayed(now time.Time) float64 {
 	if t.at.IsZero() {
 		return 0
 	}
@@ -48,7 +48,7 @@
 // Kept is for how long an unused part is believed to be held: entries like this
 // one send to so many engines, each of which has room for so many tokens besides
 // those of its runs.
-func (t *Turnover) Kept(entries, engines, room int, now time.Time) time.Duration {
+func (t *RetentionEstimator) Retention(entries, engines, room int, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rate := t.decayed(now) * float64(max(entries, 1)) / float64(max(engines, 1))
--- a/internal/gateway/placement/placement.go
+++ b/internal/gateway/placement/placement.go
@@ -20,23 +20,23 @@
 	// Hash ranks the engine for a prompt's family.
 	Hash uint64
 	// Near engines stand in the entry's availability zone.
-	Near bool
+	SameZone bool
 	// Excluded engines are not to be used: they leave, or failed this request
 	// already.
 	Excluded bool
 	// Rested engines failed lately, or may be gone. They are used when no other
 	// is left.
-	Rested bool
+	Ejected bool
 	// Loading engines load weights and refuse. Emptying ones load next and are
 	// used when no other is left.
-	Loading, Emptying bool
+	Loading, Draining bool
 	// Version of the model that the engine has, and for how long it has been
 	// older than one that operators want.
-	Version int64
-	Behind  time.Duration
+	Version  int64
+	StaleFor time.Duration
 	// Loads is set when the engine is to load weights, in LoadsIn.
-	Loads   bool
-	LoadsIn time.Duration
+	LoadScheduled bool
+	LoadStartsIn  time.Duration
 	// Slots is how many requests it works on at once, Memory its memory in
 	// tokens.
 	Slots  int
@@ -45,66 +45,66 @@
 	Work ledger.Work
 	// Arriving are the thousandths of its time for which the engine is given prompts to
 	// read, by their urgency, where that is known.
-	Arriving ledger.Lanes[int]
+	OfferedLoad ledger.PerPriority[int]
 	// Pace is by how much the engine is slower than predicted; zero means that it
 	// is not.
-	Pace float64
+	Slowdown float64
 	// Held is how many of the prompt's shared tokens the engine holds.
-	Held int
+	CachedTokens int
 	// Fetchable is how many of the shared tokens can be had from Source, the
 	// best place other than the engine itself.
-	Fetchable int
-	Source    Source
+	FetchableTokens int
+	Source          Source
 }
 
 // Source is a place from which an engine fetches parts.
 type Source struct {
 	Address netip.AddrPort
 	// Near is set when it stands in the engine's availability zone.
-	Near bool
+	SameZone bool
 	// Rate is how many tokens a millisecond its link carries.
-	Rate float64
+	TokensPerMs float64
 }
 
 // FetchMs is how long it takes to fetch so many tokens, in milliseconds.
 func (s *Source) FetchMs(tokens int) float64 {
-	if tokens <= 0 || s.Rate <= 0 {
+	if tokens <= 0 || s.TokensPerMs <= 0 {
 		return 0
 	}
 	distance := 2.0
-	if s.Near {
+	if s.SameZone {
 		distance = 1
 	}
-	return fetchSetup + float64(tokens)/s.Rate*distance
+	return fetchSetup + float64(tokens)/s.TokensPerMs*distance
 }
 
 // Question is what a decision goes by besides the candidates.
-type Question struct {
+type Input struct {
 	// Family names the prompt's shared parts for ranking, Outer the first of them.
-	Family, Outer uint64
+	Family, FirstPart uint64
 	// Shared and Own are the prompt's tokens: in parts that others use too, and
 	// in the rest.
-	Shared, Own int
+	SharedTokens, OwnTokens int
 	// MaxTokens is the longest answer.
 	MaxTokens int
 	// Urgency is the prompt's rank at an engine, and LateUrgency that of a prompt like it
 	// which cannot be in time.
-	Urgency, LateUrgency int
+	Priority, LatePriority int
 	// Aim is the time within which the first event is of full use.
-	Aim time.Duration
+	Objective time.Duration
 	// FarCost is what sending to another availability zone weighs, in milliseconds of
 	// waiting.
-	FarCost float64
+	CrossZoneCost float64
 	// MemoryShare is the share of an engine's memory that all requests may take for this
 	// one to be sent there; zero where that is not asked for.
-	MemoryShare float64
+	MaxMemoryShare float64
 	// Apart ranks the engines in place of what they cost, for a request that is to go to one
 	// engine whoever holds it; zero for all others.
-	Apart uint64
+	PinKey uint64
 	// VersionBound is the age from which no request begins on an older version.
-	VersionBound time.Duration
+	MaxStaleness time.Duration
 	// ReadTime predicts how long an engine takes to read so many tokens.
-	ReadTime func(tokens int) time.Duration
+	PrefillTime func(tokens int) time.Duration
 }
 
 // Choice is a decision.
@@ -116,23 +116,23 @@
 	// Late choices cannot be in time. They wait behind those that can.
 	Late bool
 	// Urgency is the prompt's rank at the engine.
-	Urgency int
+	Priority int
 	// Estimate is the expected time to the first event.
 	Estimate time.Duration
 	// Held, Fetched and ReadTokens are the prompt's tokens that the engine is
 	// expected to hold, to fetch and to read.
-	Held, Fetched, ReadTokens int
+	CachedTokens, FetchedTokens, PrefillTokens int
 	// Wait, Read and Fetch are the estimate's parts.
-	Wait, Read, Fetch time.Duration
+	Wait, Prefill, Fetch time.Duration
 }
 
 const (
 	// FarCost is the usual cost of another availability zone: bytes between zones have a
 	// price, and the way is longer.
-	FarCost = 60
+	CrossZoneCost = 60
 	// FarCostAsked is the same where only some engines are asked. A family's first engines
 	// stand anywhere, and all entries must prefer them alike for its parts to be read once.
-	FarCostAsked = 2
+	CrossZoneCostProbed = 2
 	// oldPenalty is what beginning on weights older than the wanted weighs, in
 	// milliseconds, once graceAge has passed.
 	oldPenalty = 400
@@ -169,15 +169,15 @@
 // Pick returns the best candidate. A prompt that no engine can begin to answer
 // in time is put behind those that can: were all to wait in the order in which
 // they came, one burst would make every later prompt late too.
-func Pick(q *Question, candidates []Candidate) Choice {
+func Pick(q *Input, candidates []Candidate) Choice {
 	choice := pick(q, candidates, false)
-	if q.Aim <= 0 || choice.Index < 0 || float64(choice.Estimate) <= lateFactor*float64(q.Aim) {
+	if q.Objective <= 0 || choice.Index < 0 || float64(choice.Estimate) <= lateFactor*float64(q.Objective) {
 		return choice
 	}
 	return pick(q, candidates, true)
 }
 
-func pick(q *Question, candidates []Candidate, late bool) Choice {
+func pick(q *Input, candidates []Candidate, late bool) Choice {
 	best := Choice{Index: -1}
 	lowest := math.Inf(1)
 	for i := range candidates {
@@ -196,13 +196,13 @@
 }
 
 // filter says why a candidate may not run the prompt; nothing when it may.
-func filter(q *Question, c *Candidate) string {
+func filter(q *Input, c *Candidate) string {
 	switch {
 	case c.Excluded:
 		return "leaves or has failed this request"
 	case c.Loading:
 		return "loads weights"
-	case c.Behind >= q.VersionBound-boundMargin:
+	case c.StaleFor >= q.MaxStaleness-boundMargin:
 		return "has weights that are too old"
 	case full(q, c):
 		return "has no memory left for it"
@@ -215,8 +215,8 @@
 	// LaterMemoryShare is the MemoryShare of prompts of all but the most urgent routes,
 	// which leave some for those and for the answers of all to grow. ReturnMemoryShare is
 	// that of callers who were refused before.
-	LaterMemoryShare  = 0.85
-	ReturnMemoryShare = 0.92
+	LowPriorityMemoryShare = 0.85
+	RetryMemoryShare       = 0.92
 	// largestShare bounds what a prompt counts as, as a share of an engine's memory. The
 	// longest ones would otherwise find room nowhere while shorter ones come.
 	largestShare = 0.125
@@ -228,20 +228,20 @@
 // ones end, and wait at engines. Each engine admits one as soon as its prompt fits, and
 // has to preempt it when an urgent one comes or answers grow: it then reads the same
 // prompt again.
-func full(q *Question, c *Candidate) bool {
-	taken := c.Work.Memory.All()
-	if q.MemoryShare <= 0 || c.Memory <= 0 || taken == 0 {
+func full(q *Input, c *Candidate) bool {
+	taken := c.Work.Memory.Total()
+	if q.MaxMemoryShare <= 0 || c.Memory <= 0 || taken == 0 {
 		return false
 	}
-	size := min(q.Own+q.Shared+q.MaxTokens/2, int(largestShare*float64(c.Memory)))
-	return float64(taken+size) > q.MemoryShare*float64(c.Memory)
+	size := min(q.OwnTokens+q.SharedTokens+q.MaxTokens/2, int(largestShare*float64(c.Memory)))
+	return float64(taken+size) > q.MaxMemoryShare*float64(c.Memory)
 }
 
 // rate is a candidate's score with what it costs to be away from the family's
 // first engine.
-func rate(q *Question, c *Candidate, all []Candidate, late bool) (Choice, float64) {
+func rate(q *Input, c *Candidate, all []Candidate, late bool) (Choice, float64) {
 	choice, cost := score(q, c, late)
-	if q.Apart != 0 {
+	if q.PinKey != 0 {
 		return choice, rankApart(q, c, &choice)
 	}
 	return choice, cost + awayStep*float64(away(q.Family, c, all))
@@ -250,12 +250,12 @@
 // rankApart is the rank of an engine for a request that is kept apart, in place of its
 // cost: all entries choose the lowest alike. Engines that cannot do it come last, in
 // the same order.
-func rankApart(q *Question, c *Candidate, choice *Choice) float64 {
-	rank := Rank(q.Apart, c.Hash)
-	if c.Rested || c.Emptying {
+func rankApart(q *Input, c *Candidate, choice *Choice) float64 {
+	rank := Rank(q.PinKey, c.Hash)
+	if c.Ejected || c.Draining {
 		rank += 2
 	}
-	if q.Aim > 0 && float64(choice.Estimate) > lateFactor*float64(q.Aim) {
+	if q.Objective > 0 && float64(choice.Estimate) > lateFactor*float64(q.Objective) {
 		rank++
 	}
 	return rank
@@ -271,61 +271,61 @@
 // Rating is what a decision makes of one candidate.
 type Rating struct {
 	// Filtered says why the candidate may not run the prompt; empty when it may.
-	Filtered string
+	FilterReason string
 	// Cost in milliseconds; the lowest is chosen.
 	Cost   float64
 	Choice Choice
 }
 
 // Rate returns what Pick makes of each candidate, for people who ask why.
-func Rate(q *Question, candidates []Candidate) []Rating {
+func Rate(q *Input, candidates []Candidate) []Rating {
 	late := Pick(q, candidates).Late
 	ratings := make([]Rating, len(candidates))
 	for i := range candidates {
 		r := &ratings[i]
-		r.Filtered = filter(q, &candidates[i])
+		r.FilterReason = filter(q, &candidates[i])
 		r.Choice, r.Cost = rate(q, &candidates[i], candidates, late)
 	}
 	return ratings
 }
 
 // urgency is the prompt's rank at an engine.
-func (q *Question) urgency(late bool) int {
+func (q *Input) urgency(late bool) int {
 	if late {
-		return q.LateUrgency
+		return q.LatePriority
 	}
-	return q.Urgency
+	return q.Priority
 }
 
 // score returns the choice of a candidate with its cost in milliseconds.
-func score(q *Question, c *Candidate, late bool) (Choice, float64) {
-	missing := max(q.Shared-c.Held, 0)
-	fetched := min(max(c.Fetchable-c.Held, 0), missing)
+func score(q *Input, c *Candidate, late bool) (Choice, float64) {
+	missing := max(q.SharedTokens-c.CachedTokens, 0)
+	fetched := min(max(c.FetchableTokens-c.CachedTokens, 0), missing)
 	urgency := q.urgency(late)
-	wait := inMs(c.Work.Reading.UpTo(urgency))/free(c, urgency) + stepTime*float64(c.Work.Running)
-	wait = wait*pace(c) + fullPenalty*float64(over(c, q, urgency, q.Own+missing+q.MaxTokens))
-	read := pace(c) * inMs(q.ReadTime(q.Own+missing-fetched))
+	wait := inMs(c.Work.Prefill.UpTo(urgency))/free(c, urgency) + stepTime*float64(c.Work.Running)
+	wait = wait*pace(c) + fullPenalty*float64(over(c, q, urgency, q.OwnTokens+missing+q.MaxTokens))
+	read := pace(c) * inMs(q.PrefillTime(q.OwnTokens+missing-fetched))
 	fetch := c.Source.FetchMs(fetched)
-	choice := Choice{Urgency: urgency, FetchFrom: c.Source.Address, Held: min(c.Held, q.Shared), Fetched: fetched, ReadTokens: q.Own + missing - fetched}
-	again := read - pace(c)*inMs(q.ReadTime(q.Own))
+	choice := Choice{Priority: urgency, FetchFrom: c.Source.Address, CachedTokens: min(c.CachedTokens, q.SharedTokens), FetchedTokens: fetched, PrefillTokens: q.OwnTokens + missing - fetched}
+	again := read - pace(c)*inMs(q.PrefillTime(q.OwnTokens))
 	cost := wait + read + fetch + (readPrice-1)*again
-	if !c.Near {
-		cost += q.FarCost
+	if !c.SameZone {
+		cost += q.CrossZoneCost
 	}
-	if c.Loads && fromMs(wait+read+fetch) > c.LoadsIn {
+	if c.LoadScheduled && fromMs(wait+read+fetch) > c.LoadStartsIn {
 		cost += unreadPenalty
 	}
-	if c.Rested {
+	if c.Ejected {
 		cost += restedPenalty
 	}
-	if c.Emptying {
+	if c.Draining {
 		cost += restedPenalty / 2
 	}
-	if c.Behind > graceAge {
+	if c.StaleFor > graceAge {
 		cost += oldPenalty
 	}
-	choice.Wait, choice.Read, choice.Fetch = fromMs(wait), fromMs(read), fromMs(fetch)
-	choice.Estimate = choice.Wait + choice.Read + choice.Fetch
+	choice.Wait, choice.Prefill, choice.Fetch = fromMs(wait), fromMs(read), fromMs(fetch)
+	choice.Estimate = choice.Wait + choice.Prefill + choice.Fetch
 	return choice, cost
 }
 
@@ -343,14 +343,14 @@
 	if urgency == 0 {
 		return 1
 	}
-	return max(1-float64(c.Arriving.UpTo(urgency-1))/1000, leastFree)
+	return max(1-float64(c.OfferedLoad.UpTo(urgency-1))/1000, leastFree)
 }
 
 func pace(c *Candidate) float64 {
-	if c.Pace <= 0 {
+	if c.Slowdown <= 0 {
 		return 1
 	}
-	return c.Pace
+	return c.Slowdown
 }
 
 // over is by how many requests an engine is too full for one more, of those that do not
@@ -360,7 +360,7 @@
 // short one of an urgent route comes. It is admitted before those that wait, and of
 // those that run the least urgent make room. Counted as waiting for all of them it would be
 // refused although it could begin at once.
-func over(c *Candidate, q *Question, urgency, intake int) int {
+func over(c *Candidate, q *Input, urgency, intake int) int {
 	n := max(c.Work.Running+1-c.Slots, 0)
 	taken := c.Work.Memory.UpTo(urgency)
 	excess := taken + intake - c.Memory
@@ -377,7 +377,7 @@
 	own := Mix(family ^ c.Hash)
 	for i := range all {
 		o := &all[i]
-		if o.Near == c.Near && !o.Excluded && Mix(family^o.Hash) > own {
+		if o.SameZone == c.SameZone && !o.Excluded && Mix(family^o.Hash) > own {
 			n++
 		}
 	}
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -13,13 +13,13 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-func question() *Question {
-	return &Question{Family: 7, Shared: 5000, Own: 5000, MaxTokens: 500, FarCost: FarCost, VersionBound: 8 * time.Second, LateUrgency: 9,
-		ReadTime: func(tokens int) time.Duration { return time.Duration(tokens) * time.Millisecond / 50 }}
+func question() *Input {
+	return &Input{Family: 7, SharedTokens: 5000, OwnTokens: 5000, MaxTokens: 500, CrossZoneCost: CrossZoneCost, MaxStaleness: 8 * time.Second, LatePriority: 9,
+		PrefillTime: func(tokens int) time.Duration { return time.Duration(tokens) * time.Millisecond / 50 }}
 }
 
 func engine(hash uint64) Candidate {
-	return Candidate{Hash: hash, Near: true, Slots: 64, Memory: 250_000, Version: 2}
+	return Candidate{Hash: hash, SameZone: true, Slots: 64, Memory: 250_000, Version: 2}
 }
 
 // No choice falls on an engine that loads, leaves, or has weights that no
@@ -29,10 +29,10 @@
 		candidates := make([]Candidate, rapid.IntRange(1, 12).Draw(rt, "engines"))
 		for i := range candidates {
 			c := engine(rapid.Uint64().Draw(rt, "hash"))
-			c.Excluded, c.Loading, c.Rested = rapid.Bool().Draw(rt, "excluded"), rapid.Bool().Draw(rt, "loading"), rapid.Bool().Draw(rt, "rested")
-			c.Behind = time.Duration(rapid.IntRange(0, 12).Draw(rt, "behind")) * time.Second
-			c.Held = rapid.IntRange(0, 5000).Draw(rt, "held")
-			c.Work = ledger.Work{Running: rapid.IntRange(0, 200).Draw(rt, "running"), Reading: ledger.Lane(rapid.IntRange(0, 9).Draw(rt, "urgency"), time.Duration(rapid.IntRange(0, 2000).Draw(rt, "reading"))*time.Millisecond)}
+			c.Excluded, c.Loading, c.Ejected = rapid.Bool().Draw(rt, "excluded"), rapid.Bool().Draw(rt, "loading"), rapid.Bool().Draw(rt, "rested")
+			c.StaleFor = time.Duration(rapid.IntRange(0, 12).Draw(rt, "behind")) * time.Second
+			c.CachedTokens = rapid.IntRange(0, 5000).Draw(rt, "held")
+			c.Work = ledger.Work{Running: rapid.IntRange(0, 200).Draw(rt, "running"), Prefill: ledger.AtPriority(rapid.IntRange(0, 9).Draw(rt, "urgency"), time.Duration(rapid.IntRange(0, 2000).Draw(rt, "reading"))*time.Millisecond)}
 			candidates[i] = c
 		}
 		q := question()
@@ -47,7 +47,7 @@
 			}
 			return
 		}
-		if c := candidates[choice.Index]; c.Excluded || c.Loading || c.Behind >= q.VersionBound {
+		if c := candidates[choice.Index]; c.Excluded || c.Loading || c.StaleFor >= q.MaxStaleness {
 			rt.Fatalf("chose %+v", c)
 		}
 	})
@@ -64,7 +64,7 @@
 		}
 	}
 	holder := (first + 1) % 3
-	candidates[holder].Held = 5000
+	candidates[holder].CachedTokens = 5000
 	if got := Pick(question(), candidates).Index; got != holder {
 		t.Errorf("engine %d, though %d holds the parts", got, holder)
 	}
@@ -74,8 +74,8 @@
 // again elsewhere. The request goes elsewhere.
 func TestHotFamilySpreads(t *testing.T) {
 	candidates := []Candidate{engine(1), engine(2)}
-	candidates[0].Held = 5000
-	candidates[0].Work = ledger.Work{Running: 30, Reading: ledger.Lane(0, 1200*time.Millisecond)}
+	candidates[0].CachedTokens = 5000
+	candidates[0].Work = ledger.Work{Running: 30, Prefill: ledger.AtPriority(0, 1200*time.Millisecond)}
 	if got := Pick(question(), candidates).Index; got != 1 {
 		t.Errorf("engine %d", got)
 	}
@@ -85,27 +85,27 @@
 func TestFetchingBeatsWaiting(t *testing.T) {
 	source := netip.MustParseAddrPort("10.0.0.9:80")
 	candidates := []Candidate{engine(1), engine(2)}
-	candidates[0].Held = 5000
-	candidates[0].Work = ledger.Work{Running: 8, Reading: ledger.Lane(0, 120*time.Millisecond)}
-	candidates[1].Fetchable, candidates[1].Source = 5000, Source{Address: source, Near: true, Rate: 300}
+	candidates[0].CachedTokens = 5000
+	candidates[0].Work = ledger.Work{Running: 8, Prefill: ledger.AtPriority(0, 120*time.Millisecond)}
+	candidates[1].FetchableTokens, candidates[1].Source = 5000, Source{Address: source, SameZone: true, TokensPerMs: 300}
 	choice := Pick(question(), candidates)
 	if choice.Index != 1 || choice.FetchFrom != source {
 		t.Errorf("%+v", choice)
 	}
-	if choice.Read >= 110*time.Millisecond {
-		t.Errorf("reads for %v although half is fetched", choice.Read)
+	if choice.Prefill >= 110*time.Millisecond {
+		t.Errorf("reads for %v although half is fetched", choice.Prefill)
 	}
 }
 
 // Another zone is used only when waiting in the own one costs more than the way.
 func TestOtherZoneIsForOverload(t *testing.T) {
 	near, far := engine(1), engine(2)
-	far.Near = false
-	near.Work.Reading = ledger.Lane(0, 60*time.Millisecond)
+	far.SameZone = false
+	near.Work.Prefill = ledger.AtPriority(0, 60*time.Millisecond)
 	if got := Pick(question(), []Candidate{near, far}).Index; got != 0 {
 		t.Error("left the zone for 60 ms of waiting")
 	}
-	near.Work.Reading = ledger.Lane(0, 400*time.Millisecond)
+	near.Work.Prefill = ledger.AtPriority(0, 400*time.Millisecond)
 	if got := Pick(question(), []Candidate{near, far}).Index; got != 1 {
 		t.Error("stayed in the zone for 400 ms of waiting")
 	}
@@ -114,8 +114,8 @@
 // Rested engines come last, and are used when there is no other.
 func TestRestedEngineIsTheLastResort(t *testing.T) {
 	rested, busy := engine(1), engine(2)
-	rested.Rested = true
-	busy.Work = ledger.Work{Running: 100, Reading: ledger.Lane(0, 2000*time.Millisecond)}
+	rested.Ejected = true
+	busy.Work = ledger.Work{Running: 100, Prefill: ledger.AtPriority(0, 2000*time.Millisecond)}
 	if got := Pick(question(), []Candidate{rested, busy}).Index; got != 1 {
 		t.Errorf("engine %d", got)
 	}
@@ -128,12 +128,12 @@
 // less from then on.
 func TestOlderWeightsYieldAfterTheGrace(t *testing.T) {
 	older, newer := engine(1), engine(2)
-	older.Held, older.Behind = 5000, graceAge/2
-	newer.Work.Reading = ledger.Lane(0, 40*time.Millisecond)
+	older.CachedTokens, older.StaleFor = 5000, graceAge/2
+	newer.Work.Prefill = ledger.AtPriority(0, 40*time.Millisecond)
 	if got := Pick(question(), []Candidate{older, newer}).Index; got != 0 {
 		t.Error("left the older weights within the grace")
 	}
-	older.Behind = graceAge + time.Second
+	older.StaleFor = graceAge + time.Second
 	if got := Pick(question(), []Candidate{older, newer}).Index; got != 1 {
 		t.Error("stayed on the older weights after the grace")
 	}
@@ -143,14 +143,14 @@
 // can still be in time, so that the next request that is small enough is.
 func TestLatePromptsGoBehindTheOthers(t *testing.T) {
 	q := question()
-	q.Aim = 400 * time.Millisecond
+	q.Objective = 400 * time.Millisecond
 	busy := engine(1)
-	busy.Work.Reading = ledger.Lane(0, 2*time.Second)
+	busy.Work.Prefill = ledger.AtPriority(0, 2*time.Second)
 	if got := Pick(q, []Candidate{busy}); !got.Late {
 		t.Errorf("%+v", got)
 	}
 	behind := engine(1)
-	behind.Work.Reading = ledger.Lane(9, 2*time.Second)
+	behind.Work.Prefill = ledger.AtPriority(9, 2*time.Second)
 	if got := Pick(q, []Candidate{behind}); got.Late || got.Wait > 100*time.Millisecond {
 		t.Errorf("a prompt waits for those that are late: %+v", got)
 	}
@@ -161,14 +161,14 @@
 // already reads it once.
 func TestLongPromptAvoidsAnEngineThatIsAboutToLoad(t *testing.T) {
 	about, loaded := engine(1), engine(2)
-	about.Loads, about.LoadsIn = true, 200*time.Millisecond
-	loaded.Work.Reading = ledger.Lane(0, 300*time.Millisecond)
+	about.LoadScheduled, about.LoadStartsIn = true, 200*time.Millisecond
+	loaded.Work.Prefill = ledger.AtPriority(0, 300*time.Millisecond)
 	q := question()
-	q.Own = 40_000
+	q.OwnTokens = 40_000
 	if got := Pick(q, []Candidate{about, loaded}).Index; got != 1 {
 		t.Error("a long prompt goes to the engine that is about to load")
 	}
-	q.Own, q.Shared = 2000, 500
+	q.OwnTokens, q.SharedTokens = 2000, 500
 	if got := Pick(q, []Candidate{about, loaded}).Index; got != 0 {
 		t.Error("a short prompt does not use the engine until it loads")
 	}
@@ -180,15 +180,15 @@
 func TestUrgentPromptsDoNotWaitForLongOnes(t *testing.T) {
 	full := engine(1)
 	full.Memory = 100_000
-	full.Work = ledger.Work{Running: 30, Reading: ledger.Lane(1, 3*time.Second), Memory: ledger.Lane(1, 140_000)}
-	q := &Question{Family: 7, Shared: 200, Own: 600, MaxTokens: 100, Aim: 400 * time.Millisecond, VersionBound: 8 * time.Second,
-		Urgency: 0, LateUrgency: 5, ReadTime: question().ReadTime}
+	full.Work = ledger.Work{Running: 30, Prefill: ledger.AtPriority(1, 3*time.Second), Memory: ledger.AtPriority(1, 140_000)}
+	q := &Input{Family: 7, SharedTokens: 200, OwnTokens: 600, MaxTokens: 100, Objective: 400 * time.Millisecond, MaxStaleness: 8 * time.Second,
+		Priority: 0, LatePriority: 5, PrefillTime: question().PrefillTime}
 	got := Pick(q, []Candidate{full})
-	if got.Late || got.Estimate > q.Aim || got.Urgency != 0 {
+	if got.Late || got.Estimate > q.Objective || got.Priority != 0 {
 		t.Errorf("urgent: %+v", got)
 	}
-	q.Urgency, q.LateUrgency = 1, 6
-	if got := Pick(q, []Candidate{full}); !got.Late || got.Estimate < 3*time.Second || got.Urgency != 6 {
+	q.Priority, q.LatePriority = 1, 6
+	if got := Pick(q, []Candidate{full}); !got.Late || got.Estimate < 3*time.Second || got.Priority != 6 {
 		t.Errorf("less urgent: %+v", got)
 	}
 }
@@ -199,9 +199,9 @@
 func TestLongPromptsLeaveMemoryForUrgentOnes(t *testing.T) {
 	taken := engine(1)
 	taken.Memory = 140_000
-	taken.Work = ledger.Work{Running: 10, Memory: ledger.Lane(1, 115_000)}
+	taken.Work = ledger.Work{Running: 10, Memory: ledger.AtPriority(1, 115_000)}
 	long := question()
-	long.Urgency, long.MemoryShare = 1, LaterMemoryShare
+	long.Priority, long.MaxMemoryShare = 1, LowPriorityMemoryShare
 	if got := Pick(long, []Candidate{taken}); got.Index >= 0 {
 		t.Error("a long prompt was sent where it would be preempted")
 	}
@@ -212,7 +212,7 @@
 	if got := Pick(urgent, []Candidate{taken}); got.Index != 0 {
 		t.Error("an urgent prompt was turned away")
 	}
-	long.MemoryShare = ReturnMemoryShare
+	long.MaxMemoryShare = RetryMemoryShare
 	if got := Pick(long, []Candidate{taken}); got.Index != 0 {
 		t.Error("a caller that came back was turned away although there is room for it")
 	}
@@ -223,13 +223,13 @@
 func TestLongestPromptsFindRoomLikeOthers(t *testing.T) {
 	full := engine(1)
 	full.Memory = 140_000
-	full.Work = ledger.Work{Running: 8, Memory: ledger.Lane(1, 100_000)}
+	full.Work = ledger.Work{Running: 8, Memory: ledger.AtPriority(1, 100_000)}
 	longest := question()
-	longest.Own, longest.MemoryShare = 60_000, LaterMemoryShare
+	longest.OwnTokens, longest.MaxMemoryShare = 60_000, LowPriorityMemoryShare
 	if got := Pick(longest, []Candidate{full}); got.Index != 0 {
 		t.Error("the longest prompt finds no room where one of 17,000 tokens would")
 	}
-	longest.Own = 200_000
+	longest.OwnTokens = 200_000
 	empty := engine(2)
 	empty.Memory = 140_000
 	if got := Pick(longest, []Candidate{empty}); got.Index != 0 {
@@ -241,15 +241,15 @@
 // as long as what is before it takes: expected without them, it is promised too soon.
 func TestWaitCountsUrgentPromptsThatAreYetToCome(t *testing.T) {
 	c := engine(1)
-	c.Work.Reading = ledger.Lane(1, 200*time.Millisecond)
+	c.Work.Prefill = ledger.AtPriority(1, 200*time.Millisecond)
 	q := question()
-	q.Urgency = 1
+	q.Priority = 1
 	quiet := Pick(q, []Candidate{c}).Wait
-	c.Arriving = ledger.Lane(0, 400)
+	c.OfferedLoad = ledger.AtPriority(0, 400)
 	if busy := Pick(q, []Candidate{c}).Wait; busy < quiet*3/2 {
 		t.Errorf("waits %v with urgent prompts in 0.4 of the time, %v without", busy, quiet)
 	}
-	q.Urgency = 0
+	q.Priority = 0
 	if got := Pick(q, []Candidate{c}).Wait; got > quiet {
 		t.Errorf("an urgent prompt waits %v for those like it that are yet to come", got)
 	}
--- a/internal/gateway/placement/shortlist.go
+++ b/internal/gateway/placement/shortlist.go
@@ -1,10 +1,10 @@
 package placement
 
 // Ranked is an engine as the ranking for a family needs it.
-type Ranked struct {
+type RankedEngine struct {
 	Hash uint64
 	// Near engines stand in the entry's availability zone.
-	Near bool
+	SameZone bool
 	// Excluded engines are not asked.
 	Excluded bool
 }
@@ -19,18 +19,18 @@
 // Only the engines that rank high for the prompt's outermost part are considered. Each
 // engine then serves a few of those parts: were all to serve all, each would read all of
 // them after each load of weights.
-func Shortlist(outer, family uint64, engines []Ranked, first, near int) []int {
+func Shortlist(outer, family uint64, engines []RankedEngine, first, near int) []int {
 	var chosen []int
 	taken := map[int]bool{}
-	add := func(n int, allowed func(e *Ranked) bool) {
-		for _, i := range top(family, engines, n, func(e *Ranked, i int) bool { return !e.Excluded && !taken[i] && allowed(e) }) {
+	add := func(n int, allowed func(e *RankedEngine) bool) {
+		for _, i := range top(family, engines, n, func(e *RankedEngine, i int) bool { return !e.Excluded && !taken[i] && allowed(e) }) {
 			chosen = append(chosen, i)
 			taken[i] = true
 		}
 	}
-	add(first, func(e *Ranked) bool { return serves(outer, e) })
-	add(first-len(chosen), func(*Ranked) bool { return true }) // few are left of those
-	add(near, func(e *Ranked) bool { return e.Near && serves(outer, e) })
+	add(first, func(e *RankedEngine) bool { return serves(outer, e) })
+	add(first-len(chosen), func(*RankedEngine) bool { return true }) // few are left of those
+	add(near, func(e *RankedEngine) bool { return e.SameZone && serves(outer, e) })
 	return chosen
 }
 
@@ -38,12 +38,12 @@
 const servedShare = 0.25
 
 // serves reports whether an engine is among those that serve an outermost part.
-func serves(outer uint64, e *Ranked) bool {
+func serves(outer uint64, e *RankedEngine) bool {
 	return Rank(outer, e.Hash) < servedShare
 }
 
 // top returns up to n of the engines that are allowed, the highest ranked first.
-func top(family uint64, engines []Ranked, n int, allowed func(e *Ranked, i int) bool) []int {
+func top(family uint64, engines []RankedEngine, n int, allowed func(e *RankedEngine, i int) bool) []int {
 	if n <= 0 {
 		return nil
 	}
@@ -76,14 +76,14 @@
 
 // Draw returns up to n engines that were not taken, drawn at random, those near by
 // twice as often: entries that are all pressed must not press the same ones.
-func Draw(engines []Ranked, taken map[int]bool, n int, uniform func() float64) []int {
+func Sample(engines []RankedEngine, taken map[int]bool, n int, uniform func() float64) []int {
 	var pool []int
 	for i := range engines {
 		if engines[i].Excluded || taken[i] {
 			continue
 		}
 		pool = append(pool, i)
-		if engines[i].Near {
+		if engines[i].SameZone {
 			pool = append(pool, i)
 		}
 	}
--- a/internal/gateway/placement/shortlist_test.go
+++ b/internal/gateway/placement/shortlist_test.go
@@ -9,11 +9,11 @@
 )
 
 // fleetOf returns engines of which every fifth stands near by.
-func fleetOf(n int, seed uint64) []Ranked {
+func fleetOf(n int, seed uint64) []RankedEngine {
 	random := rand.New(rand.NewPCG(seed, seed))
-	engines := make([]Ranked, n)
+	engines := make([]RankedEngine, n)
 	for i := range engines {
-		engines[i] = Ranked{Hash: random.Uint64(), Near: i%5 == 0}
+		engines[i] = RankedEngine{Hash: random.Uint64(), SameZone: i%5 == 0}
 	}
 	return engines
 }
@@ -31,7 +31,7 @@
 		here := Shortlist(outer, family, engines, 3, 2)
 		there := slices.Clone(engines)
 		for i := range there {
-			there[i].Near = !there[i].Near
+			there[i].SameZone = !there[i].SameZone
 		}
 		far := Shortlist(outer, family, there, 3, 2)
 		n := min(3, len(here), len(far))
@@ -90,7 +90,7 @@
 	random := rand.New(rand.NewPCG(3, 3))
 	times := map[int]int{}
 	for range 1000 {
-		drawn := Draw(engines, map[int]bool{4: true}, 4, random.Float64)
+		drawn := Sample(engines, map[int]bool{4: true}, 4, random.Float64)
 		if len(drawn) != 4 {
 			t.Fatalf("drew %v", drawn)
 		}
--- a/internal/gateway/probe/client.go
+++ b/internal/gateway/probe/client.go
@@ -53,7 +53,7 @@
 
 // round is the probes for one decision. The client's lock guards it.
 type round struct {
-	answers []Answer
+	answers []Response
 	known   []bool
 	// awaited is how many answers are still waited for; complete is closed when none
 	// is.
@@ -81,7 +81,7 @@
 
 // Ask asks the sidecars of engines what a prompt would meet there, all at once. It
 // returns their answers in the order of the engines, with which of them came in time.
-func (c *Client) Ask(ctx context.Context, engines []netip.AddrPort, p Prompt) ([]Answer, []bool) {
+func (c *Client) Ask(ctx context.Context, engines []netip.AddrPort, p Prompt) ([]Response, []bool) {
 	r, first := c.begin(engines)
 	message := &peerv1.EngineMessage{Probe: &peerv1.EngineProbe{Parts: promptOut(p)}}
 	for i, engine := range engines {
@@ -102,7 +102,7 @@
 func (c *Client) begin(engines []netip.AddrPort) (r *round, first uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r = &round{answers: make([]Answer, len(engines)), known: make([]bool, len(engines)), complete: make(chan struct{})}
+	r = &round{answers: make([]Response, len(engines)), known: make([]bool, len(engines)), complete: make(chan struct{})}
 	first = c.number + 1
 	c.number += uint32(len(engines))
 	for i, engine := range engines {
@@ -125,7 +125,7 @@
 
 // end forgets a round's probes and returns what came. An answer that comes later finds
 // no question of its number and is dropped, but shows that its sidecar lives.
-func (c *Client) end(r *round, first uint32) ([]Answer, []bool) {
+func (c *Client) end(r *round, first uint32) ([]Response, []bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range r.answers {
--- a/internal/gateway/probe/probe.go
+++ b/internal/gateway/probe/probe.go
@@ -32,35 +32,35 @@
 type Prompt struct {
 	Model string
 	// Isolated is the workspace, where it shares no part with others.
-	Isolated string
-	Parts    []wire.Part
+	IsolatedWorkspace string
+	Parts             []wire.Part
 }
 
 // Answer is what a sidecar says of its engine.
-type Answer struct {
+type Response struct {
 	// Life of the engine; its instance is empty while the sidecar does not know it.
-	Life fleet.Life
+	Incarnation fleet.Incarnation
 	// Weights are the versions of its models.
-	Weights map[string]int64
-	Phase   weights.Phase
+	WeightVersions map[string]int64
+	Phase          weights.Phase
 	// Work of all entries at the engine.
 	Work ledger.Work
 	// Arriving are the thousandths of its time for which the engine is lately given
 	// prompts to read, by their urgency.
-	Arriving ledger.Lanes[int]
+	OfferedLoad ledger.PerPriority[int]
 	// Held is how many tokens of the prompt's beginning its cache holds.
-	Held int
+	CachedTokens int
 	// Saved is set when the engine has lately saved the shared parts to their store.
-	Saved bool
+	Offloaded bool
 	// Holder is another engine that has lately read the shared parts; invalid for none.
 	Holder netip.AddrPort
 	// Coming is set when the engine reads shared parts that it does not hold, or knows
 	// another that does.
-	Coming bool
+	PrefillInProgress bool
 	// Pace is by how much the engine is slower than expected.
-	Pace float64
+	Slowdown float64
 	// Ill is set when the engine failed many of its last requests.
-	Ill bool
+	Unhealthy bool
 	// ReportAge is the time since the engine last reported to its sidecar.
 	ReportAge time.Duration
 }
@@ -69,14 +69,14 @@
 type Send struct {
 	Prompt Prompt
 	// Weights is the version that was demanded.
-	Weights int64
+	WeightVersion int64
 	// Read is for how long reading it holds up others.
-	Read    time.Duration
-	Urgency int
+	PrefillTime time.Duration
+	Priority    int
 	// Memory is how many tokens of memory it takes.
 	Memory int
 	// Saved is set when the engine saves the parts to their store.
-	Saved bool
+	Offloaded bool
 	// Holder is the engine that it was sent to, where its family's first engine is told
 	// of it; invalid where the two are the same.
 	Holder netip.AddrPort
@@ -87,29 +87,29 @@
 // Progress is how a prompt gets on at its engine.
 type Progress struct {
 	// Read is set when its first event came, Ended when it has left the engine.
-	Read, Ended bool
+	PrefillDone, Ended bool
 	// Outcome counts once it has ended.
 	Outcome health.Outcome
 	// Took is the time from the send to the first event, Expected what was expected;
 	// zero where they say nothing of the engine's speed.
-	Took, Expected time.Duration
+	Latency, ExpectedLatency time.Duration
 }
 
 // paceUnit is the pace of an engine that is as fast as expected, on the wire.
 const paceUnit = 1000
 
 var phasesOut = map[weights.Phase]peerv1.EnginePhase{
-	weights.Serving:  peerv1.EnginePhase_ENGINE_PHASE_SERVING,
-	weights.Loading:  peerv1.EnginePhase_ENGINE_PHASE_LOADING,
-	weights.Emptying: peerv1.EnginePhase_ENGINE_PHASE_EMPTYING,
-	weights.Silent:   peerv1.EnginePhase_ENGINE_PHASE_SILENT,
+	weights.Serving:      peerv1.EnginePhase_ENGINE_PHASE_SERVING,
+	weights.Loading:      peerv1.EnginePhase_ENGINE_PHASE_LOADING,
+	weights.Draining:     peerv1.EnginePhase_ENGINE_PHASE_EMPTYING,
+	weights.Unresponsive: peerv1.EnginePhase_ENGINE_PHASE_SILENT,
 }
 
 var phasesIn = map[peerv1.EnginePhase]weights.Phase{
 	peerv1.EnginePhase_ENGINE_PHASE_SERVING:  weights.Serving,
 	peerv1.EnginePhase_ENGINE_PHASE_LOADING:  weights.Loading,
-	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Emptying,
-	peerv1.EnginePhase_ENGINE_PHASE_SILENT:   weights.Silent,
+	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Draining,
+	peerv1.EnginePhase_ENGINE_PHASE_SILENT:   weights.Unresponsive,
 }
 
 func ms(d time.Duration) uint32 { return uint32(max(d, 0).Milliseconds()) }
@@ -133,7 +133,7 @@
 }
 
 func promptOut(p Prompt) *peerv1.SharedParts {
-	out := &peerv1.SharedParts{Model: p.Model, Isolated: p.Isolated}
+	out := &peerv1.SharedParts{Model: p.Model, Isolated: p.IsolatedWorkspace}
 	for _, part := range p.Parts {
 		out.Names = append(out.Names, part.ID)
 		out.Tokens = append(out.Tokens, uint32(part.Tokens))
@@ -142,7 +142,7 @@
 }
 
 func promptIn(in *peerv1.SharedParts) Prompt {
-	p := Prompt{Model: in.GetModel(), Isolated: in.GetIsolated()}
+	p := Prompt{Model: in.GetModel(), IsolatedWorkspace: in.GetIsolated()}
 	for i, name := range in.GetNames() {
 		if i < len(in.Tokens) {
 			p.Parts = append(p.Parts, wire.Part{ID: name, Tokens: int(in.Tokens[i])})
@@ -151,60 +151,60 @@
 	return p
 }
 
-func answerOut(a *Answer) *peerv1.EngineAnswer {
+func answerOut(a *Response) *peerv1.EngineAnswer {
 	e := &peerv1.EngineState{
-		Instance: a.Life.Instance, Born: a.Life.Born, Phase: phasesOut[a.Phase],
+		Instance: a.Incarnation.Instance, Born: a.Incarnation.StartedMs, Phase: phasesOut[a.Phase],
 	}
-	for model, version := range a.Weights {
+	for model, version := range a.WeightVersions {
 		e.Weights = append(e.Weights, &peerv1.ModelWeights{Model: model, Version: version})
 	}
 	return &peerv1.EngineAnswer{
-		Arriving: lanesOut(a.Arriving),
-		Engine:   e, Load: LoadOut(0, a.Work), Held: uint32(a.Held), Coming: a.Coming,
-		Pace: uint32(a.Pace * paceUnit), Ill: a.Ill, ReportAgeMs: ms(a.ReportAge), Saved: a.Saved, Holder: addressOut(a.Holder),
+		Arriving: lanesOut(a.OfferedLoad),
+		Engine:   e, Load: EncodeLoad(0, a.Work), Held: uint32(a.CachedTokens), Coming: a.PrefillInProgress,
+		Pace: uint32(a.Slowdown * paceUnit), Ill: a.Unhealthy, ReportAgeMs: ms(a.ReportAge), Saved: a.Offloaded, Holder: addressOut(a.Holder),
 	}
 }
 
-func answerIn(in *peerv1.EngineAnswer) Answer {
+func answerIn(in *peerv1.EngineAnswer) Response {
 	e := in.GetEngine()
-	a := Answer{
-		Life: fleet.Life{Instance: e.GetInstance(), Born: e.GetBorn()}, Phase: phasesIn[e.GetPhase()], Weights: map[string]int64{},
-		Held: int(in.Held), Coming: in.Coming, Pace: float64(in.Pace) / paceUnit, Ill: in.Ill, ReportAge: fromMs(in.ReportAgeMs), Saved: in.Saved, Holder: addressIn(in.Holder),
+	a := Response{
+		Incarnation: fleet.Incarnation{Instance: e.GetInstance(), StartedMs: e.GetBorn()}, Phase: phasesIn[e.GetPhase()], WeightVersions: map[string]int64{},
+		CachedTokens: int(in.Held), PrefillInProgress: in.Coming, Slowdown: float64(in.Pace) / paceUnit, Unhealthy: in.Ill, ReportAge: fromMs(in.ReportAgeMs), Offloaded: in.Saved, Holder: addressIn(in.Holder),
 	}
 	if in.Load != nil {
-		a.Work = WorkIn(in.Load)
+		a.Work = DecodeLoad(in.Load)
 	}
 	for _, told := range in.Arriving {
-		a.Arriving[told%ledger.Urgencies] += int(told / ledger.Urgencies)
+		a.OfferedLoad[told%ledger.Priorities] += int(told / ledger.Priorities)
 	}
 	for _, w := range e.GetWeights() {
-		a.Weights[w.Model] = w.Version
+		a.WeightVersions[w.Model] = w.Version
 	}
 	return a
 }
 
 func sendOut(s Send) *peerv1.EngineSend {
 	return &peerv1.EngineSend{
-		Parts: promptOut(s.Prompt), Weights: s.Weights, ReadMs: ms(s.Read),
-		Urgency: uint32(s.Urgency), Memory: uint32(max(s.Memory, 0)), LifetimeMs: ms(s.Lifetime), Saved: s.Saved, Holder: addressOut(s.Holder),
+		Parts: promptOut(s.Prompt), Weights: s.WeightVersion, ReadMs: ms(s.PrefillTime),
+		Urgency: uint32(s.Priority), Memory: uint32(max(s.Memory, 0)), LifetimeMs: ms(s.Lifetime), Saved: s.Offloaded, Holder: addressOut(s.Holder),
 	}
 }
 
 func sendIn(in *peerv1.EngineSend) Send {
 	return Send{
-		Prompt: promptIn(in.Parts), Weights: in.Weights, Read: fromMs(in.ReadMs),
-		Urgency: min(int(in.Urgency), ledger.Urgencies-1), Memory: int(in.Memory), Lifetime: fromMs(in.LifetimeMs), Saved: in.Saved, Holder: addressIn(in.Holder),
+		Prompt: promptIn(in.Parts), WeightVersion: in.Weights, PrefillTime: fromMs(in.ReadMs),
+		Priority: min(int(in.Urgency), ledger.Priorities-1), Memory: int(in.Memory), Lifetime: fromMs(in.LifetimeMs), Offloaded: in.Saved, Holder: addressIn(in.Holder),
 	}
 }
 
 func progressOut(p Progress) *peerv1.EngineProgress {
 	return &peerv1.EngineProgress{
-		Read: p.Read, Ended: p.Ended, Failed: p.Ended && p.Outcome != health.Good, TookMs: ms(p.Took), ExpectedMs: ms(p.Expected),
+		Read: p.PrefillDone, Ended: p.Ended, Failed: p.Ended && p.Outcome != health.Good, TookMs: ms(p.Latency), ExpectedMs: ms(p.ExpectedLatency),
 	}
 }
 
 func progressIn(in *peerv1.EngineProgress) Progress {
-	p := Progress{Read: in.Read, Ended: in.Ended, Took: fromMs(in.TookMs), Expected: fromMs(in.ExpectedMs)}
+	p := Progress{PrefillDone: in.Read, Ended: in.Ended, Latency: fromMs(in.TookMs), ExpectedLatency: fromMs(in.ExpectedMs)}
 	if in.Failed {
 		p.Outcome = health.Failed
 	}
@@ -212,9 +212,9 @@
 }
 
 // LoadOut encodes work at a target; lanes in which there is none are left out.
-func LoadOut(target fleet.ID, w ledger.Work) *peerv1.TargetLoad {
-	var reading ledger.Lanes[int]
-	for urgency, d := range w.Reading {
+func EncodeLoad(target fleet.ID, w ledger.Work) *peerv1.TargetLoad {
+	var reading ledger.PerPriority[int]
+	for urgency, d := range w.Prefill {
 		reading[urgency] = int(d.Milliseconds())
 	}
 	return &peerv1.TargetLoad{
@@ -223,24 +223,24 @@
 }
 
 // lanesOut encodes amounts by urgency; nothing is left out.
-func lanesOut(lanes ledger.Lanes[int]) []uint32 {
+func lanesOut(lanes ledger.PerPriority[int]) []uint32 {
 	var out []uint32
 	for urgency, amount := range lanes {
 		if amount > 0 {
-			out = append(out, uint32(amount)*ledger.Urgencies+uint32(urgency))
+			out = append(out, uint32(amount)*ledger.Priorities+uint32(urgency))
 		}
 	}
 	return out
 }
 
 // WorkIn decodes work at a target.
-func WorkIn(l *peerv1.TargetLoad) ledger.Work {
+func DecodeLoad(l *peerv1.TargetLoad) ledger.Work {
 	w := ledger.Work{Running: int(l.Running)}
 	for _, told := range l.Reading {
-		w.Reading[told%ledger.Urgencies] += time.Duration(told/ledger.Urgencies) * time.Millisecond
+		w.Prefill[told%ledger.Priorities] += time.Duration(told/ledger.Priorities) * time.Millisecond
 	}
 	for _, told := range l.Memory {
-		w.Memory[told%ledger.Urgencies] += int(told / ledger.Urgencies)
+		w.Memory[told%ledger.Priorities] += int(told / ledger.Priorities)
 	}
 	return w
 }
--- a/internal/gateway/probe/probe_test.go
+++ b/internal/gateway/probe/probe_test.go
@@ -26,27 +26,27 @@
 
 // fakeEngine answers with a fixed answer and keeps what it is told.
 type fakeEngine struct {
-	answer Answer
+	answer Response
 	mu     sync.Mutex
 	probed []Prompt
 	sends  map[SendID]Send
 	told   chan Progress
 }
 
-func (e *fakeEngine) Probe(p Prompt) (Answer, bool) {
+func (e *fakeEngine) Probe(p Prompt) (Response, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.probed = append(e.probed, p)
 	return e.answer, true
 }
 
-func (e *fakeEngine) Sent(id SendID, s Send) {
+func (e *fakeEngine) OnSend(id SendID, s Send) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.sends[id] = s
 }
 
-func (e *fakeEngine) Progressed(_ SendID, p Progress) { e.told <- p }
+func (e *fakeEngine) OnProgress(_ SendID, p Progress) { e.told <- p }
 
 func startServer(t *testing.T, engine Engine) (*Server, netip.AddrPort) {
 	t.Helper()
@@ -68,16 +68,16 @@
 	return c
 }
 
-var prompt = Prompt{Model: "m", Isolated: "acme", Parts: []wire.Part{{ID: "a1", Tokens: 512}, {ID: "b2", Tokens: 4870}}}
+var prompt = Prompt{Model: "m", IsolatedWorkspace: "acme", Parts: []wire.Part{{ID: "a1", Tokens: 512}, {ID: "b2", Tokens: 4870}}}
 
 // What a sidecar says arrives as it was meant: an entry places by it.
 func TestAnswersAndWordsArriveWhole(t *testing.T) {
-	answer := Answer{
-		Life: fleet.Life{Instance: "i-1", Born: 1_700_000_000_123}, Weights: map[string]int64{"m": 3}, Phase: weights.Emptying,
-		Held: 4870, Saved: true, Holder: netip.MustParseAddrPort("10.0.0.7:8000"), Coming: true,
-		Pace: 1.25, Ill: true, ReportAge: 120 * time.Millisecond,
-		Work:     ledger.Work{Running: 3, Reading: ledger.Lane(2, 80*time.Millisecond), Memory: ledger.Lane(7, 12_000)},
-		Arriving: ledger.Lane(1, 420),
+	answer := Response{
+		Incarnation: fleet.Incarnation{Instance: "i-1", StartedMs: 1_700_000_000_123}, WeightVersions: map[string]int64{"m": 3}, Phase: weights.Draining,
+		CachedTokens: 4870, Offloaded: true, Holder: netip.MustParseAddrPort("10.0.0.7:8000"), PrefillInProgress: true,
+		Slowdown: 1.25, Unhealthy: true, ReportAge: 120 * time.Millisecond,
+		Work:        ledger.Work{Running: 3, Prefill: ledger.AtPriority(2, 80*time.Millisecond), Memory: ledger.AtPriority(7, 12_000)},
+		OfferedLoad: ledger.AtPriority(1, 420),
 	}
 	engine := &fakeEngine{answer: answer, sends: map[SendID]Send{}, told: make(chan Progress, 1)}
 	_, at := startServer(t, engine)
@@ -89,12 +89,12 @@
 	if !equalAnswers(got, answer) {
 		t.Errorf("got %+v, want %+v", got, answer)
 	}
-	if p := engine.probed[0]; p.Model != "m" || p.Isolated != "acme" || len(p.Parts) != 2 || p.Parts[1] != prompt.Parts[1] {
+	if p := engine.probed[0]; p.Model != "m" || p.IsolatedWorkspace != "acme" || len(p.Parts) != 2 || p.Parts[1] != prompt.Parts[1] {
 		t.Errorf("asked for %+v", p)
 	}
 	send := Send{
-		Prompt: prompt, Weights: 3, Read: 90 * time.Millisecond, Urgency: 3, Memory: 9000,
-		Saved: true, Holder: netip.MustParseAddrPort("10.0.0.8:8000"), Lifetime: 5 * time.Second,
+		Prompt: prompt, WeightVersion: 3, PrefillTime: 90 * time.Millisecond, Priority: 3, Memory: 9000,
+		Offloaded: true, Holder: netip.MustParseAddrPort("10.0.0.8:8000"), Lifetime: 5 * time.Second,
 	}
 	number := c.Sent(at, send)
 	c.Progressed(at, number, Progress{Ended: true, Outcome: health.Broken})
@@ -104,29 +104,29 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	for id, s := range engine.sends {
-		if id.Number != number || s.Read != send.Read || s.Urgency != 3 || s.Holder != send.Holder || !s.Saved || s.Lifetime != send.Lifetime {
+		if id.Sequence != number || s.PrefillTime != send.PrefillTime || s.Priority != 3 || s.Holder != send.Holder || !s.Offloaded || s.Lifetime != send.Lifetime {
 			t.Errorf("%v: %+v", id, s)
 		}
 	}
 }
 
 // ask asks until an answer comes: datagrams of a busy machine may be late.
-func ask(c *Client, at netip.AddrPort, p Prompt) (Answer, bool) {
+func ask(c *Client, at netip.AddrPort, p Prompt) (Response, bool) {
 	for end := time.Now().Add(bound); time.Now().Before(end); {
 		if answers, known := c.Ask(context.Background(), []netip.AddrPort{at}, p); known[0] {
 			return answers[0], true
 		}
 	}
-	return Answer{}, false
+	return Response{}, false
 }
 
-func equalAnswers(a, b Answer) bool {
-	if a.Weights["m"] != b.Weights["m"] {
+func equalAnswers(a, b Response) bool {
+	if a.WeightVersions["m"] != b.WeightVersions["m"] {
 		return false
 	}
-	a.Weights, b.Weights = nil, nil
+	a.WeightVersions, b.WeightVersions = nil, nil
 	x, y := answerOut(&a), answerOut(&b)
-	return proto.Equal(x, y) && a.Life == b.Life
+	return proto.Equal(x, y) && a.Incarnation == b.Incarnation
 }
 
 // A sidecar's host freezes. The first prompts wait for its answer; those after them must
@@ -200,7 +200,7 @@
 // BenchmarkDatagramsOfOnePrompt is what a prompt costs its entry in datagrams: probes of
 // five engines, and what is said of it to one.
 func BenchmarkDatagramsOfOnePrompt(b *testing.B) {
-	engine := &fakeEngine{answer: Answer{Weights: map[string]int64{"m": 1}}, sends: map[SendID]Send{}, told: make(chan Progress, 1<<20)}
+	engine := &fakeEngine{answer: Response{WeightVersions: map[string]int64{"m": 1}}, sends: map[SendID]Send{}, told: make(chan Progress, 1<<20)}
 	s, err := NewServer(netip.AddrPortFrom(loopback, 0), engine)
 	if err != nil {
 		b.Fatal(err)
@@ -217,7 +217,7 @@
 	for b.Loop() {
 		c.Ask(context.Background(), engines, prompt)
 		number := c.Sent(at, Send{Prompt: prompt})
-		c.Progressed(at, number, Progress{Read: true})
+		c.Progressed(at, number, Progress{PrefillDone: true})
 		c.Progressed(at, number, Progress{Ended: true})
 	}
 }
@@ -225,19 +225,19 @@
 // What a prompt costs in bytes decides what an entry of the largest deployment sends: it
 // stays in a few hundred bytes, and grows with none of the fleet's sizes.
 func TestMessagesOfOnePromptStaySmall(t *testing.T) {
-	answer := Answer{
-		Life: fleet.Life{Instance: "i-7f3a91c2", Born: 1_700_000_000_123}, Weights: map[string]int64{"daka510000": 12}, Held: 4870,
-		Holder: netip.MustParseAddrPort("10.200.100.207:8000"), Pace: 1.25, ReportAge: 120 * time.Millisecond,
+	answer := Response{
+		Incarnation: fleet.Incarnation{Instance: "i-7f3a91c2", StartedMs: 1_700_000_000_123}, WeightVersions: map[string]int64{"daka510000": 12}, CachedTokens: 4870,
+		Holder: netip.MustParseAddrPort("10.200.100.207:8000"), Slowdown: 1.25, ReportAge: 120 * time.Millisecond,
 	}
-	for u := range ledger.Urgencies {
-		answer.Work.Reading[u], answer.Work.Memory[u], answer.Arriving[u] = time.Second, 100_000, 900
+	for u := range ledger.Priorities {
+		answer.Work.Prefill[u], answer.Work.Memory[u], answer.OfferedLoad[u] = time.Second, 100_000, 900
 	}
 	real := Prompt{Model: "daka510000", Parts: []wire.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 4100}}}
 	sizes := map[string]int{
 		"probe":    proto.Size(&peerv1.EngineMessage{Id: 1, Probe: &peerv1.EngineProbe{Parts: promptOut(real)}}),
 		"answer":   proto.Size(answerOut(&answer)),
-		"send":     proto.Size(&peerv1.EngineMessage{Id: 1, Send: sendOut(Send{Prompt: real, Weights: 12, Read: time.Second, Memory: 20_000, Lifetime: 10 * time.Second})}),
-		"progress": proto.Size(&peerv1.EngineMessage{Id: 1, Progress: progressOut(Progress{Read: true, Took: time.Second, Expected: time.Second})}),
+		"send":     proto.Size(&peerv1.EngineMessage{Id: 1, Send: sendOut(Send{Prompt: real, WeightVersion: 12, PrefillTime: time.Second, Memory: 20_000, Lifetime: 10 * time.Second})}),
+		"progress": proto.Size(&peerv1.EngineMessage{Id: 1, Progress: progressOut(Progress{PrefillDone: true, Latency: time.Second, ExpectedLatency: time.Second})}),
 	}
 	most := map[string]int{"probe": 80, "answer": 240, "send": 100, "progress": 40}
 	for name, size := range sizes {
--- a/internal/gateway/probe/server.go
+++ b/internal/gateway/probe/server.go
@@ -14,16 +14,16 @@
 
 // SendID names a prompt that was sent: by its entry, and by the entry's own number.
 type SendID struct {
-	Entry  netip.AddrPort
-	Number uint32
+	Entry    netip.AddrPort
+	Sequence uint32
 }
 
 // Engine is what a server answers for. Its methods are called by one goroutine.
 type Engine interface {
 	// Probe says what a prompt would meet; false while nothing is known.
-	Probe(p Prompt) (Answer, bool)
-	Sent(id SendID, s Send)
-	Progressed(id SendID, p Progress)
+	Probe(p Prompt) (Response, bool)
+	OnSend(id SendID, s Send)
+	OnProgress(id SendID, p Progress)
 }
 
 // Server answers probes of one engine. It runs on a goroutine of its own, so that an
@@ -68,7 +68,7 @@
 
 // take handles a message and returns the answer to a probe; nil for none.
 func (s *Server) take(from netip.AddrPort, m *peerv1.EngineMessage) *peerv1.EngineAnswer {
-	id := SendID{Entry: from, Number: m.Id}
+	id := SendID{Entry: from, Sequence: m.Id}
 	switch {
 	case m.Probe != nil:
 		a, ok := s.engine.Probe(promptIn(m.Probe.Parts))
@@ -79,9 +79,9 @@
 		out.Id = m.Id
 		return out
 	case m.Send != nil:
-		s.engine.Sent(id, sendIn(m.Send))
+		s.engine.OnSend(id, sendIn(m.Send))
 	case m.Progress != nil:
-		s.engine.Progressed(id, progressIn(m.Progress))
+		s.engine.OnProgress(id, progressIn(m.Progress))
 	}
 	return nil
 }
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -96,7 +96,7 @@
 		p.loop.Go(p.entry.pool.Reap)
 		if limits := p.entry.limits; limits != nil {
 			go limits.limiter.Serve()
-			p.loop.Go(limits.limiter.Report)
+			p.loop.Go(limits.limiter.ReportUsage)
 		}
 		p.entry.quarantine.start()
 		p.deputy = newDeputy(p)
@@ -118,8 +118,8 @@
 			return p.clock.Now().Sub(timeOf(v)).Seconds()
 		}
 	}
-	p.metrics.Gauge("targets_age_seconds", "Age of the local replica of the platform's target list.", age(func(v *view.View) time.Time { return v.ListedAt }))
-	p.metrics.Gauge("declarations_age_seconds", "Age of the local replica of operators' declarations.", age(func(v *view.View) time.Time { return v.DeclaredAt }))
+	p.metrics.Gauge("targets_age_seconds", "Age of the local replica of the platform's target list.", age(func(v *view.View) time.Time { return v.TargetsCurrentAt }))
+	p.metrics.Gauge("declarations_age_seconds", "Age of the local replica of operators' declarations.", age(func(v *view.View) time.Time { return v.EstateCurrentAt }))
 	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the process started.", func() float64 { return float64(p.log.Dropped()) })
 	p.state.onListingRejected = p.metrics.TargetRefused
 	p.state.onEstateChange = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
@@ -130,8 +130,8 @@
 
 func (p *process) onResume(pause time.Duration) {
 	p.logger.Info("host_woke", "suspended_for", pause)
-	p.state.declarations.Again()
-	p.state.targets.Again()
+	p.state.declarations.RestartCall()
+	p.state.targets.RestartCall()
 }
 
 // open binds the listen addresses and starts serving.
@@ -141,7 +141,7 @@
 			Name: p.settings.Name, Incarnation: p.incarnation, Entry: p.entry != nil, Zone: p.settings.AvailabilityZone,
 		},
 		Listen: p.settings.meshAddress(), Seeds: p.settings.seedHosts(), Hosts: p.state.sidecarHosts,
-		Compose: p.compose, Heard: p.onHeartbeat, Period: p.heartbeatPeriod, Logger: p.logger, Now: p.clock.Now,
+		Compose: p.compose, OnHeartbeat: p.onHeartbeat, Period: p.heartbeatPeriod, Logger: p.logger, Now: p.clock.Now,
 	})
 	if err != nil {
 		return err
--- a/internal/gateway/quarantine/book.go
+++ b/internal/gateway/quarantine/book.go
@@ -12,15 +12,15 @@
 // Limits bound what a book holds and how it judges.
 type Limits struct {
 	// Ends is how many targets a request may end before it is refused.
-	Ends int
+	MaxCrashes int
 	// SuspectFor is how long after its last end a request counts as a suspect, HoldFor how
 	// long a refused one is refused.
-	SuspectFor, HoldFor time.Duration
+	SuspectFor, RefuseFor time.Duration
 	// Records is the most that are kept. The least suspected go first.
-	Records int
+	MaxRecords int
 	// Turn is how much later than the first of all processes this one may put a request on
 	// probation; nil for at once.
-	Turn func(Print) time.Duration
+	ProbationDelay func(Fingerprint) time.Duration
 }
 
 // Verdict is what a request may do.
@@ -46,12 +46,12 @@
 func (v Verdict) String() string { return verdictNames[v] }
 
 // Standing is what is held against a request now.
-type Standing struct {
+type Status struct {
 	Verdict Verdict
 	// Step is that of its next send.
 	Step int
 	// Ends is how many targets ended under it.
-	Ends int
+	Crashes int
 	// Until is when a refused request may run again.
 	Until time.Time
 }
@@ -61,44 +61,44 @@
 type Observer interface {
 	// Blamed tells of an end that is held against a request, by this process or as another
 	// one told it.
-	Blamed(r *Record, e End, told bool)
+	CrashAttributed(r *Record, e Crash, told bool)
 	// Judged tells that another finding than before holds for a request; told is set when no
 	// end that this process saw led to it.
-	Judged(r *Record, before, now Finding, told bool)
+	FindingChanged(r *Record, before, now Finding, told bool)
 	// Cleared tells that a request was served so often that nothing is held against it for
 	// now, Released that it was let go, here or as another process told it.
 	Cleared(r *Record)
 	Released(r *Record, told bool)
 	// Probation tells that a run of a refused request is begun.
-	Probation(r *Record)
+	ProbationStarted(r *Record)
 	// Evicted tells that a record was dropped for want of room.
 	Evicted(r *Record)
 }
 
 // Book keeps the records of one process. It is safe for concurrent use.
-type Book struct {
+type Registry struct {
 	limits   Limits
 	observer Observer
 
 	mu      sync.Mutex
-	records map[Print]*Record
-	found   map[Print]Finding
+	records map[Fingerprint]*Record
+	found   map[Fingerprint]Finding
 	// judgeAt is when a request that is held is judged anew; zero while none is.
 	judgeAt time.Time
 	// explained are the lives that refused requests have ended.
 	explained map[fleet.ID]bool
 	// fresh are the records that the other processes are to be told of, and turn is where
 	// the next of all records is told again.
-	fresh []Print
-	turn  Print
+	fresh []Fingerprint
+	turn  Fingerprint
 	news  chan struct{}
 	// runs are the sends that are under way.
-	runs map[Print][]*Run
+	runs map[Fingerprint][]*Run
 	// tried are the records of which a trial was begun.
-	tried map[Print]*Record
+	tried map[Fingerprint]*Record
 	// touched are the records that changed since all were judged last, and ownChange is set
 	// when this process changed one of them.
-	touched   map[Print]bool
+	touched   map[Fingerprint]bool
 	ownChange bool
 	sweptAt   time.Time
 	// endedAt is when the last end of any target became known.
@@ -106,64 +106,64 @@
 }
 
 // NewBook returns an empty book.
-func NewBook(limits Limits, observer Observer) *Book {
-	return &Book{
+func NewRegistry(limits Limits, observer Observer) *Registry {
+	return &Registry{
 		limits: limits, observer: observer, news: make(chan struct{}, 1),
-		records: map[Print]*Record{}, found: map[Print]Finding{}, explained: map[fleet.ID]bool{},
-		runs: map[Print][]*Run{}, tried: map[Print]*Record{}, touched: map[Print]bool{},
+		records: map[Fingerprint]*Record{}, found: map[Fingerprint]Finding{}, explained: map[fleet.ID]bool{},
+		runs: map[Fingerprint][]*Run{}, tried: map[Fingerprint]*Record{}, touched: map[Fingerprint]bool{},
 	}
 }
 
-func (b *Book) isExplained(target fleet.ID) bool { return b.explained[target] }
+func (b *Registry) isExplained(target fleet.ID) bool { return b.explained[target] }
 
 // Standing returns what is held against a request.
-func (b *Book) Standing(p Print, now time.Time) Standing {
+func (b *Registry) Status(p Fingerprint, now time.Time) Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.settle(now)
 	r := b.records[p]
 	if r == nil || b.expired(r, now) {
-		return Standing{}
+		return Status{}
 	}
 	return b.standing(r, now)
 }
 
-func (b *Book) standing(r *Record, now time.Time) Standing {
-	s := Standing{Step: r.steps(b.isExplained), Ends: r.open(b.isExplained)}
+func (b *Registry) standing(r *Record, now time.Time) Status {
+	s := Status{Step: r.steps(b.isExplained), Crashes: r.open(b.isExplained)}
 	switch {
-	case b.found[r.Print] == MustNotRun && b.onProbation(r, now):
-		s.Verdict, s.Step, s.Ends = Alone, len(r.Ends), len(r.Ends)
-	case b.found[r.Print] == MustNotRun:
-		s.Verdict, s.Ends, s.Until = Refused, len(r.Ends), b.heldUntil(r)
-	case b.found[r.Print] == MustWait:
+	case b.found[r.Fingerprint] == MustNotRun && b.onProbation(r, now):
+		s.Verdict, s.Step, s.Crashes = Alone, len(r.Crashes), len(r.Crashes)
+	case b.found[r.Fingerprint] == MustNotRun:
+		s.Verdict, s.Crashes, s.Until = Refused, len(r.Crashes), b.heldUntil(r)
+	case b.found[r.Fingerprint] == MustWait:
 		s.Verdict = Held
 	case r.cleared(b.isExplained):
-	case s.Ends > 1:
+	case s.Crashes > 1:
 		s.Verdict = Alone
-	case s.Ends == 1:
+	case s.Crashes == 1:
 		s.Verdict = Apart
 	}
 	return s
 }
 
 // Who names a request's caller, for operators.
-type Who struct{ Workspace, Route string }
+type Caller struct{ Workspace, Route string }
 
 // Blame holds the end of a target against a request that it worked on.
-func (b *Book) Blame(p Print, who Who, e End) {
+func (b *Registry) AttributeCrash(p Fingerprint, who Caller, e Crash) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sweep(e.At)
 	r := b.records[p]
 	if r == nil {
-		r = &Record{Print: p}
+		r = &Record{Fingerprint: p}
 		b.records[p] = r
 	}
 	r.describe(who.Workspace, who.Route)
 	if r.addEnd(e) != news {
 		return
 	}
-	b.observer.Blamed(r, e, false)
+	b.observer.CrashAttributed(r, e, false)
 	b.noteEnd(e.At)
 	b.touch(p, true)
 	b.tell(p)
@@ -172,11 +172,11 @@
 }
 
 // Served takes in that a run of a request went well.
-func (b *Book) Served(p Print) {
+func (b *Registry) MarkServed(p Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[p]
-	if r == nil || len(r.Ends) == 0 {
+	if r == nil || len(r.Crashes) == 0 {
 		return
 	}
 	if b.found[p] == MustNotRun && !b.pardon(r) {
@@ -186,22 +186,22 @@
 	if r.Served == servedPerStep*max(r.steps(b.isExplained), 1) {
 		b.observer.Cleared(r)
 	}
-	if len(r.Ends) >= b.limits.Ends {
+	if len(r.Crashes) >= b.limits.MaxCrashes {
 		b.touch(p, true) // before, no judgement goes by it
 	}
 	// The others count on from here. Requests that come once are not told of, and more than
 	// it takes to be innocent change nothing.
-	if (len(r.Ends) > 1 || r.Served > 1) && r.Served <= innocentPerStep*len(r.Ends) {
+	if (len(r.Crashes) > 1 || r.Served > 1) && r.Served <= innocentPerStep*len(r.Crashes) {
 		b.tell(p)
 	}
 }
 
 // Release lets a request go, and reports whether anything was held against it.
-func (b *Book) Release(p Print, now time.Time) bool {
+func (b *Registry) Release(p Fingerprint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[p]
-	if r == nil || len(r.Ends) == 0 {
+	if r == nil || len(r.Crashes) == 0 {
 		return false
 	}
 	r.renew(now)
@@ -214,7 +214,7 @@
 
 // Begin begins the trial of a request that may run alone only. It reports false while
 // another one is under way, or another suspect runs at the target.
-func (b *Book) Begin(p Print, target fleet.ID, now time.Time) bool {
+func (b *Registry) StartProbationRun(p Fingerprint, target fleet.ID, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[p]
@@ -229,35 +229,35 @@
 			return false
 		}
 		r.Probations++
-		b.observer.Probation(r)
+		b.observer.ProbationStarted(r)
 	}
-	r.Trial = Trial{Number: r.Trial.Number + 1, Target: target, Since: now}
+	r.ProbationRun = ProbationRun{Number: r.ProbationRun.Number + 1, Target: target, StartedAt: now}
 	b.tried[p] = r
 	b.tell(p)
 	return true
 }
 
 // End ends the trial at a target.
-func (b *Book) End(p Print, target fleet.ID) {
+func (b *Registry) EndProbationRun(p Fingerprint, target fleet.ID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r := b.records[p]; r != nil && r.Trial.Target == target {
-		r.Trial = Trial{Number: r.Trial.Number + 1}
+	if r := b.records[p]; r != nil && r.ProbationRun.Target == target {
+		r.ProbationRun = ProbationRun{Number: r.ProbationRun.Number + 1}
 		delete(b.tried, p)
 		b.tell(p)
 	}
 }
 
 // Occupied reports whether another suspect is being tried at a target.
-func (b *Book) Occupied(target fleet.ID, except Print, now time.Time) bool {
+func (b *Registry) RunsOtherSuspect(target fleet.ID, except Fingerprint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.occupied(target, except, now)
 }
 
-func (b *Book) occupied(target fleet.ID, except Print, now time.Time) bool {
+func (b *Registry) occupied(target fleet.ID, except Fingerprint, now time.Time) bool {
 	for p, r := range b.tried {
-		if p != except && r.Trial.Target == target && r.tried(now) {
+		if p != except && r.ProbationRun.Target == target && r.tried(now) {
 			return true
 		}
 	}
@@ -265,7 +265,7 @@
 }
 
 // Get returns a request's record.
-func (b *Book) Get(p Print) (Record, bool) {
+func (b *Registry) Get(p Fingerprint) (Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[p]
@@ -276,23 +276,23 @@
 }
 
 // Listed is a record with what is held against it.
-type Listed struct {
+type RecordStatus struct {
 	Record
-	Standing
+	Status
 }
 
 // List returns what is held against requests, the refused ones first.
-func (b *Book) List(now time.Time) []Listed {
+func (b *Registry) List(now time.Time) []RecordStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.settle(now)
-	var all []Listed
+	var all []RecordStatus
 	for _, r := range b.records {
-		if len(r.Ends) > 0 && !b.expired(r, now) {
-			all = append(all, Listed{r.clone(), b.standing(r, now)})
+		if len(r.Crashes) > 0 && !b.expired(r, now) {
+			all = append(all, RecordStatus{r.clone(), b.standing(r, now)})
 		}
 	}
-	slices.SortFunc(all, func(x, y Listed) int {
+	slices.SortFunc(all, func(x, y RecordStatus) int {
 		if c := cmp.Compare(y.Verdict, x.Verdict); c != 0 {
 			return c
 		}
@@ -302,7 +302,7 @@
 }
 
 // Count returns how many requests are refused, and how many are suspects.
-func (b *Book) Count() (refused, suspects int) {
+func (b *Registry) Count() (refused, suspects int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for p, r := range b.records {
--- a/internal/gateway/quarantine/book_test.go
+++ b/internal/gateway/quarantine/book_test.go
@@ -14,27 +14,27 @@
 // watch counts what a book tells.
 type watch struct{ blamed, told, judged, cleared, released, evicted int }
 
-func (w *watch) Blamed(_ *Record, _ End, told bool) {
+func (w *watch) CrashAttributed(_ *Record, _ Crash, told bool) {
 	w.blamed++
 	if told {
 		w.told++
 	}
 }
-func (w *watch) Judged(*Record, Finding, Finding, bool) { w.judged++ }
-func (w *watch) Cleared(*Record)                        { w.cleared++ }
-func (w *watch) Released(*Record, bool)                 { w.released++ }
-func (w *watch) Evicted(*Record)                        { w.evicted++ }
-func (w *watch) Probation(*Record)                      {}
+func (w *watch) FindingChanged(*Record, Finding, Finding, bool) { w.judged++ }
+func (w *watch) Cleared(*Record)                                { w.cleared++ }
+func (w *watch) Released(*Record, bool)                         { w.released++ }
+func (w *watch) Evicted(*Record)                                { w.evicted++ }
+func (w *watch) ProbationStarted(*Record)                       {}
 
-var testLimits = Limits{Ends: 3, SuspectFor: time.Hour, HoldFor: 24 * time.Hour, Records: 100}
+var testLimits = Limits{MaxCrashes: 3, SuspectFor: time.Hour, RefuseFor: 24 * time.Hour, MaxRecords: 100}
 
-func newBook() *Book { return NewBook(testLimits, &watch{}) }
+func newBook() *Registry { return NewRegistry(testLimits, &watch{}) }
 
-func (b *Book) blameAt(p Print, life fleet.ID, step, ms int) {
-	b.Blame(p, Who{"town", "check"}, End{Target: life, Step: step, At: at(ms)})
+func (b *Registry) blameAt(p Fingerprint, life fleet.ID, step, ms int) {
+	b.AttributeCrash(p, Caller{"town", "check"}, Crash{Target: life, Step: step, At: at(ms)})
 }
 
-func verdict(b *Book, p Print, ms int) Verdict { return b.Standing(p, at(ms)).Verdict }
+func verdict(b *Registry, p Fingerprint, ms int) Verdict { return b.Status(p, at(ms)).Verdict }
 
 // A request goes from free over apart and alone to refused, and no other one with it.
 func TestVerdictsFollowTheEnds(t *testing.T) {
@@ -51,7 +51,7 @@
 	if got := verdict(b, 2, 2500); got != Free {
 		t.Errorf("another request is %v", got)
 	}
-	if s := b.Standing(1, at(2600)); s.Until != at(1500).Add(probationAfter) {
+	if s := b.Status(1, at(2600)); s.Until != at(1500).Add(probationAfter) {
 		t.Errorf("held until %v", s.Until)
 	}
 }
@@ -85,26 +85,26 @@
 	b := newBook()
 	b.blameAt(1, 10, 0, 0)
 	for range servedPerStep {
-		b.Served(1)
+		b.MarkServed(1)
 	}
 	if v := verdict(b, 1, 200); v != Free {
 		t.Errorf("served: %v", v)
 	}
 	for i := range 5 {
 		for range 50 {
-			b.Served(1)
+			b.MarkServed(1)
 		}
-		b.blameAt(1, fleet.ID(20+i), b.Standing(1, at(1000*i+1000)).Step, 1000*i+1000)
+		b.blameAt(1, fleet.ID(20+i), b.Status(1, at(1000*i+1000)).Step, 1000*i+1000)
 	}
 	if v := verdict(b, 1, 10000); v != Free {
 		t.Errorf("served fifty times for each end: %v", v)
 	}
 	for _, servedBetween := range []int{1, 2} {
-		b, p := newBook(), Print(100+servedBetween)
+		b, p := newBook(), Fingerprint(100+servedBetween)
 		for i := range 3 {
-			b.blameAt(p, fleet.ID(100*int(p)+i), b.Standing(p, at(5000*i)).Step, 5000*i)
+			b.blameAt(p, fleet.ID(100*int(p)+i), b.Status(p, at(5000*i)).Step, 5000*i)
 			for range servedBetween {
-				b.Served(p)
+				b.MarkServed(p)
 			}
 		}
 		if v := verdict(b, p, 12000); v != Refused {
@@ -117,27 +117,27 @@
 // no other suspect runs, and the next when that one has ended or its entry is gone.
 func TestOneTrialAtATime(t *testing.T) {
 	b := newBook()
-	for _, p := range []Print{1, 2} {
+	for _, p := range []Fingerprint{1, 2} {
 		b.blameAt(p, fleet.ID(10+p), 0, 0)
 		b.blameAt(p, fleet.ID(20+p), 1, 10)
 	}
-	if !b.Begin(1, 50, at(100)) {
+	if !b.StartProbationRun(1, 50, at(100)) {
 		t.Fatal("the first run may not begin")
 	}
-	if b.Begin(1, 51, at(110)) {
+	if b.StartProbationRun(1, 51, at(110)) {
 		t.Error("a second run of the same request began")
 	}
-	if b.Begin(2, 50, at(110)) || !b.Occupied(50, 2, at(110)) || b.Occupied(50, 1, at(110)) {
+	if b.StartProbationRun(2, 50, at(110)) || !b.RunsOtherSuspect(50, 2, at(110)) || b.RunsOtherSuspect(50, 1, at(110)) {
 		t.Error("another suspect began at the same target")
 	}
-	if !b.Begin(2, 51, at(110)) {
+	if !b.StartProbationRun(2, 51, at(110)) {
 		t.Error("another suspect may not begin elsewhere")
 	}
-	b.End(1, 50)
-	if !b.Begin(1, 52, at(120)) {
+	b.EndProbationRun(1, 50)
+	if !b.StartProbationRun(1, 52, at(120)) {
 		t.Error("the next run may not begin")
 	}
-	if !b.Begin(1, 53, at(120).Add(trialFor)) {
+	if !b.StartProbationRun(1, 53, at(120).Add(trialFor)) {
 		t.Error("a run whose end nobody told holds up the next one for ever")
 	}
 }
@@ -148,22 +148,22 @@
 func TestWaitingRepeatsAreGivenUp(t *testing.T) {
 	b := newBook()
 	var given []string
-	start := func(name string, p Print, target fleet.ID) *Run {
-		return b.Start(p, target, func() { given = append(given, name) })
+	start := func(name string, p Fingerprint, target fleet.ID) *Run {
+		return b.StartRun(p, target, func() { given = append(given, name) })
 	}
 	start("waits", 1, 11)
-	b.Begun(start("begun", 1, 12))
-	b.Start(1, 13, nil)
+	b.MarkResponding(start("begun", 1, 12))
+	b.StartRun(1, 13, nil)
 	start("other request", 2, 11)
-	b.Done(start("done", 1, 11))
+	b.EndRun(start("done", 1, 11))
 	b.blameAt(1, 10, 0, 0)
 	start("after", 1, 14)
-	b.Merge(Record{Print: 1, Ends: []End{{Target: 10, At: at(0)}}}, false, at(10))
+	b.Merge(Record{Fingerprint: 1, Crashes: []Crash{{Target: 10, At: at(0)}}}, false, at(10))
 	if !slices.Equal(given, []string{"waits"}) {
 		t.Errorf("given up: %v", given)
 	}
-	b.Merge(Record{Print: 1, Ends: []End{{Target: 15, Step: 0, At: at(20)}}}, false, at(20))
-	b.Settle(at(20))
+	b.Merge(Record{Fingerprint: 1, Crashes: []Crash{{Target: 15, Step: 0, At: at(20)}}}, false, at(20))
+	b.Reevaluate(at(20))
 	if !slices.Equal(given, []string{"waits", "after"}) {
 		t.Errorf("given up after a second end: %v", given)
 	}
@@ -173,19 +173,19 @@
 // refused stays refused, and the oldest of the others go.
 func TestFloodOfSuspectsIsBounded(t *testing.T) {
 	w := &watch{}
-	b := NewBook(testLimits, w)
+	b := NewRegistry(testLimits, w)
 	for i := range 3 {
 		b.blameAt(1, fleet.ID(10+i), i, i)
 	}
 	b.blameAt(2, 20, 0, 3)
 	b.blameAt(2, 21, 1, 4)
 	for i := range 500 {
-		b.blameAt(Print(1000+i), fleet.ID(1000+i), 0, 10000+i)
+		b.blameAt(Fingerprint(1000+i), fleet.ID(1000+i), 0, 10000+i)
 	}
-	if n := len(b.List(at(11000))); n != testLimits.Records {
+	if n := len(b.List(at(11000))); n != testLimits.MaxRecords {
 		t.Errorf("%d records", n)
 	}
-	if w.evicted != 500+2-testLimits.Records {
+	if w.evicted != 500+2-testLimits.MaxRecords {
 		t.Errorf("%d evicted", w.evicted)
 	}
 	if verdict(b, 1, 11000) != Refused || verdict(b, 2, 11000) != Alone || verdict(b, 1000, 11000) != Free || verdict(b, 1499, 11000) != Apart {
@@ -223,20 +223,20 @@
 // all were heard, all refuse the same requests. A word lost is made up for by the next.
 func TestBooksConvergeWhateverTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		books := []*Book{newBook(), newBook(), newBook()}
+		books := []*Registry{newBook(), newBook(), newBook()}
 		var facts []Record
 		n := rapid.IntRange(1, 40).Draw(t, "facts")
 		for i := range n {
 			b := books[rapid.IntRange(0, 2).Draw(t, "witness")]
-			p := Print(rapid.IntRange(1, 4).Draw(t, "request"))
+			p := Fingerprint(rapid.IntRange(1, 4).Draw(t, "request"))
 			life := fleet.ID(rapid.IntRange(1, 9).Draw(t, "life"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				b.Release(p, at(i*100))
 			case 1:
-				b.Served(p)
+				b.MarkServed(p)
 			default:
-				b.blameAt(p, life, b.Standing(p, at(i*100)).Step, i*100)
+				b.blameAt(p, life, b.Status(p, at(i*100)).Step, i*100)
 			}
 			if r, ok := b.Get(p); ok {
 				facts = append(facts, r)
@@ -248,18 +248,18 @@
 		end := at(n*100 + 100)
 		for range 3 { // as heartbeats do, all tell all in the end
 			for _, from := range books {
-				for _, r := range from.Next(100, end) {
+				for _, r := range from.NextToAnnounce(100, end) {
 					for _, to := range books {
-						to.Merge(FromMessage(Message(&r, end), end), false, end)
+						to.Merge(FromMessage(ToMessage(&r, end), end), false, end)
 					}
 				}
 			}
 		}
-		for p := Print(1); p <= 4; p++ {
-			one := books[0].Standing(p, end)
+		for p := Fingerprint(1); p <= 4; p++ {
+			one := books[0].Status(p, end)
 			for i, b := range books[1:] {
-				if s := b.Standing(p, end); s.Verdict != one.Verdict || s.Ends != one.Ends {
-					t.Fatalf("request %d is %v with %d ends at one, %v with %d at %d", p, one.Verdict, one.Ends, s.Verdict, s.Ends, i+1)
+				if s := b.Status(p, end); s.Verdict != one.Verdict || s.Crashes != one.Crashes {
+					t.Fatalf("request %d is %v with %d ends at one, %v with %d at %d", p, one.Verdict, one.Crashes, s.Verdict, s.Crashes, i+1)
 				}
 			}
 		}
@@ -273,11 +273,11 @@
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			book := newBook()
 			for i := range records {
-				book.blameAt(Print(1000+i), fleet.ID(i), 0, 0)
+				book.blameAt(Fingerprint(1000+i), fleet.ID(i), 0, 0)
 			}
 			for b.Loop() {
-				book.Standing(1, at(1))
-				book.Done(book.Start(1, 5, nil))
+				book.Status(1, at(1))
+				book.EndRun(book.StartRun(1, 5, nil))
 			}
 		})
 	}
--- a/internal/gateway/quarantine/endings.go
+++ b/internal/gateway/quarantine/endings.go
@@ -40,9 +40,9 @@
 	// RefusesConnections means that its host answers and no process listens.
 	RefusesConnections Evidence = "refuses connections"
 	// SilentToSidecar means that it does not answer its own sidecar.
-	SilentToSidecar Evidence = "silent to its sidecar"
+	UnresponsiveToSidecar Evidence = "silent to its sidecar"
 	// OtherLife means that another life is at its address.
-	OtherLife Evidence = "another life at its address"
+	OtherIncarnation Evidence = "another life at its address"
 	// Unlisted means that it has left the list without a word of leaving.
 	Unlisted Evidence = "left the list"
 )
@@ -52,7 +52,7 @@
 // The failure guarded against: connections break for many reasons. A target that resets
 // some of them, a link that is cut, a target that leaves as planned say nothing of the
 // requests that it worked on.
-type Endings struct {
+type CrashDetector struct {
 	// refuses asks whether an address refuses connections.
 	refuses func(ctx context.Context, t *fleet.Target) bool
 
@@ -60,7 +60,7 @@
 	// asked are the lives that were asked, doubted the requests whose target may have
 	// ended.
 	asked   map[fleet.ID]*ending
-	doubted []Doubt
+	doubted []SuspectedCrash
 }
 
 type ending struct {
@@ -70,17 +70,17 @@
 }
 
 // Doubt is a request whose target may have ended under it.
-type Doubt struct {
-	Print  Print
-	Who    Who
-	Target fleet.Target
+type SuspectedCrash struct {
+	Fingerprint Fingerprint
+	Caller      Caller
+	Target      fleet.Target
 	// Unlisted is set when the list had not shown the target yet when the request was sent:
 	// its sidecar had told of it.
 	Unlisted bool
 	Step     int
 	At       time.Time
 	// Ran is how long the request had been under way there.
-	Ran time.Duration
+	Elapsed time.Duration
 	// RequestID is that of the try, for the log.
 	RequestID string
 	// until is when the doubt is dropped.
@@ -88,23 +88,23 @@
 }
 
 // NewEndings returns one that asks by refuses.
-func NewEndings(refuses func(ctx context.Context, t *fleet.Target) bool) *Endings {
-	return &Endings{refuses: refuses, asked: map[fleet.ID]*ending{}}
+func NewCrashDetector(refuses func(ctx context.Context, t *fleet.Target) bool) *CrashDetector {
+	return &CrashDetector{refuses: refuses, asked: map[fleet.ID]*ending{}}
 }
 
 // Ended reports what says that a target which broke a request off has ended. Without
 // evidence the doubt is kept, and looked at again by Settle.
-func (e *Endings) Ended(ctx context.Context, v *view.View, d Doubt) Evidence {
+func (e *CrashDetector) Detect(ctx context.Context, v *view.View, d SuspectedCrash) Evidence {
 	listed, known := find(v, &d.Target)
 	switch {
 	case known && listed.Leaving:
 		return NoEvidence
-	case v.Silent[d.Target.Address]:
-		return SilentToSidecar
+	case v.Unresponsive[d.Target.Address]:
+		return UnresponsiveToSidecar
 	case !known && !d.Unlisted && !replaced(v, &d.Target):
 		return NoEvidence // it was taken off the list before it ended: as planned
 	case !known && !d.Unlisted:
-		return OtherLife
+		return OtherIncarnation
 	case e.ask(ctx, &d.Target, d.At):
 		return RefusesConnections
 	}
@@ -117,9 +117,9 @@
 // The failure guarded against: the target had begun to run the request and ends under it,
 // while nobody waits for the answer. Its end would count as one without the request, and
 // speak for another cause than it.
-func (e *Endings) GivenUp(d Doubt) { e.keep(d, givenUpFor) }
+func (e *CrashDetector) AddCancelled(d SuspectedCrash) { e.keep(d, givenUpFor) }
 
-func (e *Endings) keep(d Doubt, within time.Duration) {
+func (e *CrashDetector) keep(d SuspectedCrash, within time.Duration) {
 	d.until = d.At.Add(within)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,7 +127,7 @@
 }
 
 // ask asks a target once for all requests that broke off with it.
-func (e *Endings) ask(ctx context.Context, t *fleet.Target, now time.Time) bool {
+func (e *CrashDetector) ask(ctx context.Context, t *fleet.Target, now time.Time) bool {
 	e.mu.Lock()
 	a := e.asked[t.ID]
 	first := a == nil || a.outdated(now)
@@ -172,7 +172,7 @@
 	}
 }
 
-func (e *Endings) forget(now time.Time) {
+func (e *CrashDetector) forget(now time.Time) {
 	for id, a := range e.asked {
 		if now.Sub(a.at) > rememberFor {
 			delete(e.asked, id)
@@ -182,10 +182,10 @@
 
 // Settle returns the doubts that the view settles, with the evidence. Those that it shows
 // to have left as planned, or that are too old, are dropped.
-func (e *Endings) Settle(v *view.View, now time.Time) ([]Doubt, []Evidence) {
+func (e *CrashDetector) Resolve(v *view.View, now time.Time) ([]SuspectedCrash, []Evidence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var settled []Doubt
+	var settled []SuspectedCrash
 	var why []Evidence
 	left := e.doubted[:0]
 	for _, d := range e.doubted {
@@ -208,17 +208,17 @@
 }
 
 // told is what the view says of the end of a doubt's target.
-func told(v *view.View, d *Doubt, known bool) Evidence {
+func told(v *view.View, d *SuspectedCrash, known bool) Evidence {
 	switch {
-	case v.Silent[d.Target.Address]:
-		return SilentToSidecar
+	case v.Unresponsive[d.Target.Address]:
+		return UnresponsiveToSidecar
 	case known || d.Unlisted:
 		return NoEvidence
 	case replaced(v, &d.Target):
-		return OtherLife
-	case v.Engines[d.Target.Life].HeardAt.Sub(d.At) > silenceShows:
+		return OtherIncarnation
+	case v.Engines[d.Target.Incarnation].ReceivedAt.Sub(d.At) > silenceShows:
 		return NoEvidence // its sidecar still reports it: it has left and serves on
-	case v.ListedAt.After(d.At):
+	case v.TargetsCurrentAt.After(d.At):
 		return Unlisted
 	default:
 		return NoEvidence
@@ -229,7 +229,7 @@
 func replaced(v *view.View, t *fleet.Target) bool {
 	for _, list := range v.Targets {
 		for i := range list {
-			if list[i].Address == t.Address && !list[i].Life.Same(t.Life) {
+			if list[i].Address == t.Address && !list[i].Incarnation.Matches(t.Incarnation) {
 				return true
 			}
 		}
@@ -238,7 +238,7 @@
 }
 
 // Lists reports whether a view shows a life.
-func Lists(v *view.View, t *fleet.Target) bool {
+func IsListed(v *view.View, t *fleet.Target) bool {
 	_, known := find(v, t)
 	return known
 }
@@ -247,7 +247,7 @@
 func find(v *view.View, t *fleet.Target) (*fleet.Target, bool) {
 	list := v.Targets[t.Service]
 	for i := range list {
-		if list[i].Life.Same(t.Life) {
+		if list[i].Incarnation.Matches(t.Incarnation) {
 			return &list[i], true
 		}
 	}
--- a/internal/gateway/quarantine/endings_test.go
+++ b/internal/gateway/quarantine/endings_test.go
@@ -14,12 +14,12 @@
 var engineAt = netip.MustParseAddrPort("10.0.0.1:80")
 
 func life(instance string, born int64) fleet.Target {
-	return fleet.NewTarget(fleet.Listing{Life: fleet.Life{Instance: instance, Born: born}, Service: "engines", Address: engineAt})
+	return fleet.NewTarget(fleet.Listing{Incarnation: fleet.Incarnation{Instance: instance, StartedMs: born}, Service: "engines", Address: engineAt})
 }
 
 // shows is a view with some targets, as listed at a time.
 func shows(listedAt time.Time, targets ...fleet.Target) *view.View {
-	return &view.View{Targets: map[string][]fleet.Target{"engines": targets}, Silent: map[netip.AddrPort]bool{}, ListedAt: listedAt}
+	return &view.View{Targets: map[string][]fleet.Target{"engines": targets}, Unresponsive: map[netip.AddrPort]bool{}, TargetsCurrentAt: listedAt}
 }
 
 func leaving(t fleet.Target) fleet.Target {
@@ -28,7 +28,7 @@
 }
 
 func silent(v *view.View) *view.View {
-	v.Silent[engineAt] = true
+	v.Unresponsive[engineAt] = true
 	return v
 }
 
@@ -46,16 +46,16 @@
 	}{
 		{"the process is gone", true, false, shows(start, one), RefusesConnections},
 		{"it listens: it reset a connection, or sent nonsense", false, false, shows(start, one), NoEvidence},
-		{"its sidecar finds it silent", false, false, silent(shows(start, one)), SilentToSidecar},
+		{"its sidecar finds it silent", false, false, silent(shows(start, one)), UnresponsiveToSidecar},
 		{"it leaves as planned, and ends", true, false, shows(start, leaving(one)), NoEvidence},
 		{"it was taken off the list before it ended", true, false, shows(start), NoEvidence},
-		{"the list has the next life at its address already", true, false, shows(start, life("i-2", 0)), OtherLife},
+		{"the list has the next life at its address already", true, false, shows(start, life("i-2", 0)), OtherIncarnation},
 		{"the list has not shown this life yet, and it is gone", true, true, shows(start, life("i-0", 0)), RefusesConnections},
 		{"the list has not shown this life yet, and it listens", false, true, shows(start, life("i-0", 0)), NoEvidence},
 		{"the list names when it was born, its sidecar does not", false, false, shows(start, life("i-1", 7)), NoEvidence},
 	} {
-		e := NewEndings(func(context.Context, *fleet.Target) bool { return c.refuses })
-		if got := e.Ended(context.Background(), c.view, Doubt{Target: one, Unlisted: c.unlisted, At: at(0)}); got != c.want {
+		e := NewCrashDetector(func(context.Context, *fleet.Target) bool { return c.refuses })
+		if got := e.Detect(context.Background(), c.view, SuspectedCrash{Target: one, Unlisted: c.unlisted, At: at(0)}); got != c.want {
 			t.Errorf("%s: evidence %q, want %q", c.story, got, c.want)
 		}
 	}
@@ -63,7 +63,7 @@
 
 // reported adds a sidecar's word of a target that was heard at a time.
 func reported(v *view.View, t fleet.Target, heardAt time.Time) *view.View {
-	v.Engines = map[fleet.Life]view.EngineWord{t.Life: {HeardAt: heardAt}}
+	v.Engines = map[fleet.Incarnation]view.EngineReport{t.Incarnation: {ReceivedAt: heardAt}}
 	return v
 }
 
@@ -77,8 +77,8 @@
 		after time.Duration
 		want  Evidence
 	}{
-		{"its sidecar finds it silent", silent(shows(at(100), one)), 100 * time.Millisecond, SilentToSidecar},
-		{"another life is at its address", shows(at(100), life("i-2", 0)), 100 * time.Millisecond, OtherLife},
+		{"its sidecar finds it silent", silent(shows(at(100), one)), 100 * time.Millisecond, UnresponsiveToSidecar},
+		{"another life is at its address", shows(at(100), life("i-2", 0)), 100 * time.Millisecond, OtherIncarnation},
 		{"its entry has run out", shows(at(3600)), 3600 * time.Millisecond, Unlisted},
 		{"its entry is gone and its sidecar reports it", reported(shows(at(3600)), one, at(3500)), 3600 * time.Millisecond, NoEvidence},
 		{"its entry is gone and its sidecar was heard before it could know", reported(shows(at(3600)), one, at(100)), 3600 * time.Millisecond, Unlisted},
@@ -87,19 +87,19 @@
 		{"it began to leave", shows(at(100), leaving(one)), 100 * time.Millisecond, NoEvidence},
 		{"its entry has run out, long after", shows(at(8000)), 8 * time.Second, NoEvidence},
 	} {
-		e := NewEndings(func(context.Context, *fleet.Target) bool { return false })
-		e.Ended(context.Background(), shows(start, one), Doubt{Print: 7, Target: one, At: at(0)})
-		doubts, why := e.Settle(c.later, start.Add(c.after))
+		e := NewCrashDetector(func(context.Context, *fleet.Target) bool { return false })
+		e.Detect(context.Background(), shows(start, one), SuspectedCrash{Fingerprint: 7, Target: one, At: at(0)})
+		doubts, why := e.Resolve(c.later, start.Add(c.after))
 		if c.want == NoEvidence {
 			if len(doubts) != 0 {
 				t.Errorf("%s: %+v for %v", c.story, doubts, why)
 			}
 			continue
 		}
-		if len(doubts) != 1 || doubts[0].Print != 7 || why[0] != c.want {
+		if len(doubts) != 1 || doubts[0].Fingerprint != 7 || why[0] != c.want {
 			t.Errorf("%s: %+v for %v, want %q", c.story, doubts, why, c.want)
 		}
-		if again, _ := e.Settle(c.later, start.Add(c.after)); len(again) != 0 {
+		if again, _ := e.Resolve(c.later, start.Add(c.after)); len(again) != 0 {
 			t.Errorf("%s: settled twice", c.story)
 		}
 	}
@@ -112,7 +112,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		asked := 0
 		answer := make(chan bool)
-		e := NewEndings(func(ctx context.Context, _ *fleet.Target) bool {
+		e := NewCrashDetector(func(ctx context.Context, _ *fleet.Target) bool {
 			asked++
 			select {
 			case a := <-answer:
@@ -125,7 +125,7 @@
 		v := shows(time.Now(), one)
 		const requests = 60
 		got := make(chan Evidence, requests)
-		ask := func() { got <- e.Ended(context.Background(), v, Doubt{Target: one, At: time.Now()}) }
+		ask := func() { got <- e.Detect(context.Background(), v, SuspectedCrash{Target: one, At: time.Now()}) }
 		for range requests {
 			go ask()
 		}
@@ -142,12 +142,12 @@
 		two := life("i-2", 0)
 		v = shows(time.Now(), two)
 		began := time.Now()
-		if evidence := e.Ended(context.Background(), v, Doubt{Target: two, At: began}); evidence != NoEvidence || time.Since(began) > askFor {
+		if evidence := e.Detect(context.Background(), v, SuspectedCrash{Target: two, At: began}); evidence != NoEvidence || time.Since(began) > askFor {
 			t.Errorf("a dark host: %q after %v", evidence, time.Since(began))
 		}
 		time.Sleep(askAgain + time.Millisecond)
 		go func() { answer <- true }()
-		if evidence := e.Ended(context.Background(), v, Doubt{Target: two, At: time.Now()}); evidence != RefusesConnections {
+		if evidence := e.Detect(context.Background(), v, SuspectedCrash{Target: two, At: time.Now()}); evidence != RefusesConnections {
 			t.Errorf("later it has ended: %q", evidence)
 		}
 	})
@@ -163,14 +163,14 @@
 		after time.Duration
 		want  int
 	}{{100 * time.Millisecond, 1}, {2 * time.Second, 0}} {
-		e := NewEndings(func(context.Context, *fleet.Target) bool { return true })
-		e.GivenUp(Doubt{Print: 7, Target: one, Step: 2, At: at(0)})
-		if doubts, _ := e.Settle(v, at(10)); len(doubts) != 0 {
+		e := NewCrashDetector(func(context.Context, *fleet.Target) bool { return true })
+		e.AddCancelled(SuspectedCrash{Fingerprint: 7, Target: one, Step: 2, At: at(0)})
+		if doubts, _ := e.Resolve(v, at(10)); len(doubts) != 0 {
 			t.Errorf("blamed while it lives: %+v", doubts)
 		}
-		e.Ended(context.Background(), v, Doubt{Print: 8, Target: one, At: start.Add(c.after)})
-		doubts, why := e.Settle(v, start.Add(c.after+10*time.Millisecond))
-		if len(doubts) != c.want || c.want == 1 && (doubts[0].Print != 7 || doubts[0].Step != 2 || why[0] != RefusesConnections) {
+		e.Detect(context.Background(), v, SuspectedCrash{Fingerprint: 8, Target: one, At: start.Add(c.after)})
+		doubts, why := e.Resolve(v, start.Add(c.after+10*time.Millisecond))
+		if len(doubts) != c.want || c.want == 1 && (doubts[0].Fingerprint != 7 || doubts[0].Step != 2 || why[0] != RefusesConnections) {
 			t.Errorf("ended after %v: %+v for %v", c.after, doubts, why)
 		}
 	}
--- a/internal/gateway/quarantine/fleet_test.go
+++ b/internal/gateway/quarantine/fleet_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("seed %d: %d engines ended until the link was back, %d in all", seed, cut.endedBy[1], healed.endedBy[1])
 		}
 		for _, n := range healed.nodes {
-			if n.Standing(1, healed.clock()).Verdict != Refused {
+			if n.Status(1, healed.clock()).Verdict != Refused {
 				t.Errorf("seed %d: entry %d does not know of it", seed, n.id)
 			}
 		}
--- a/internal/gateway/quarantine/judge.go
+++ b/internal/gateway/quarantine/judge.go
@@ -52,25 +52,25 @@
 // the one with most is judged first, and what it explains no longer counts against the
 // others. Two that cannot be told apart are both left: each runs alone next time, and only
 // one of them ends its target then.
-func Judge(records []*Record, ends int, now time.Time) map[Print]Finding {
-	j := judgement{records: records, ends: ends, found: map[Print]Finding{}, explained: map[fleet.ID]bool{}}
+func Evaluate(records []*Record, ends int, now time.Time) map[Fingerprint]Finding {
+	j := judgement{records: records, ends: ends, found: map[Fingerprint]Finding{}, explained: map[fleet.ID]bool{}}
 	for _, r := range records {
-		if len(r.Ends) >= ends && len(r.Ends) > r.Forgiven {
+		if len(r.Crashes) >= ends && len(r.Crashes) > r.ForgivenCrashes {
 			j.left = append(j.left, r)
 		}
 	}
-	slices.SortFunc(j.left, func(a, b *Record) int { return cmp.Compare(a.Print, b.Print) })
+	slices.SortFunc(j.left, func(a, b *Record) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	for r := j.takeWorst(); r != nil; r = j.takeWorst() {
 		if tied := j.tied(r); tied != nil {
 			j.drop(tied)
 			continue
 		}
 		if now.Before(r.ChangedAt().Add(settleFor)) {
-			j.found[r.Print] = MustWait
+			j.found[r.Fingerprint] = MustWait
 			continue
 		}
-		j.found[r.Print] = MustNotRun
-		for _, e := range r.Ends {
+		j.found[r.Fingerprint] = MustNotRun
+		for _, e := range r.Crashes {
 			j.explained[e.Target] = true
 		}
 	}
@@ -81,13 +81,13 @@
 type judgement struct {
 	records []*Record
 	ends    int
-	found   map[Print]Finding
+	found   map[Fingerprint]Finding
 	// explained are the lives that refused requests have ended.
 	explained map[fleet.ID]bool
 	// left are the requests with enough ends that were not looked at yet.
 	left []*Record
 	// timeline holds all ends in the order of time, once it is asked for.
-	timeline []End
+	timeline []Crash
 }
 
 func (j *judgement) isExplained(target fleet.ID) bool { return j.explained[target] }
@@ -130,7 +130,7 @@
 // shared counts the ends that two requests have in common.
 func (j *judgement) shared(a, b *Record) int {
 	n := 0
-	for _, e := range a.Ends {
+	for _, e := range a.Crashes {
 		if !j.explained[e.Target] && b.end(e.Target) {
 			n++
 		}
@@ -188,14 +188,14 @@
 	span := max(last.Sub(first), shortestSpan)
 	perSecond := float64(others+r.open(j.isExplained)) / span.Seconds()
 	chance := 1.0
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		if j.explained[e.Target] {
 			continue
 		}
-		if e.Ran == 0 {
+		if e.Elapsed == 0 {
 			return 0, false
 		}
-		chance *= 1 - math.Exp(-perSecond*e.Ran.Seconds())
+		chance *= 1 - math.Exp(-perSecond*e.Elapsed.Seconds())
 	}
 	return chance, true
 }
@@ -224,7 +224,7 @@
 func (j *judgement) beside(r *Record, before time.Duration) int {
 	first, last := r.span()
 	all := j.ordered()
-	from, _ := slices.BinarySearchFunc(all, first.Add(-before), func(e End, t time.Time) int { return e.At.Compare(t) })
+	from, _ := slices.BinarySearchFunc(all, first.Add(-before), func(e Crash, t time.Time) int { return e.At.Compare(t) })
 	n := 0
 	for _, e := range all[from:] {
 		if e.At.After(last.Add(momentWindow)) {
@@ -238,21 +238,21 @@
 }
 
 // ordered returns the end of each life once, in the order of time.
-func (j *judgement) ordered() []End {
+func (j *judgement) ordered() []Crash {
 	if j.timeline != nil {
 		return j.timeline
 	}
 	seen := map[fleet.ID]time.Time{}
 	for _, r := range j.records {
-		for _, e := range r.Ends {
+		for _, e := range r.Crashes {
 			if at, ok := seen[e.Target]; !ok || e.At.Before(at) {
 				seen[e.Target] = e.At
 			}
 		}
 	}
 	for target, at := range seen {
-		j.timeline = append(j.timeline, End{Target: target, At: at})
+		j.timeline = append(j.timeline, Crash{Target: target, At: at})
 	}
-	slices.SortFunc(j.timeline, func(a, b End) int { return a.At.Compare(b.At) })
+	slices.SortFunc(j.timeline, func(a, b Crash) int { return a.At.Compare(b.At) })
 	return j.timeline
 }
--- a/internal/gateway/quarantine/message.go
+++ b/internal/gateway/quarantine/message.go
@@ -16,21 +16,21 @@
 
 // Message is a record as other processes are told it. Clocks of two processes differ, so
 // that it holds ages.
-func Message(r *Record, now time.Time) *peerv1.Suspect {
+func ToMessage(r *Record, now time.Time) *peerv1.Suspect {
 	m := &peerv1.Suspect{
-		Print: uint64(r.Print), Generation: r.Generation, Served: uint32(r.Served), Trial: r.Trial.Number,
-		Probations: uint32(r.Probations), Pardoned: uint32(r.Pardoned), Forgiven: uint32(r.Forgiven),
+		Print: uint64(r.Fingerprint), Generation: r.Generation, Served: uint32(r.Served), Trial: r.ProbationRun.Number,
+		Probations: uint32(r.Probations), Pardoned: uint32(r.PardonedProbations), Forgiven: uint32(r.ForgivenCrashes),
 	}
-	if !r.RenewedAt.IsZero() {
-		m.RenewedAgeMs = age(r.RenewedAt, now)
+	if !r.ReleasedAt.IsZero() {
+		m.RenewedAgeMs = age(r.ReleasedAt, now)
 	}
-	if r.Trial.Target != 0 {
-		m.TrialTarget, m.TrialAgeMs = uint32(r.Trial.Target), age(r.Trial.Since, now)
+	if r.ProbationRun.Target != 0 {
+		m.TrialTarget, m.TrialAgeMs = uint32(r.ProbationRun.Target), age(r.ProbationRun.StartedAt, now)
 	}
-	for _, e := range r.Ends {
-		m.Ends = append(m.Ends, &peerv1.TargetEnd{Target: uint32(e.Target), Step: uint32(e.Step), AgeMs: age(e.At, now), RanMs: uint32(min(e.Ran, longestRan).Milliseconds())})
+	for _, e := range r.Crashes {
+		m.Ends = append(m.Ends, &peerv1.TargetEnd{Target: uint32(e.Target), Step: uint32(e.Step), AgeMs: age(e.At, now), RanMs: uint32(min(e.Elapsed, longestRan).Milliseconds())})
 	}
-	if len(r.Ends) > 1 {
+	if len(r.Crashes) > 1 {
 		m.Workspace, m.Route = r.Workspace[:min(len(r.Workspace), longestName)], r.Route[:min(len(r.Route), longestName)]
 	}
 	return m
@@ -39,18 +39,18 @@
 // FromMessage is the record of a message that came now.
 func FromMessage(m *peerv1.Suspect, now time.Time) Record {
 	r := Record{
-		Print: Print(m.Print), Generation: m.Generation, Served: int(m.Served), Workspace: m.Workspace, Route: m.Route,
-		Trial:      Trial{Number: m.Trial, Target: fleet.ID(m.TrialTarget)},
-		Probations: int(m.Probations), Pardoned: int(m.Pardoned), Forgiven: int(m.Forgiven),
+		Fingerprint: Fingerprint(m.Print), Generation: m.Generation, Served: int(m.Served), Workspace: m.Workspace, Route: m.Route,
+		ProbationRun: ProbationRun{Number: m.Trial, Target: fleet.ID(m.TrialTarget)},
+		Probations:   int(m.Probations), PardonedProbations: int(m.Pardoned), ForgivenCrashes: int(m.Forgiven),
 	}
 	if r.Generation > 0 {
-		r.RenewedAt = ago(m.RenewedAgeMs, now)
+		r.ReleasedAt = ago(m.RenewedAgeMs, now)
 	}
-	if r.Trial.Target != 0 {
-		r.Trial.Since = ago(m.TrialAgeMs, now)
+	if r.ProbationRun.Target != 0 {
+		r.ProbationRun.StartedAt = ago(m.TrialAgeMs, now)
 	}
 	for _, e := range m.Ends[:min(len(m.Ends), maxEnds)] {
-		r.Ends = append(r.Ends, End{Target: fleet.ID(e.Target), Step: int(e.Step), At: ago(e.AgeMs, now), Ran: min(time.Duration(e.RanMs)*time.Millisecond, longestRan)})
+		r.Crashes = append(r.Crashes, Crash{Target: fleet.ID(e.Target), Step: int(e.Step), At: ago(e.AgeMs, now), Elapsed: min(time.Duration(e.RanMs)*time.Millisecond, longestRan)})
 	}
 	return r
 }
--- a/internal/gateway/quarantine/message_test.go
+++ b/internal/gateway/quarantine/message_test.go
@@ -14,13 +14,13 @@
 func TestMessageKeepsARecord(t *testing.T) {
 	r := rec(5, 0, 10, 11, 12)
 	r.Workspace, r.Route, r.Generation, r.Served = "town", "check", 2, 1
-	r.Trial, r.RenewedAt = Trial{Number: 4, Target: 13, Since: at(1500)}, at(-500)
+	r.ProbationRun, r.ReleasedAt = ProbationRun{Number: 4, Target: 13, StartedAt: at(1500)}, at(-500)
 	elsewhere := at(2000).Add(time.Hour)
-	got := FromMessage(Message(r, at(2000)), elsewhere)
+	got := FromMessage(ToMessage(r, at(2000)), elsewhere)
 	want := r.clone()
-	want.RenewedAt, want.Trial.Since = want.RenewedAt.Add(time.Hour), want.Trial.Since.Add(time.Hour)
-	for i := range want.Ends {
-		want.Ends[i].At = want.Ends[i].At.Add(time.Hour)
+	want.ReleasedAt, want.ProbationRun.StartedAt = want.ReleasedAt.Add(time.Hour), want.ProbationRun.StartedAt.Add(time.Hour)
+	for i := range want.Crashes {
+		want.Crashes[i].At = want.Crashes[i].At.Add(time.Hour)
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -34,9 +34,9 @@
 	b.blameAt(1, 10, 0, 0)
 	now := at(0)
 	for range 10_000 {
-		for _, way := range [][2]*Book{{b, other}, {other, b}} {
+		for _, way := range [][2]*Registry{{b, other}, {other, b}} {
 			r, _ := way[0].Get(1)
-			m := Message(&r, now)
+			m := ToMessage(&r, now)
 			now = now.Add(2 * time.Millisecond)
 			way[1].Merge(FromMessage(m, now), false, now)
 		}
@@ -50,7 +50,7 @@
 // The words of a faulty process change nothing but records: no panic, bounded size.
 func FuzzMessage(f *testing.F) {
 	for _, r := range []*Record{rec(1, 0, 10), rec(2, 0, 10, 11, 12)} {
-		text, err := proto.Marshal(Message(r, at(5000)))
+		text, err := proto.Marshal(ToMessage(r, at(5000)))
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -65,13 +65,13 @@
 		b.blameAt(1, 10, 0, 0)
 		r := FromMessage(m, at(100))
 		b.Merge(r, true, at(100))
-		b.Settle(at(100))
+		b.Reevaluate(at(100))
 		for _, l := range b.List(at(100)) {
-			if len(l.Record.Ends) > maxEnds {
-				t.Errorf("%d ends", len(l.Record.Ends))
+			if len(l.Record.Crashes) > maxEnds {
+				t.Errorf("%d ends", len(l.Record.Crashes))
 			}
-			Message(&l.Record, at(100))
+			ToMessage(&l.Record, at(100))
 		}
-		b.TakeFresh(10)
+		b.TakeUpdates(10)
 	})
 }
--- a/internal/gateway/quarantine/model_test.go
+++ b/internal/gateway/quarantine/model_test.go
@@ -75,20 +75,20 @@
 	engine []*simEngine
 	births int
 	// what came of it.
-	endedBy          map[Print]int
+	endedBy          map[Fingerprint]int
 	fatalSent        int
 	sentLate         int
 	innocents        int
 	innocentRefused  int
 	innocentFailed   int
 	datagrams, bytes int
-	knownAt          map[Print][]time.Duration
-	firstAt          map[Print]time.Duration
-	thirdAt          map[Print]time.Duration
+	knownAt          map[Fingerprint][]time.Duration
+	firstAt          map[Fingerprint]time.Duration
+	thirdAt          map[Fingerprint]time.Duration
 }
 
 type simEntry struct {
-	*Book
+	*Registry
 	id      int
 	pending bool
 }
@@ -104,7 +104,7 @@
 type simTry struct {
 	n      int
 	entry  *simEntry
-	print  Print
+	print  Fingerprint
 	family uint64
 	fatal  bool
 	again  bool // its caller comes once more
@@ -147,17 +147,17 @@
 
 func play(w way, l load, seed uint64) *sim {
 	s := &sim{
-		way: w, load: l, random: rand.New(rand.NewPCG(seed, 7)), endedBy: map[Print]int{},
-		knownAt: map[Print][]time.Duration{}, firstAt: map[Print]time.Duration{}, thirdAt: map[Print]time.Duration{},
+		way: w, load: l, random: rand.New(rand.NewPCG(seed, 7)), endedBy: map[Fingerprint]int{},
+		knownAt: map[Fingerprint][]time.Duration{}, firstAt: map[Fingerprint]time.Duration{}, thirdAt: map[Fingerprint]time.Duration{},
 	}
 	limits := testLimits
-	limits.Records = 2000
+	limits.MaxRecords = 2000
 	if !w.judge {
-		limits.Ends = 1 << 30
+		limits.MaxCrashes = 1 << 30
 	}
 	for i := range l.entries {
-		limits.Turn = func(Print) time.Duration { return min(time.Duration(i)*200*time.Millisecond, 3*time.Second) }
-		s.nodes = append(s.nodes, &simEntry{Book: NewBook(limits, simWatch{s}), id: i})
+		limits.ProbationDelay = func(Fingerprint) time.Duration { return min(time.Duration(i)*200*time.Millisecond, 3*time.Second) }
+		s.nodes = append(s.nodes, &simEntry{Registry: NewRegistry(limits, simWatch{s}), id: i})
 	}
 	for range l.engines {
 		e := &simEngine{hash: s.random.Uint64()}
@@ -165,7 +165,7 @@
 		s.bear(e)
 	}
 	for i := range l.fatal {
-		s.after(time.Second, func() { s.fatalCaller(Print(1 + i)) })
+		s.after(time.Second, func() { s.fatalCaller(Fingerprint(1 + i)) })
 	}
 	s.after(0, s.innocentCaller)
 	if l.crashEvery > 0 {
@@ -187,23 +187,23 @@
 // simWatch notes when each entry refuses a request.
 type simWatch struct{ s *sim }
 
-func (w simWatch) Blamed(*Record, End, bool) {}
-func (w simWatch) Judged(r *Record, _, now Finding, _ bool) {
+func (w simWatch) CrashAttributed(*Record, Crash, bool) {}
+func (w simWatch) FindingChanged(r *Record, _, now Finding, _ bool) {
 	if now == MustNotRun {
-		w.s.knownAt[r.Print] = append(w.s.knownAt[r.Print], w.s.now)
+		w.s.knownAt[r.Fingerprint] = append(w.s.knownAt[r.Fingerprint], w.s.now)
 	}
 }
-func (w simWatch) Cleared(*Record)        {}
-func (w simWatch) Released(*Record, bool) {}
-func (w simWatch) Evicted(*Record)        {}
-func (w simWatch) Probation(*Record)      {}
+func (w simWatch) Cleared(*Record)          {}
+func (w simWatch) Released(*Record, bool)   {}
+func (w simWatch) Evicted(*Record)          {}
+func (w simWatch) ProbationStarted(*Record) {}
 
 func (s *sim) bear(e *simEngine) {
 	s.births++
 	e.life, e.upAt, e.running = fleet.ID(s.births), s.now, map[*simTry]bool{}
 }
 
-func (s *sim) fatalCaller(p Print) {
+func (s *sim) fatalCaller(p Fingerprint) {
 	s.place(&simTry{entry: s.nodes[s.random.IntN(len(s.nodes))], print: p, family: uint64(p) * 7919, fatal: true, left: 2, since: s.now})
 	s.after(time.Duration(float64(s.fatalEvery)*(0.2+1.6*s.random.Float64())), func() { s.fatalCaller(p) })
 }
@@ -211,7 +211,7 @@
 func (s *sim) innocentCaller() {
 	s.births++
 	s.innocents++
-	s.place(&simTry{entry: s.nodes[s.random.IntN(len(s.nodes))], print: Print(s.random.Uint64()), family: s.random.Uint64(), again: true, left: 2, since: s.now})
+	s.place(&simTry{entry: s.nodes[s.random.IntN(len(s.nodes))], print: Fingerprint(s.random.Uint64()), family: s.random.Uint64(), again: true, left: 2, since: s.now})
 	mean := time.Second / time.Duration(s.perEngine*s.engines)
 	s.after(time.Duration(float64(mean)*2*s.random.Float64()), s.innocentCaller)
 }
@@ -230,7 +230,7 @@
 		s.births++
 		t.n = s.births
 	}
-	st := t.entry.Standing(t.print, s.clock())
+	st := t.entry.Status(t.print, s.clock())
 	if st.Verdict == Refused {
 		if !t.fatal {
 			s.innocentRefused++
@@ -245,7 +245,7 @@
 	if st.Verdict == Held {
 		e = nil
 	}
-	if e == nil || alone && !t.entry.Begin(t.print, e.life, s.clock()) {
+	if e == nil || alone && !t.entry.StartProbationRun(t.print, e.life, s.clock()) {
 		if s.now-t.since < simWait {
 			s.after(simPause, func() { s.place(t) })
 		} else {
@@ -268,7 +268,7 @@
 		sends := t.sends
 		giveUp = func() { s.after(0, func() { s.givenUp(t, sends) }) }
 	}
-	t.run = t.entry.Start(t.print, e.life, giveUp)
+	t.run = t.entry.StartRun(t.print, e.life, giveUp)
 	sends := t.sends
 	queue := time.Duration(20+s.random.IntN(280)) * time.Millisecond
 	s.after(queue, func() { s.begin(t, e, sends) })
@@ -278,7 +278,7 @@
 func (s *sim) pick(t *simTry, key uint64, alone bool) *simEngine {
 	var best *simEngine
 	for _, e := range s.engine {
-		if s.now < e.upAt || alone && t.entry.Occupied(e.life, t.print, s.clock()) {
+		if s.now < e.upAt || alone && t.entry.RunsOtherSuspect(e.life, t.print, s.clock()) {
 			continue
 		}
 		if best == nil || placement.Rank(key, e.hash) < placement.Rank(key, best.hash) {
@@ -306,16 +306,16 @@
 		if t.sends == sends && e.running[t] {
 			delete(e.running, t)
 			s.stop(t)
-			t.entry.Served(t.print)
+			t.entry.MarkServed(t.print)
 			s.news(t.entry)
 		}
 	})
 }
 
 func (s *sim) stop(t *simTry) {
-	t.entry.Done(t.run)
+	t.entry.EndRun(t.run)
 	if t.trial {
-		t.entry.End(t.print, t.engine.life)
+		t.entry.EndProbationRun(t.print, t.engine.life)
 		t.trial = false
 	}
 }
@@ -354,12 +354,12 @@
 	for _, t := range tries {
 		trial := t.trial
 		t.trial = false
-		t.entry.Done(t.run)
+		t.entry.EndRun(t.run)
 		t.engine = nil
 		s.after(simHop, func() {
-			t.entry.Blame(t.print, Who{}, End{Target: life, Step: t.step, At: s.clock(), Ran: s.now - t.sentAt})
+			t.entry.AttributeCrash(t.print, Caller{}, Crash{Target: life, Step: t.step, At: s.clock(), Elapsed: s.now - t.sentAt})
 			if trial {
-				t.entry.End(t.print, life)
+				t.entry.EndProbationRun(t.print, life)
 			}
 			s.news(t.entry)
 			s.next(t)
@@ -399,7 +399,7 @@
 }
 
 func (s *sim) beat(n *simEntry) {
-	s.send(n, n.Next(8, s.clock()))
+	s.send(n, n.NextToAnnounce(8, s.clock()))
 	s.after(s.period(), func() { s.beat(n) })
 }
 
@@ -411,7 +411,7 @@
 	n.pending = true
 	s.after(simGather, func() {
 		n.pending = false
-		s.send(n, n.TakeFresh(1<<30))
+		s.send(n, n.TakeUpdates(1<<30))
 	})
 }
 
@@ -420,7 +420,7 @@
 	for len(records) > 0 {
 		size, n := 0, 0
 		for n < len(records) && size < perDatagram {
-			size += proto.Size(Message(&records[n], s.clock()))
+			size += proto.Size(ToMessage(&records[n], s.clock()))
 			n++
 		}
 		s.sendOne(from, records[:n], size)
@@ -446,9 +446,9 @@
 		}
 		s.after(simHop, func() {
 			for i := range records {
-				to.Merge(FromMessage(Message(&records[i], at), s.clock()), len(s.nodes) > simReach, s.clock())
+				to.Merge(FromMessage(ToMessage(&records[i], at), s.clock()), len(s.nodes) > simReach, s.clock())
 			}
-			to.Settle(s.clock())
+			to.Reevaluate(s.clock())
 			s.news(to)
 		})
 	}
--- a/internal/gateway/quarantine/print.go
+++ b/internal/gateway/quarantine/print.go
@@ -33,11 +33,11 @@
 // with the query, its workspace and its body. Ids, keys, deadlines and other headers
 // differ between two tries. It shows nothing of the body, and who knows a workspace's
 // requests cannot make another one with the same print.
-type Print uint64
+type Fingerprint uint64
 
 // PrintOf returns the print of a request. The workspace is empty on routes that need no
 // key.
-func PrintOf(workspace, path string, body []byte) Print {
+func FingerprintOf(workspace, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, text := range []string{workspace, path} {
 		var size [8]byte
@@ -46,8 +46,8 @@
 		_, _ = io.WriteString(h, text) // a hash takes everything
 	}
 	h.Write(body)
-	return Print(binary.BigEndian.Uint64(h.Sum(nil)))
+	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
 // String returns the print as it stands in logs.
-func (p Print) String() string { return fmt.Sprintf("%016x", uint64(p)) }
+func (p Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(p)) }
--- a/internal/gateway/quarantine/print_test.go
+++ b/internal/gateway/quarantine/print_test.go
@@ -12,23 +12,23 @@
 	body := []byte(strings.Repeat("prompt ", 9000))
 	other := append([]byte(nil), body...)
 	other[len(other)-1]++
-	prints := map[Print]string{}
-	for name, p := range map[string]Print{
-		"first":             PrintOf("town", "/check/1?q=2", body),
-		"another workspace": PrintOf("fort", "/check/1?q=2", body),
-		"another path":      PrintOf("town", "/check/2?q=2", body),
-		"another query":     PrintOf("town", "/check/1?q=3", body),
-		"one byte":          PrintOf("town", "/check/1?q=2", other),
-		"no body":           PrintOf("town", "/check/1?q=2", nil),
-		"moved border":      PrintOf("town/check", "/1?q=2", body),
-		"no workspace":      PrintOf("", "/check/1?q=2", body),
+	prints := map[Fingerprint]string{}
+	for name, p := range map[string]Fingerprint{
+		"first":             FingerprintOf("town", "/check/1?q=2", body),
+		"another workspace": FingerprintOf("fort", "/check/1?q=2", body),
+		"another path":      FingerprintOf("town", "/check/2?q=2", body),
+		"another query":     FingerprintOf("town", "/check/1?q=3", body),
+		"one byte":          FingerprintOf("town", "/check/1?q=2", other),
+		"no body":           FingerprintOf("town", "/check/1?q=2", nil),
+		"moved border":      FingerprintOf("town/check", "/1?q=2", body),
+		"no workspace":      FingerprintOf("", "/check/1?q=2", body),
 	} {
 		if with, taken := prints[p]; taken {
 			t.Errorf("%q and %q have the same print", name, with)
 		}
 		prints[p] = name
 	}
-	if again := PrintOf("town", "/check/1?q=2", append([]byte(nil), body...)); prints[again] != "first" {
+	if again := FingerprintOf("town", "/check/1?q=2", append([]byte(nil), body...)); prints[again] != "first" {
 		t.Errorf("the same request has the print %s", again)
 	}
 }
@@ -39,6 +39,6 @@
 	body := []byte(strings.Repeat("prompt ", 7000))
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
-		PrintOf("town", "/check/1", body)
+		FingerprintOf("town", "/check/1", body)
 	}
 }
--- a/internal/gateway/quarantine/probation.go
+++ b/internal/gateway/quarantine/probation.go
@@ -22,20 +22,20 @@
 // and the next end refuses it again at once.
 
 // onProbation reports whether a refused request may run once now, as its only run.
-func (b *Book) onProbation(r *Record, now time.Time) bool {
+func (b *Registry) onProbation(r *Record, now time.Time) bool {
 	at, ok := b.probationAt(r)
 	if !ok {
 		return false
 	}
-	if b.limits.Turn != nil {
-		at = at.Add(b.limits.Turn(r.Print))
+	if b.limits.ProbationDelay != nil {
+		at = at.Add(b.limits.ProbationDelay(r.Fingerprint))
 	}
 	return !now.Before(at)
 }
 
 // probationAt is from when on a refused request may run once; false for never.
-func (b *Book) probationAt(r *Record) (time.Time, bool) {
-	if r.Probations-r.Pardoned >= mostProbations || len(r.Ends) >= maxEnds {
+func (b *Registry) probationAt(r *Record) (time.Time, bool) {
+	if r.Probations-r.PardonedProbations >= mostProbations || len(r.Crashes) >= maxEnds {
 		return time.Time{}, false
 	}
 	wait := probationAfter
@@ -46,12 +46,12 @@
 	if b.endedAt.After(calm) {
 		calm = b.endedAt
 	}
-	return calm.Add(min(wait, b.limits.HoldFor)), true
+	return calm.Add(min(wait, b.limits.RefuseFor)), true
 }
 
 // heldUntil is when a refused request may run again.
-func (b *Book) heldUntil(r *Record) time.Time {
-	until := r.ChangedAt().Add(b.limits.HoldFor)
+func (b *Registry) heldUntil(r *Record) time.Time {
+	until := r.ChangedAt().Add(b.limits.RefuseFor)
 	if at, ok := b.probationAt(r); ok && at.Before(until) {
 		return at
 	}
@@ -60,17 +60,17 @@
 
 // pardon takes in that a run of a refused request went well, and reports whether it was on
 // probation: other runs had begun before it was refused.
-func (b *Book) pardon(r *Record) bool {
-	if r.Probations <= r.Pardoned || r.Trial.Target == 0 {
+func (b *Registry) pardon(r *Record) bool {
+	if r.Probations <= r.PardonedProbations || r.ProbationRun.Target == 0 {
 		return false
 	}
-	r.Pardoned, r.Forgiven = r.Probations, len(r.Ends)
-	b.touch(r.Print, true)
+	r.PardonedProbations, r.ForgivenCrashes = r.Probations, len(r.Crashes)
+	b.touch(r.Fingerprint, true)
 	return true
 }
 
 // noteEnd takes in when a target ended.
-func (b *Book) noteEnd(at time.Time) {
+func (b *Registry) noteEnd(at time.Time) {
 	if at.After(b.endedAt) {
 		b.endedAt = at
 	}
--- a/internal/gateway/quarantine/probation_test.go
+++ b/internal/gateway/quarantine/probation_test.go
@@ -8,7 +8,7 @@
 )
 
 // refusedBook holds a request that is refused, its last end at the start.
-func refusedBook(t *testing.T) *Book {
+func refusedBook(t *testing.T) *Registry {
 	t.Helper()
 	b := newBook()
 	for i := range 3 {
@@ -30,21 +30,21 @@
 	if v := verdict(b, 1, 10_000); v != Alone {
 		t.Fatalf("when nothing ended for ten seconds: %v", v)
 	}
-	if !b.Begin(1, 50, at(10_000)) {
+	if !b.StartProbationRun(1, 50, at(10_000)) {
 		t.Fatal("the run may not begin")
 	}
-	if b.Begin(1, 51, at(10_010)) || verdict(b, 1, 10_010) == Alone && b.Begin(1, 52, at(10_020)) {
+	if b.StartProbationRun(1, 51, at(10_010)) || verdict(b, 1, 10_010) == Alone && b.StartProbationRun(1, 52, at(10_020)) {
 		t.Error("a second run begins beside it")
 	}
-	run := b.Start(1, 50, nil)
-	b.Served(1)
-	b.Done(run)
-	b.End(1, 50)
+	run := b.StartRun(1, 50, nil)
+	b.MarkServed(1)
+	b.EndRun(run)
+	b.EndProbationRun(1, 50)
 	if v := verdict(b, 1, 10_500); v != Alone && v != Free {
 		t.Errorf("after the run went well: %v", v)
 	}
 	for range 3 * servedPerStep {
-		b.Served(1)
+		b.MarkServed(1)
 	}
 	if v := verdict(b, 1, 11_000); v != Free {
 		t.Errorf("served on and on: %v", v)
@@ -74,11 +74,11 @@
 	b := refusedBook(t)
 	now := 10_000
 	for n := range mostProbations {
-		if !b.Begin(1, fleet.ID(50+n), at(now)) {
+		if !b.StartProbationRun(1, fleet.ID(50+n), at(now)) {
 			t.Fatalf("run %d may not begin", n)
 		}
 		b.blameAt(1, fleet.ID(50+n), 3+n, now+100)
-		b.End(1, fleet.ID(50+n))
+		b.EndProbationRun(1, fleet.ID(50+n))
 		now += 100 + int(probationAfter.Milliseconds())*probationGrowth
 		if v := verdict(b, 1, now-1000); v != Refused {
 			t.Errorf("a second before a minute has passed: %v", v)
@@ -86,8 +86,8 @@
 	}
 	r, _ := b.Get(1)
 	other := newBook()
-	other.Merge(FromMessage(Message(&r, at(now)), at(now)), false, at(now))
-	for _, book := range []*Book{b, other} {
+	other.Merge(FromMessage(ToMessage(&r, at(now)), at(now)), false, at(now))
+	for _, book := range []*Registry{b, other} {
 		if v := verdict(book, 1, now+int((12*time.Hour).Milliseconds())); v != Refused {
 			t.Errorf("after two runs on probation: %v", v)
 		}
@@ -99,16 +99,16 @@
 func TestEntriesTakeTurnsAtProbation(t *testing.T) {
 	first := refusedBook(t)
 	second := refusedBook(t)
-	second.limits.Turn = func(Print) time.Duration { return 200 * time.Millisecond }
+	second.limits.ProbationDelay = func(Fingerprint) time.Duration { return 200 * time.Millisecond }
 	if v := verdict(second, 1, 10_100); v != Refused {
 		t.Errorf("before its turn: %v", v)
 	}
-	if !first.Begin(1, 50, at(10_050)) {
+	if !first.StartProbationRun(1, 50, at(10_050)) {
 		t.Fatal("the run may not begin")
 	}
 	r, _ := first.Get(1)
-	second.Merge(FromMessage(Message(&r, at(10_060)), at(10_060)), false, at(10_060))
-	if second.Begin(1, 51, at(10_300)) {
+	second.Merge(FromMessage(ToMessage(&r, at(10_060)), at(10_060)), false, at(10_060))
+	if second.StartProbationRun(1, 51, at(10_300)) {
 		t.Error("both run it")
 	}
 }
@@ -117,7 +117,7 @@
 // nothing back: it began when less was known.
 func TestOnlyARunOnProbationLetsBack(t *testing.T) {
 	b := refusedBook(t)
-	b.Served(1)
+	b.MarkServed(1)
 	if v := verdict(b, 1, 3000); v != Refused {
 		t.Errorf("served by an earlier run: %v", v)
 	}
--- a/internal/gateway/quarantine/record.go
+++ b/internal/gateway/quarantine/record.go
@@ -8,7 +8,7 @@
 )
 
 // End is a target that ended while it worked on a request.
-type End struct {
+type Crash struct {
 	// Target is the life that ended.
 	Target fleet.ID
 	// Step is how many steps the sender knew of when it sent the request. Sends that were
@@ -19,39 +19,39 @@
 	At time.Time
 	// Ran is how long the request had been under way at the target; zero when that is not
 	// known.
-	Ran time.Duration
+	Elapsed time.Duration
 }
 
 // Trial is a run of a suspect, of which there is one at a time.
-type Trial struct {
+type ProbationRun struct {
 	// Number grows with each beginning and each end of a trial.
 	Number uint32
 	// Target is where it runs; zero while none does.
 	Target fleet.ID
 	// Since is when it began.
-	Since time.Time
+	StartedAt time.Time
 }
 
 // Record is what is known of one request.
 type Record struct {
-	Print Print
+	Fingerprint Fingerprint
 	// Workspace and Route are the caller's, for operators.
 	Workspace, Route string
 	// Generation grows each time an operator lets the request go, and the record begins
 	// anew. A higher one replaces all of a lower one.
 	Generation uint32
 	// Ends are in the order in which they became known.
-	Ends []End
+	Crashes []Crash
 	// Served is how many of its runs went well since the first end. Each process counts on
 	// from what it has heard; two that count at once count one.
-	Served int
-	Trial  Trial
+	Served       int
+	ProbationRun ProbationRun
 	// RenewedAt is when the request was let go last; zero when it never was.
-	RenewedAt time.Time
+	ReleasedAt time.Time
 	// Probations is how many runs of it were begun while it was refused. Pardoned is how many
 	// had been when one of them went well last, and Forgiven how many ends were known then:
 	// those are no longer held against it.
-	Probations, Pardoned, Forgiven int
+	Probations, PardonedProbations, ForgivenCrashes int
 }
 
 // ChangedAt is when the last end became known, or when the request was let go after it.
@@ -61,8 +61,8 @@
 // make a record younger, and among many processes none would ever be old enough to be
 // forgotten. Of each fact the earliest word counts.
 func (r *Record) ChangedAt() time.Time {
-	at := r.RenewedAt
-	for _, e := range r.Ends {
+	at := r.ReleasedAt
+	for _, e := range r.Crashes {
 		if e.At.After(at) {
 			at = e.At
 		}
@@ -92,8 +92,8 @@
 
 // span is from the request's first end to its last; there is one at least.
 func (r *Record) span() (first, last time.Time) {
-	first, last = r.Ends[0].At, r.Ends[0].At
-	for _, e := range r.Ends {
+	first, last = r.Crashes[0].At, r.Crashes[0].At
+	for _, e := range r.Crashes {
 		if e.At.Before(first) {
 			first = e.At
 		}
@@ -106,7 +106,7 @@
 
 // end reports whether the record holds a life's end.
 func (r *Record) end(target fleet.ID) bool {
-	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.Target == target })
+	return slices.ContainsFunc(r.Crashes, func(e Crash) bool { return e.Target == target })
 }
 
 // change is what taking in a word has changed.
@@ -121,22 +121,22 @@
 
 // addEnd adds an end. Of two words of the same life the earlier counts, and the lower step:
 // it makes no difference who is heard first.
-func (r *Record) addEnd(e End) change {
-	i := slices.IndexFunc(r.Ends, func(o End) bool { return o.Target == e.Target })
+func (r *Record) addEnd(e Crash) change {
+	i := slices.IndexFunc(r.Crashes, func(o Crash) bool { return o.Target == e.Target })
 	if i < 0 {
-		if len(r.Ends) >= maxEnds {
+		if len(r.Crashes) >= maxEnds {
 			return nothing
 		}
-		r.Ends = append(r.Ends, e)
+		r.Crashes = append(r.Crashes, e)
 		return news
 	}
-	known := &r.Ends[i]
+	known := &r.Crashes[i]
 	changed := nothing
 	if e.At.Before(known.At) {
 		known.At, changed = e.At, detail
 	}
-	if e.Ran > 0 && (known.Ran == 0 || e.Ran < known.Ran) {
-		known.Ran, changed = e.Ran, detail
+	if e.Elapsed > 0 && (known.Elapsed == 0 || e.Elapsed < known.Elapsed) {
+		known.Elapsed, changed = e.Elapsed, detail
 	}
 	if e.Step < known.Step {
 		known.Step, changed = e.Step, news
@@ -156,21 +156,21 @@
 		return news
 	}
 	changed := nothing
-	if o.RenewedAt.Before(r.RenewedAt) {
-		r.RenewedAt = o.RenewedAt
+	if o.ReleasedAt.Before(r.ReleasedAt) {
+		r.ReleasedAt = o.ReleasedAt
 	}
-	for _, e := range o.Ends {
+	for _, e := range o.Crashes {
 		changed = max(changed, r.addEnd(e))
 	}
 	if o.Served > r.Served {
 		r.Served, changed = o.Served, news
 	}
-	if o.Probations > r.Probations || o.Pardoned > r.Pardoned || o.Forgiven > r.Forgiven {
-		r.Probations, r.Pardoned, r.Forgiven = max(r.Probations, o.Probations), max(r.Pardoned, o.Pardoned), max(r.Forgiven, o.Forgiven)
+	if o.Probations > r.Probations || o.PardonedProbations > r.PardonedProbations || o.ForgivenCrashes > r.ForgivenCrashes {
+		r.Probations, r.PardonedProbations, r.ForgivenCrashes = max(r.Probations, o.Probations), max(r.PardonedProbations, o.PardonedProbations), max(r.ForgivenCrashes, o.ForgivenCrashes)
 		changed = news
 	}
-	if o.Trial.Number > r.Trial.Number {
-		r.Trial, changed = o.Trial, news
+	if o.ProbationRun.Number > r.ProbationRun.Number {
+		r.ProbationRun, changed = o.ProbationRun, news
 	}
 	r.describe(o.Workspace, o.Route)
 	return changed
@@ -188,27 +188,27 @@
 
 func (r *Record) clone() Record {
 	c := *r
-	c.Ends = slices.Clone(r.Ends)
+	c.Crashes = slices.Clone(r.Crashes)
 	return c
 }
 
 // renew begins the record anew: nothing is held against the request any more.
 func (r *Record) renew(now time.Time) {
 	r.Generation++
-	r.Ends, r.Served, r.Trial, r.RenewedAt = nil, 0, Trial{}, now
-	r.Probations, r.Pardoned, r.Forgiven = 0, 0, 0
+	r.Crashes, r.Served, r.ProbationRun, r.ReleasedAt = nil, 0, ProbationRun{}, now
+	r.Probations, r.PardonedProbations, r.ForgivenCrashes = 0, 0, 0
 }
 
 // tried reports whether a trial is under way.
 func (r *Record) tried(now time.Time) bool {
-	return r.Trial.Target != 0 && now.Sub(r.Trial.Since) < trialFor
+	return r.ProbationRun.Target != 0 && now.Sub(r.ProbationRun.StartedAt) < trialFor
 }
 
 // steps counts the ends that came one after the other, of those that nothing else
 // explains.
 func (r *Record) steps(explained func(fleet.ID) bool) int {
 	var seen []int
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		if !explained(e.Target) && !slices.Contains(seen, e.Step) {
 			seen = append(seen, e.Step)
 		}
@@ -224,7 +224,7 @@
 // open counts the ends that nothing else explains.
 func (r *Record) open(explained func(fleet.ID) bool) int {
 	n := 0
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		if !explained(e.Target) {
 			n++
 		}
--- a/internal/gateway/quarantine/room.go
+++ b/internal/gateway/quarantine/room.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-func (b *Book) expired(r *Record, now time.Time) bool {
+func (b *Registry) expired(r *Record, now time.Time) bool {
 	keep := b.limits.SuspectFor
-	if len(r.Ends) >= b.limits.Ends {
-		keep = b.limits.HoldFor
+	if len(r.Crashes) >= b.limits.MaxCrashes {
+		keep = b.limits.RefuseFor
 	}
 	return now.Sub(r.ChangedAt()) > keep
 }
@@ -17,7 +17,7 @@
 const sweepPeriod = 10 * time.Second
 
 // sweep drops what is too old.
-func (b *Book) sweep(now time.Time) {
+func (b *Registry) sweep(now time.Time) {
 	if now.Sub(b.sweptAt) < sweepPeriod {
 		return
 	}
@@ -29,7 +29,7 @@
 	}
 }
 
-func (b *Book) drop(p Print) {
+func (b *Registry) drop(p Fingerprint) {
 	delete(b.records, p)
 	delete(b.tried, p)
 	b.touch(p, false)
@@ -37,25 +37,25 @@
 
 // makeRoom drops the least suspected records beyond the limit: a flood of requests that
 // each end one target pushes out others like them, and not those that are refused.
-func (b *Book) makeRoom() {
-	for len(b.records) > b.limits.Records {
+func (b *Registry) makeRoom() {
+	for len(b.records) > b.limits.MaxRecords {
 		var least *Record
 		for _, r := range b.records {
 			if least == nil || b.lessSuspect(r, least) {
 				least = r
 			}
 		}
-		b.drop(least.Print)
+		b.drop(least.Fingerprint)
 		b.observer.Evicted(least)
 	}
 }
 
-func (b *Book) lessSuspect(x, y *Record) bool {
+func (b *Registry) lessSuspect(x, y *Record) bool {
 	weight := func(r *Record) int {
-		if b.found[r.Print] == MustNotRun {
+		if b.found[r.Fingerprint] == MustNotRun {
 			return maxEnds + 1
 		}
-		return len(r.Ends)
+		return len(r.Crashes)
 	}
 	if c := cmp.Compare(weight(x), weight(y)); c != 0 {
 		return c < 0
--- a/internal/gateway/quarantine/runs.go
+++ b/internal/gateway/quarantine/runs.go
@@ -9,7 +9,7 @@
 
 // Run is one send of a request that is under way.
 type Run struct {
-	print  Print
+	print  Fingerprint
 	target fleet.ID
 	// known is how many ends of the request were known when it was sent.
 	known int
@@ -24,12 +24,12 @@
 
 // Start notes a send that begins. giveUp ends it when another target has ended under the
 // same request; nil keeps it.
-func (b *Book) Start(p Print, target fleet.ID, giveUp func()) *Run {
+func (b *Registry) StartRun(p Fingerprint, target fleet.ID, giveUp func()) *Run {
 	run := &Run{print: p, target: target, giveUp: giveUp}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[p]; r != nil {
-		run.known = len(r.Ends)
+		run.known = len(r.Crashes)
 		run.probation = b.found[p] == MustNotRun
 	}
 	b.runs[p] = append(b.runs[p], run)
@@ -37,14 +37,14 @@
 }
 
 // Begun notes that a send's answer has begun.
-func (b *Book) Begun(run *Run) {
+func (b *Registry) MarkResponding(run *Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	run.begun = true
 }
 
 // Done notes that a send has ended.
-func (b *Book) Done(run *Run) {
+func (b *Registry) EndRun(run *Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	left := slices.DeleteFunc(b.runs[run.print], func(o *Run) bool { return o == run })
@@ -60,10 +60,10 @@
 // The failure guarded against: repeats that were sent before an end became known wait in
 // the queues of other targets, and end each of them when their turn comes. A trial goes
 // on: it was begun with all that was known, and is the one that tells.
-func (b *Book) giveUp(r *Record, now time.Time) {
-	for _, run := range b.runs[r.Print] {
-		trial := r.tried(now) && run.target == r.Trial.Target && (b.found[r.Print] == 0 || run.probation)
-		if run.giveUp == nil || run.begun || trial || run.known >= len(r.Ends) || r.end(run.target) {
+func (b *Registry) giveUp(r *Record, now time.Time) {
+	for _, run := range b.runs[r.Fingerprint] {
+		trial := r.tried(now) && run.target == r.ProbationRun.Target && (b.found[r.Fingerprint] == 0 || run.probation)
+		if run.giveUp == nil || run.begun || trial || run.known >= len(r.Crashes) || r.end(run.target) {
 			continue
 		}
 		run.giveUp()
--- a/internal/gateway/quarantine/settling.go
+++ b/internal/gateway/quarantine/settling.go
@@ -8,20 +8,20 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
 )
 
-func (b *Book) touch(p Print, own bool) {
+func (b *Registry) touch(p Fingerprint, own bool) {
 	b.touched[p] = true
 	b.ownChange = b.ownChange || own
 }
 
 // Settle finds out what follows from the changes since the last time.
-func (b *Book) Settle(now time.Time) {
+func (b *Registry) Reevaluate(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.settle(now)
 }
 
 // settle judges anew, and gives up runs that suspects should not have made.
-func (b *Book) settle(now time.Time) {
+func (b *Registry) settle(now time.Time) {
 	due := !b.judgeAt.IsZero() && !now.Before(b.judgeAt)
 	if len(b.touched) == 0 && !due {
 		return
@@ -36,13 +36,13 @@
 	b.ownChange = false
 }
 
-func (b *Book) judge(told bool, now time.Time) {
+func (b *Registry) judge(told bool, now time.Time) {
 	all := make([]*Record, 0, len(b.records))
 	for _, r := range b.records {
 		all = append(all, r)
 	}
 	before := b.found
-	b.found = Judge(all, b.limits.Ends, now)
+	b.found = Evaluate(all, b.limits.MaxCrashes, now)
 	b.explained, b.judgeAt = map[fleet.ID]bool{}, time.Time{}
 	for p, f := range b.found {
 		r := b.records[p]
@@ -50,7 +50,7 @@
 			b.judgeBy(r.ChangedAt().Add(settleFor))
 			continue
 		}
-		for _, e := range r.Ends {
+		for _, e := range r.Crashes {
 			b.explained[e.Target] = true
 		}
 	}
@@ -58,15 +58,15 @@
 }
 
 // judgeBy judges anew at a time, or before.
-func (b *Book) judgeBy(at time.Time) {
+func (b *Registry) judgeBy(at time.Time) {
 	if b.judgeAt.IsZero() || at.Before(b.judgeAt) {
 		b.judgeAt = at
 	}
 }
 
 // report tells the observer what has changed.
-func (b *Book) report(before map[Print]Finding, told bool) {
-	changed := map[Print]bool{}
+func (b *Registry) report(before map[Fingerprint]Finding, told bool) {
+	changed := map[Fingerprint]bool{}
 	for p := range before {
 		changed[p] = b.found[p] != before[p]
 	}
@@ -75,7 +75,7 @@
 	}
 	for _, p := range slices.Sorted(maps.Keys(changed)) {
 		if r := b.records[p]; r != nil && changed[p] {
-			b.observer.Judged(r, before[p], b.found[p], told)
+			b.observer.FindingChanged(r, before[p], b.found[p], told)
 			b.signal()
 		}
 	}
--- a/internal/gateway/quarantine/telling.go
+++ b/internal/gateway/quarantine/telling.go
@@ -6,57 +6,57 @@
 )
 
 // News yields when there is something to tell the other processes, or a finding changed.
-func (b *Book) News() <-chan struct{} { return b.news }
+func (b *Registry) Updates() <-chan struct{} { return b.news }
 
 // Merge takes in what another process knows of a request, and reports whether it is news.
 // With passOn the others are told in turn. What follows from it is found out with the next
 // question, or by Settle: a datagram holds several records.
-func (b *Book) Merge(o Record, passOn bool, now time.Time) bool {
+func (b *Registry) Merge(o Record, passOn bool, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.expired(&o, now) {
 		return false
 	}
-	r := b.records[o.Print]
+	r := b.records[o.Fingerprint]
 	if r == nil {
-		if len(o.Ends) == 0 && o.Generation == 0 {
+		if len(o.Crashes) == 0 && o.Generation == 0 {
 			return false
 		}
-		r = &Record{Print: o.Print}
-		b.records[o.Print] = r
+		r = &Record{Fingerprint: o.Fingerprint}
+		b.records[o.Fingerprint] = r
 	}
-	known, generation := len(r.Ends), r.Generation
+	known, generation := len(r.Crashes), r.Generation
 	switch r.merge(&o) {
 	case nothing:
 		return false
 	case detail:
-		b.touch(o.Print, false)
+		b.touch(o.Fingerprint, false)
 		return false
 	}
 	if r.Generation != generation {
 		known = 0 // all its ends are news
-		if len(r.Ends) == 0 {
+		if len(r.Crashes) == 0 {
 			b.observer.Released(r, true)
 		}
 	}
-	for _, e := range r.Ends[known:] {
-		b.observer.Blamed(r, e, true)
+	for _, e := range r.Crashes[known:] {
+		b.observer.CrashAttributed(r, e, true)
 		b.noteEnd(e.At)
 	}
-	if r.Trial.Target != 0 {
-		b.tried[o.Print] = r
+	if r.ProbationRun.Target != 0 {
+		b.tried[o.Fingerprint] = r
 	} else {
-		delete(b.tried, o.Print)
+		delete(b.tried, o.Fingerprint)
 	}
-	b.touch(o.Print, false)
+	b.touch(o.Fingerprint, false)
 	if passOn {
-		b.tell(o.Print)
+		b.tell(o.Fingerprint)
 	}
 	b.makeRoom()
 	return true
 }
 
-func (b *Book) tell(p Print) {
+func (b *Registry) tell(p Fingerprint) {
 	if !slices.Contains(b.fresh, p) {
 		b.fresh = append(b.fresh, p)
 	}
@@ -64,7 +64,7 @@
 }
 
 // signal says that there is news.
-func (b *Book) signal() {
+func (b *Registry) signal() {
 	select {
 	case b.news <- struct{}{}:
 	default: // it is known already
@@ -72,7 +72,7 @@
 }
 
 // TakeFresh returns up to n records of which the others are to be told at once.
-func (b *Book) TakeFresh(n int) []Record {
+func (b *Registry) TakeUpdates(n int) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var taken []Record
@@ -92,12 +92,12 @@
 const retellFor = 10 * time.Second
 
 // Next returns up to n of the records that the others should know, in turn.
-func (b *Book) Next(n int, now time.Time) []Record {
+func (b *Registry) NextToAnnounce(n int, now time.Time) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var prints []Print
+	var prints []Fingerprint
 	for p, r := range b.records {
-		if (len(r.Ends) > 1 || r.Generation > 0 || now.Sub(r.ChangedAt()) < retellFor) && !b.expired(r, now) {
+		if (len(r.Crashes) > 1 || r.Generation > 0 || now.Sub(r.ChangedAt()) < retellFor) && !b.expired(r, now) {
 			prints = append(prints, p)
 		}
 	}
--- a/internal/gateway/quarantinesync.go
+++ b/internal/gateway/quarantinesync.go
@@ -48,7 +48,7 @@
 // already.
 type quarantineSync struct {
 	process  *process
-	registry *quarantine.Book
+	registry *quarantine.Registry
 	observer *quarantineObserver
 	// reloadedAt is when the records were last reloaded after a second crash.
 	reloadedAt time.Time
@@ -59,8 +59,8 @@
 func newQuarantineSync(p *process) *quarantineSync {
 	limits := p.settings.Quarantine
 	observer := &quarantineObserver{logger: p.logger, routineLogger: p.routineLogger, metrics: p.metrics}
-	s := &quarantineSync{process: p, observer: observer, registry: quarantine.NewBook(quarantine.Limits{
-		Ends: limits.MaxCrashes, SuspectFor: limits.SuspectFor.Duration, HoldFor: limits.RefuseFor.Duration, Records: limits.MaxRecords, Turn: p.state.probationDelay,
+	s := &quarantineSync{process: p, observer: observer, registry: quarantine.NewRegistry(quarantine.Limits{
+		MaxCrashes: limits.MaxCrashes, SuspectFor: limits.SuspectFor.Duration, RefuseFor: limits.RefuseFor.Duration, MaxRecords: limits.MaxRecords, ProbationDelay: p.state.probationDelay,
 	}, observer)}
 	p.metrics.Gauge("quarantined_requests", "Requests that are refused because crashes of targets are attributed to them.", func() float64 {
 		refused, _ := s.registry.Count()
@@ -83,12 +83,12 @@
 
 // probationDelay returns how much later than the first entry this one may start the
 // probation run of a refused request.
-func (c *clusterState) probationDelay(quarantine.Print) time.Duration {
+func (c *clusterState) probationDelay(quarantine.Fingerprint) time.Duration {
 	v, ok := c.view.Get()
 	if !ok {
 		return maxProbationDelay
 	}
-	return min(probationStagger*time.Duration(v.EntriesBefore), maxProbationDelay)
+	return min(probationStagger*time.Duration(v.EntryRank), maxProbationDelay)
 }
 
 func (s *quarantineSync) start() {
@@ -102,7 +102,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.registry.News():
+		case <-s.registry.Updates():
 		}
 		if !sleep.For(ctx, suspectBatchDelay) {
 			return
@@ -120,17 +120,17 @@
 	size := 0
 	flush := func() {
 		if len(batch) > 0 {
-			s.process.state.mesh.TellEntries(func(heartbeat *peerv1.Beat) { heartbeat.Suspects = batch })
+			s.process.state.mesh.BroadcastToEntries(func(heartbeat *peerv1.Beat) { heartbeat.Suspects = batch })
 		}
 		batch, size = nil, 0
 	}
 	now := s.process.clock.Now()
 	for {
-		records := s.registry.TakeFresh(1)
+		records := s.registry.TakeUpdates(1)
 		if len(records) == 0 {
 			break
 		}
-		m := quarantine.Message(&records[0], now)
+		m := quarantine.ToMessage(&records[0], now)
 		if size += proto.Size(m); size > maxSuspectBytes {
 			flush()
 			size = proto.Size(m)
@@ -145,8 +145,8 @@
 func (s *quarantineSync) compose(heartbeat *peerv1.Beat) {
 	now := s.process.clock.Now()
 	space := mesh.MaxDatagram - suspectReserve - proto.Size(heartbeat)
-	for _, r := range s.registry.Next(suspectsPerHeartbeat, now) {
-		m := quarantine.Message(&r, now)
+	for _, r := range s.registry.NextToAnnounce(suspectsPerHeartbeat, now) {
+		m := quarantine.ToMessage(&r, now)
 		if space -= proto.Size(m); space < 0 {
 			return
 		}
@@ -158,11 +158,11 @@
 // others at once, the receivers forward new records.
 func (s *quarantineSync) onHeartbeat(m *mesh.Member) {
 	now := s.process.clock.Now()
-	forward := len(m.Beat.Suspects) > 0 && len(s.process.state.mesh.Live(true)) > mesh.FanOut
-	for _, suspect := range m.Beat.Suspects {
+	forward := len(m.Heartbeat.Suspects) > 0 && len(s.process.state.mesh.Live(true)) > mesh.FanOut
+	for _, suspect := range m.Heartbeat.Suspects {
 		s.registry.Merge(quarantine.FromMessage(suspect, now), forward, now)
 	}
-	s.registry.Settle(now)
+	s.registry.Reevaluate(now)
 }
 
 // reload loads the records from the store, unless this was done recently.
@@ -212,7 +212,7 @@
 		age := time.Since(time.UnixMilli(m.WrittenUnixMs))
 		if dropped < maxDropped && age > s.process.settings.Quarantine.RefuseFor.Duration && s.process.state.entryRank() == 0 {
 			dropped++
-			s.store(quarantine.Print(m.Print), true)
+			s.store(quarantine.Fingerprint(m.Print), true)
 		}
 	}
 	s.process.logger.Info("quarantine_read", "records", len(records), "in_force", restored, "dropped", dropped)
@@ -251,11 +251,11 @@
 }
 
 // store writes a request's record to the store, or deletes it.
-func (s *quarantineSync) store(fingerprint quarantine.Print, drop bool) {
+func (s *quarantineSync) store(fingerprint quarantine.Fingerprint, drop bool) {
 	p := s.process
 	var data []byte
 	if r, ok := s.registry.Get(fingerprint); ok && !drop {
-		m := quarantine.Message(&r, p.clock.Now())
+		m := quarantine.ToMessage(&r, p.clock.Now())
 		m.WrittenUnixMs = time.Now().UnixMilli()
 		var err error
 		if data, err = proto.Marshal(m); err != nil {
@@ -283,13 +283,13 @@
 
 // storeCurrent writes or deletes a record according to the current finding, which may have
 // changed since the call that failed.
-func (s *quarantineSync) storeCurrent(fingerprint quarantine.Print) {
-	status := s.registry.Standing(fingerprint, s.process.clock.Now())
+func (s *quarantineSync) storeCurrent(fingerprint quarantine.Fingerprint) {
+	status := s.registry.Status(fingerprint, s.process.clock.Now())
 	s.store(fingerprint, status.Verdict < quarantine.Held)
 }
 
 // release releases a request from quarantine on all entries.
-func (s *quarantineSync) release(fingerprint quarantine.Print) bool {
+func (s *quarantineSync) release(fingerprint quarantine.Fingerprint) bool {
 	released := s.registry.Release(fingerprint, s.process.clock.Now())
 	if released {
 		s.process.loop.Post(func() { s.store(fingerprint, true) })
@@ -310,25 +310,25 @@
 
 // findingChange is a request with a new finding.
 type findingChange struct {
-	fingerprint quarantine.Print
+	fingerprint quarantine.Fingerprint
 	// remote is set if the finding does not result from a crash seen by this process, released
 	// if the request may run again.
 	remote, released bool
 }
 
 // Blamed implements quarantine.Observer.
-func (o *quarantineObserver) Blamed(r *quarantine.Record, e quarantine.End, remote bool) {
+func (o *quarantineObserver) CrashAttributed(r *quarantine.Record, e quarantine.Crash, remote bool) {
 	log, event := o.logger, "request_blamed"
 	if remote {
 		log, event = o.routineLogger, "request_blame_told"
 	}
 	o.metrics.Blamed(remote)
-	if !remote && len(r.Ends) == 2 {
+	if !remote && len(r.Crashes) == 2 {
 		o.mu.Lock()
 		o.secondCrash = true
 		o.mu.Unlock()
 	}
-	log.Info(event, "print", r.Print, "ends", len(r.Ends), "step", e.Step, "target_id", uint32(e.Target), "workspace", r.Workspace, "route", r.Route, "generation", r.Generation)
+	log.Info(event, "print", r.Fingerprint, "ends", len(r.Crashes), "step", e.Step, "target_id", uint32(e.Target), "workspace", r.Workspace, "route", r.Route, "generation", r.Generation)
 }
 
 // findingEvents are the log events of findings.
@@ -337,14 +337,14 @@
 // Judged implements quarantine.Observer. The record is stored when the request is first
 // held, not when it is refused a moment later, so that a restart of all entries in between
 // does not lose it.
-func (o *quarantineObserver) Judged(r *quarantine.Record, before, now quarantine.Finding, remote bool) {
-	o.logger.Info(findingEvents[now], "print", r.Print, "ends", len(r.Ends), "served", r.Served, "workspace", r.Workspace, "route", r.Route, "told", remote)
+func (o *quarantineObserver) FindingChanged(r *quarantine.Record, before, now quarantine.Finding, remote bool) {
+	o.logger.Info(findingEvents[now], "print", r.Fingerprint, "ends", len(r.Crashes), "served", r.Served, "workspace", r.Workspace, "route", r.Route, "told", remote)
 	if before == quarantine.MustWait && now == quarantine.MustNotRun {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.changes = append(o.changes, findingChange{r.Print, remote, now == 0})
+	o.changes = append(o.changes, findingChange{r.Fingerprint, remote, now == 0})
 }
 
 // takeChanges returns the new findings since the last call.
@@ -368,25 +368,25 @@
 
 // Cleared implements quarantine.Observer.
 func (o *quarantineObserver) Cleared(r *quarantine.Record) {
-	o.routineLogger.Info("request_cleared", "print", r.Print, "ends", len(r.Ends), "served", r.Served)
+	o.routineLogger.Info("request_cleared", "print", r.Fingerprint, "ends", len(r.Crashes), "served", r.Served)
 }
 
 // Released implements quarantine.Observer.
 func (o *quarantineObserver) Released(r *quarantine.Record, remote bool) {
-	o.logger.Info("request_released", "print", r.Print, "told", remote, "generation", r.Generation, "workspace", r.Workspace, "route", r.Route)
+	o.logger.Info("request_released", "print", r.Fingerprint, "told", remote, "generation", r.Generation, "workspace", r.Workspace, "route", r.Route)
 }
 
 // Probation implements quarantine.Observer. The run is stored before it can crash its
 // target, so that it is not repeated after a restart of all entries.
-func (o *quarantineObserver) Probation(r *quarantine.Record) {
-	o.logger.Info("request_on_probation", "print", r.Print, "ends", len(r.Ends), "probations", r.Probations, "pardoned", r.Pardoned, "workspace", r.Workspace, "route", r.Route)
+func (o *quarantineObserver) ProbationStarted(r *quarantine.Record) {
+	o.logger.Info("request_on_probation", "print", r.Fingerprint, "ends", len(r.Crashes), "probations", r.Probations, "pardoned", r.PardonedProbations, "workspace", r.Workspace, "route", r.Route)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.changes = append(o.changes, findingChange{fingerprint: r.Print})
+	o.changes = append(o.changes, findingChange{fingerprint: r.Fingerprint})
 }
 
 // Evicted implements quarantine.Observer.
 func (o *quarantineObserver) Evicted(r *quarantine.Record) {
 	o.metrics.SuspectEvicted()
-	o.routineLogger.Info("suspect_evicted", "print", r.Print, "ends", len(r.Ends))
+	o.routineLogger.Info("suspect_evicted", "print", r.Fingerprint, "ends", len(r.Crashes))
 }
--- a/internal/gateway/reach/reach.go
+++ b/internal/gateway/reach/reach.go
@@ -27,25 +27,25 @@
 
 // Book holds what this host has heard of others lately. It is safe for
 // concurrent use. All times are of one clock.
-type Book struct {
+type Monitor struct {
 	heard, answered, failed atomic.Int64
 }
 
 // Heard notes word of an engine's sidecar. Other entries do not count: two of them
 // may be cut off together.
-func (b *Book) Heard(now time.Time) { b.heard.Store(now.UnixNano()) }
+func (b *Monitor) HeartbeatReceived(now time.Time) { b.heard.Store(now.UnixNano()) }
 
 // Answered notes that an engine has answered.
-func (b *Book) Answered(now time.Time) { b.answered.Store(now.UnixNano()) }
+func (b *Monitor) EngineResponded(now time.Time) { b.answered.Store(now.UnixNano()) }
 
 // Failed notes that an engine could not be connected to.
-func (b *Book) Failed(now time.Time) { b.failed.Store(now.UnixNano()) }
+func (b *Monitor) ConnectFailed(now time.Time) { b.failed.Store(now.UnixNano()) }
 
 // CutOff reports whether the host reaches no engine: no sidecar was heard
 // lately, and no engine has answered since the newest connection that failed was
 // begun. Either alone is not enough: heartbeats may be lost, and a single engine may
 // be dark.
-func (b *Book) CutOff(now time.Time) bool {
+func (b *Monitor) Partitioned(now time.Time) bool {
 	heard, failed := b.heard.Load(), b.failed.Load()
 	if heard == 0 || failed-b.answered.Load() <= int64(attempt) {
 		return false
--- a/internal/gateway/readtime/pace.go
+++ b/internal/gateway/readtime/pace.go
@@ -42,17 +42,17 @@
 // Paces holds by how much each engine is slower than predicted. Engines of one
 // service differ in speed, and one that is ill may be slower by far while its
 // health is good. It is safe for concurrent use.
-type Paces struct {
+type Slowdowns struct {
 	mu  sync.Mutex
-	all map[fleet.Life]pace
+	all map[fleet.Incarnation]pace
 }
 
 // NewPaces returns paces of which nothing is known.
-func NewPaces() *Paces { return &Paces{all: map[fleet.Life]pace{}} }
+func NewSlowdowns() *Slowdowns { return &Slowdowns{all: map[fleet.Incarnation]pace{}} }
 
 // Note takes in how long the first event of a request took at an engine, and how
 // long was expected.
-func (p *Paces) Note(life fleet.Life, took, expected time.Duration, now time.Time) {
+func (p *Slowdowns) Record(life fleet.Incarnation, took, expected time.Duration, now time.Time) {
 	if expected < minExpected {
 		return
 	}
@@ -69,7 +69,7 @@
 	p.all[life] = pace{factor: factor + paceSmoothing*(seen-factor), at: now}
 }
 
-func (p *Paces) sweep(now time.Time) {
+func (p *Slowdowns) sweep(now time.Time) {
 	for life, one := range p.all {
 		if now.Sub(one.at) > paceForget {
 			delete(p.all, life)
@@ -78,7 +78,7 @@
 }
 
 // Of returns by how much an engine is slower than predicted.
-func (p *Paces) Of(life fleet.Life, now time.Time) float64 {
+func (p *Slowdowns) Factor(life fleet.Incarnation, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	one, known := p.all[life]
--- a/internal/gateway/readtime/readtime.go
+++ b/internal/gateway/readtime/readtime.go
@@ -31,7 +31,7 @@
 )
 
 // Meter is safe for concurrent use.
-type Meter struct {
+type Predictor struct {
 	mu sync.Mutex
 	// weights of the fixed part, of thousands of tokens, and of their square.
 	weights [terms]float64
@@ -39,8 +39,8 @@
 }
 
 // New returns a meter that has measured nothing.
-func New() *Meter {
-	m := &Meter{weights: [terms]float64{firstFixed, firstThousand, firstSquare}}
+func NewPredictor() *Predictor {
+	m := &Predictor{weights: [terms]float64{firstFixed, firstThousand, firstSquare}}
 	for i := range terms {
 		m.spread[i][i] = trust
 	}
@@ -55,7 +55,7 @@
 // Note takes in how long an engine took to read a prompt that met no others. Long
 // prompts are measured with larger errors and weigh less by their length, so
 // that the relative error counts.
-func (m *Meter) Note(tokens int, took time.Duration) {
+func (m *Predictor) Record(tokens int, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x := features(tokens)
@@ -78,7 +78,7 @@
 	m.shrink(gain, scale)
 }
 
-func (m *Meter) shrink(gain [terms]float64, scale float64) {
+func (m *Predictor) shrink(gain [terms]float64, scale float64) {
 	for i := range terms {
 		for j := range terms {
 			m.spread[i][j] = (m.spread[i][j] - gain[i]*gain[j]/scale) / forget
@@ -87,7 +87,7 @@
 	}
 }
 
-func (m *Meter) predict(x [terms]float64) float64 {
+func (m *Predictor) predict(x [terms]float64) float64 {
 	sum := 0.0
 	for i := range terms {
 		sum += m.weights[i] * x[i]
@@ -96,7 +96,7 @@
 }
 
 // Of predicts how long an engine takes to read so many tokens.
-func (m *Meter) Of(tokens int) time.Duration {
+func (m *Predictor) PrefillTime(tokens int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x := features(tokens)
@@ -106,9 +106,9 @@
 
 // Occupies predicts for how long the reading of so many tokens holds up other prompts:
 // the fixed part passes while others are read.
-func (m *Meter) Occupies(tokens int) time.Duration {
+func (m *Predictor) BlockingTime(tokens int) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
-	return max(m.Of(tokens)-m.Of(1), 0)
+	return max(m.PrefillTime(tokens)-m.PrefillTime(1), 0)
 }
--- a/internal/gateway/readtime/readtime_test.go
+++ b/internal/gateway/readtime/readtime_test.go
@@ -18,14 +18,14 @@
 // are predicted within a tenth, after some dozens.
 func TestMeterLearnsBothTerms(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	m := New()
+	m := NewPredictor()
 	for range 80 {
 		n := int(math.Exp(r.NormFloat64()*1.2 + 8))
 		noise := 1 + 0.1*r.NormFloat64()
-		m.Note(n, time.Duration(engineMs(n)*noise*float64(time.Millisecond)))
+		m.Record(n, time.Duration(engineMs(n)*noise*float64(time.Millisecond)))
 	}
 	for _, n := range []int{1000, 5000, 20_000, 40_000} {
-		got := float64(m.Of(n)) / float64(time.Millisecond)
+		got := float64(m.PrefillTime(n)) / float64(time.Millisecond)
 		if want := engineMs(n); math.Abs(got-want) > 0.15*want {
 			t.Errorf("%d tokens: %.0f ms, want %.0f", n, got, want)
 		}
@@ -34,11 +34,11 @@
 
 // A few measurements that are far off leave predictions within bounds.
 func TestPredictionsStayWithinBounds(t *testing.T) {
-	m := New()
+	m := NewPredictor()
 	for _, took := range []time.Duration{0, time.Hour, time.Nanosecond} {
-		m.Note(2000, took)
+		m.Record(2000, took)
 		for _, n := range []int{0, 10, 1000, 100_000} {
-			if got := m.Of(n); got < 0 || got > time.Duration(slowest*max(float64(n)/1000, 1))*time.Millisecond {
+			if got := m.PrefillTime(n); got < 0 || got > time.Duration(slowest*max(float64(n)/1000, 1))*time.Millisecond {
 				t.Errorf("%d tokens after %v: %v", n, took, got)
 			}
 		}
--- a/internal/gateway/replicas.go
+++ b/internal/gateway/replicas.go
@@ -21,7 +21,7 @@
 }
 
 func (c *clusterState) position(name string, f *feed.Follower, digest uint64) *peerv1.TopicPosition {
-	current, at := c.currentAt(name), f.Copy().Position()
+	current, at := c.currentAt(name), f.Replica().Position()
 	return &peerv1.TopicPosition{
 		Topic: name, End: at.End, SeenFrom: at.SeenFrom, DropEnd: at.DropEnd, AgeMs: uint32(c.clock.Now().Sub(current).Milliseconds()),
 		Unknown: current.IsZero(), Digest: digest,
@@ -32,11 +32,11 @@
 // declarations returns with the first new record, so the declarations are complete as long
 // as the store answers other reads.
 func (c *clusterState) currentAt(topic string) time.Time {
-	targetsAt := c.targets.Copy().CurrentAt()
+	targetsAt := c.targets.Replica().CurrentAt()
 	if topic == topicTargets {
 		return targetsAt
 	}
-	at := c.declarations.Copy().CurrentAt()
+	at := c.declarations.Replica().CurrentAt()
 	if c.longPollsDeclarations() && !at.IsZero() && targetsAt.After(at) {
 		return targetsAt
 	}
@@ -45,7 +45,7 @@
 
 // onHeartbeat compares a peer's replicas with this process's and fetches missing records.
 func (c *clusterState) onHeartbeat(m *mesh.Member) {
-	for _, p := range m.Beat.Topics {
+	for _, p := range m.Heartbeat.Topics {
 		if p.Unknown {
 			c.announceReplica(m, p.Topic)
 			continue
@@ -61,7 +61,7 @@
 // compareReplica marks a replica as current if it matches the peer's, or fetches the
 // records that only the peer has.
 func (c *clusterState) compareReplica(peer netip.AddrPort, f *feed.Follower, p *peerv1.TopicPosition) {
-	replica := f.Copy()
+	replica := f.Replica()
 	at := c.clock.Now().Add(-time.Duration(p.AgeMs) * time.Millisecond)
 	peerPosition := feed.Position{End: p.End, SeenFrom: p.SeenFrom, DropEnd: p.DropEnd}
 	same := p.End == replica.End()
@@ -70,7 +70,7 @@
 	}
 	switch {
 	case same && replica.End() > 0 && replica.CoveredBy(peerPosition):
-		replica.Confirm(at)
+		replica.MarkCurrent(at)
 	case !same && p.End > replica.End():
 		c.fetchFromPeer(peer, p.Topic, f)
 	}
@@ -80,11 +80,11 @@
 // fetches this process's replica and does not read the store.
 func (c *clusterState) announceReplica(m *mesh.Member, topic string) {
 	f := c.follower(topic)
-	if f == nil || f.Copy().CurrentAt().IsZero() || c.replicaAnnouncedTo[m.Address] == m.Incarnation {
+	if f == nil || f.Replica().CurrentAt().IsZero() || c.replicaAnnouncedTo[m.Address] == m.Incarnation {
 		return
 	}
 	c.replicaAnnouncedTo[m.Address] = m.Incarnation
-	c.mesh.TellMember(m.Address, func(*peerv1.Beat) {})
+	c.mesh.SendTo(m.Address, func(*peerv1.Beat) {})
 }
 
 func (c *clusterState) follower(topic string) *feed.Follower {
@@ -110,29 +110,29 @@
 		return
 	}
 	c.fetching[topic], c.fetchedAt[topic] = true, now
-	offset := f.Copy().End()
+	offset := f.Replica().End()
 	const timeout = 800 * time.Millisecond
-	control.Do(c.loop, timeout, func(ctx context.Context) (mesh.Answer, error) {
+	control.Do(c.loop, timeout, func(ctx context.Context) (mesh.TopicPage, error) {
 		return mesh.Fetch(ctx, c.peers, from, topic, offset)
-	}, func(a mesh.Answer, err error) {
+	}, func(a mesh.TopicPage, err error) {
 		c.fetching[topic] = false
 		if err != nil {
 			c.logger.Info("fetch_failed", "topic", topic, "peer", from, "error", err.Error())
 			return
 		}
 		if a.End > 0 {
-			f.Adopt(a.Page, offset, c.clock.Now().Add(-a.Age))
+			f.ApplyPage(a.Page, offset, c.clock.Now().Add(-a.Age))
 		}
 	})
 }
 
 // topicPage serves a peer's fetch.
-func (c *clusterState) topicPage(topic string, from uint64) (mesh.Answer, bool) {
+func (c *clusterState) topicPage(topic string, from uint64) (mesh.TopicPage, bool) {
 	f := c.follower(topic)
-	if f == nil || f.Copy().CurrentAt().IsZero() {
-		return mesh.Answer{}, false
+	if f == nil || f.Replica().CurrentAt().IsZero() {
+		return mesh.TopicPage{}, false
 	}
-	return mesh.Answer{
-		Page: f.Copy().Since(from), Age: c.clock.Now().Sub(c.currentAt(topic)),
+	return mesh.TopicPage{
+		Page: f.Replica().PageFrom(from), Age: c.clock.Now().Sub(c.currentAt(topic)),
 	}, true
 }
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -32,7 +32,7 @@
 	address    netip.AddrPort
 	controller *weights.Controller
 	// incarnation, report and phase are the engine's state as last reported by the controller.
-	incarnation fleet.Life
+	incarnation fleet.Incarnation
 	report      weights.Report
 	phase       weights.Phase
 	known       bool
@@ -45,15 +45,15 @@
 
 func newSidecar(p *process) *sidecar {
 	s := &sidecar{process: p, state: p.state, address: netip.MustParseAddrPort(p.settings.Engine)}
-	s.controller = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Surroundings{
-		Wanted: s.wantedWeights, HealthPath: s.healthPath, Engines: s.engineViews, Unheard: s.state.large.Load, Changed: s.engineChanged,
-		Token: func() (uint64, bool) { return s.token, s.token > 0 },
-		Fresh: func() bool { p.clock.Check(); return p.clock.SinceWoken() > resumeSettleTime },
+	s.controller = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Environment{
+		Wanted: s.wantedWeights, HealthPath: s.healthPath, Engines: s.engineViews, PartialView: s.state.large.Load, OnChange: s.engineChanged,
+		Token:    func() (uint64, bool) { return s.token, s.token > 0 },
+		UpToDate: func() bool { p.clock.Check(); return p.clock.SinceResume() > resumeSettleTime },
 	}, weights.Options{
-		Holder: p.settings.Name, Bound: p.settings.Bounds.MaxStaleness.Duration, Logger: p.logger, Now: p.clock.Now,
-		Ordered: func(o weights.Outcome) { p.metrics.Order(o.String()) },
+		Holder: p.settings.Name, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration, Logger: p.logger, Now: p.clock.Now,
+		OnOutcome: func(o weights.Outcome) { p.metrics.Order(o.String()) },
 	})
-	p.state.onViewChange = s.controller.Nudge
+	p.state.onViewChange = s.controller.Trigger
 	s.caches = newCacheFollowers(p)
 	s.tracker = tracker.New(p.clock.Now)
 	return s
@@ -62,8 +62,8 @@
 // wantedWeights returns the wantedWeights weights. It returns none while the engine may be leaving, since
 // a load would invalidate the responses of its last requests.
 func (s *sidecar) wantedWeights() map[string]weights.History {
-	report := fleet.Living{Life: s.incarnation, Address: s.address, BeganAfter: s.controller.BeganAfter()}
-	if state := s.state; !state.directory.Stays(state.isDeclared, &report, state.syncState(state.clock.Now()), state.clock.Now()) {
+	report := fleet.Report{Incarnation: s.incarnation, Address: s.address, StartedAfter: s.controller.StartedAfter()}
+	if state := s.state; !state.directory.Active(state.isDeclared, &report, state.syncState(state.clock.Now()), state.clock.Now()) {
 		return nil
 	}
 	return s.state.wantedWeights
@@ -129,12 +129,12 @@
 	now := s.process.clock.Now()
 	var all []weights.EngineView
 	for _, t := range s.state.targetsOf(s.engineService()) {
-		v := weights.EngineView{Life: t.Life, Version: t.Weights[model], Age: unknownAge}
-		if report, ok := s.state.engineReports[t.Life]; ok {
-			v.Version, v.Age = report.Weights[model], now.Sub(report.HeardAt)
+		v := weights.EngineView{Incarnation: t.Incarnation, Version: t.Weights[model], Age: unknownAge}
+		if report, ok := s.state.engineReports[t.Incarnation]; ok {
+			v.Version, v.Age = report.Weights[model], now.Sub(report.ReceivedAt)
 			v.Phase, v.PhaseAge = report.Phase, now.Sub(report.PhaseSince)
 		}
-		if t.Life == s.incarnation {
+		if t.Incarnation == s.incarnation {
 			v.Version, v.Phase, v.Age = s.report.Weights[model], s.phase, 0
 		}
 		all = append(all, v)
@@ -143,7 +143,7 @@
 }
 
 func (s *sidecar) engineService() string {
-	if t, ok := s.state.directory.At(s.state.isDeclared, s.address); ok {
+	if t, ok := s.state.directory.ByAddress(s.state.isDeclared, s.address); ok {
 		return t.Service
 	}
 	return s.process.settings.Service
@@ -151,7 +151,7 @@
 
 // engineChanged stores the engine's latest state. It broadcasts a heartbeat if the
 // incarnation, the phase or the weights have changed.
-func (s *sidecar) engineChanged(incarnation fleet.Life, report weights.Report, phase weights.Phase) {
+func (s *sidecar) engineChanged(incarnation fleet.Incarnation, report weights.Report, phase weights.Phase) {
 	changed := !s.known || phase != s.phase || incarnation != s.incarnation
 	for model, version := range report.Weights {
 		if s.report.Weights[model] != version {
@@ -160,33 +160,33 @@
 	}
 	s.caches.followEngine(s.address, incarnation)
 	s.incarnation, s.report, s.phase, s.known = incarnation, report, phase, true
-	s.tracker.Set(tracker.State{
-		Life: incarnation, Weights: report.Weights, Phase: phase, ReportedAt: report.At,
+	s.tracker.SetState(tracker.State{
+		Incarnation: incarnation, Weights: report.Weights, Phase: phase, ReportedAt: report.ReceivedAt,
 	})
 	if changed && !s.state.large.Load() {
-		s.state.mesh.Tell()
+		s.state.mesh.Broadcast()
 	}
 }
 
 // compose adds the engine's state to a heartbeat.
 func (s *sidecar) compose(heartbeat *peerv1.Beat) {
-	if !s.known || s.incarnation.Instance == "" && s.phase != weights.Silent {
+	if !s.known || s.incarnation.Instance == "" && s.phase != weights.Unresponsive {
 		return
 	}
 	e := &peerv1.EngineState{
-		Instance: s.incarnation.Instance, Born: s.incarnation.Born, Service: s.engineService(), Address: s.address.String(), Phase: peerv1.EnginePhase_ENGINE_PHASE_SERVING,
+		Instance: s.incarnation.Instance, Born: s.incarnation.StartedMs, Service: s.engineService(), Address: s.address.String(), Phase: peerv1.EnginePhase_ENGINE_PHASE_SERVING,
 		Running: uint32(s.report.Running), Queued: uint32(s.report.Queued),
 		MemoryUsed: uint32(s.report.MemoryUsed), MemoryTotal: uint32(s.report.MemoryTotal),
 	}
 	switch s.phase {
 	case weights.Loading:
 		e.Phase = peerv1.EnginePhase_ENGINE_PHASE_LOADING
-	case weights.Emptying:
+	case weights.Draining:
 		e.Phase = peerv1.EnginePhase_ENGINE_PHASE_EMPTYING
-	case weights.Silent:
+	case weights.Unresponsive:
 		e.Phase = peerv1.EnginePhase_ENGINE_PHASE_SILENT
 	}
-	if after := s.controller.BeganAfter(); !after.IsZero() {
+	if after := s.controller.StartedAfter(); !after.IsZero() {
 		e.BeganWithinMs = uint64(max(1, s.process.clock.Now().Sub(after).Milliseconds()))
 	}
 	for model, version := range s.report.Weights {
@@ -198,6 +198,6 @@
 func (s *sidecar) onHeartbeat(m *mesh.Member) {
 	s.caches.onHeartbeat(m)
 	if s.state.applyEngineReport(m) {
-		s.controller.Nudge()
+		s.controller.Trigger()
 	}
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -42,7 +42,7 @@
 	p.loop.Post(func() {
 		p.state.stop(shutdownAt)
 		p.state.publishView()
-		p.state.mesh.Tell()
+		p.state.mesh.Broadcast()
 	})
 	if p.callers != nil {
 		sleep.For(ctx, balancerRemoveTime)
@@ -106,7 +106,7 @@
 // or it began to stop later and thus waits for a successor itself.
 func acceptsCallers(m *mesh.Member, stoppingSince, now time.Time) bool {
 	if !m.Leaving {
-		return now.Sub(m.Since) > balancerReaddTime
+		return now.Sub(m.AliveSince) > balancerReaddTime
 	}
-	return m.StopsSince.Sub(stoppingSince) > minStopLag
+	return m.StoppingSince.Sub(stoppingSince) > minStopLag
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -16,7 +16,7 @@
 		start := time.Now()
 		restartedAt := start.Add(time.Second)
 		awaitSuccessor(context.Background(), func() bool {
-			other := &mesh.Member{Leaving: time.Now().Before(restartedAt), StopsSince: start.Add(-time.Second), Since: restartedAt}
+			other := &mesh.Member{Leaving: time.Now().Before(restartedAt), StoppingSince: start.Add(-time.Second), AliveSince: restartedAt}
 			return acceptsCallers(other, start, time.Now())
 		})
 		if took := time.Since(start); took < 2200*time.Millisecond || took > 2400*time.Millisecond {
@@ -48,11 +48,11 @@
 // callers. If both waited for the end of the grace period, they would exit together.
 func TestEntryThatStopsFirstEndsFirst(t *testing.T) {
 	start := time.Unix(1000, 0)
-	later := &mesh.Member{Leaving: true, StopsSince: start.Add(2 * time.Second)}
+	later := &mesh.Member{Leaving: true, StoppingSince: start.Add(2 * time.Second)}
 	if !acceptsCallers(later, start, start.Add(3*time.Second)) {
 		t.Error("the first entry does not accept the second as its successor")
 	}
-	first := &mesh.Member{Leaving: true, StopsSince: start}
+	first := &mesh.Member{Leaving: true, StoppingSince: start}
 	if acceptsCallers(first, start.Add(2*time.Second), start.Add(3*time.Second)) {
 		t.Error("the second entry accepts the first, which is exiting, as its successor")
 	}
--- a/internal/gateway/syncstate.go
+++ b/internal/gateway/syncstate.go
@@ -8,31 +8,31 @@
 )
 
 // syncState returns how completely this process has followed the target list.
-func (c *clusterState) syncState(now time.Time) fleet.Following {
-	replica := c.targets.Copy()
-	f := fleet.Following{
-		Started: c.startedAt, Since: replica.FollowedSince(), OutageBegan: replica.OutageBegin(), OutageEnded: replica.OutageEnd(),
+func (c *clusterState) syncState(now time.Time) fleet.SyncState {
+	replica := c.targets.Replica()
+	f := fleet.SyncState{
+		StartedAt: c.startedAt, CompleteSince: replica.CompleteSince(), OutageBegan: replica.OutageBegin(), OutageEnded: replica.OutageEnd(),
 		Current: now.Sub(replica.CurrentAt()) <= c.targetsReadAge()+outageGap,
 	}
 	if first := replica.FirstCurrentAt(); first.Sub(c.startedAt) > outageGap {
-		f.Started = first // the store was unavailable at startup
+		f.StartedAt = first // the store was unavailable at startup
 	}
 	return f
 }
 
 // logOutage logs the end of a store outage, during which records of live targets may have
 // expired.
-func (c *clusterState) logOutage(f fleet.Following) {
+func (c *clusterState) logOutage(f fleet.SyncState) {
 	if f.OutageEnded.After(c.loggedOutageEnd) {
-		c.logger.Info("list_regained", "without_for", f.OutageEnded.Sub(f.OutageBegan), "end", c.targets.Copy().End())
+		c.logger.Info("list_regained", "without_for", f.OutageEnded.Sub(f.OutageBegan), "end", c.targets.Replica().End())
 	}
 	c.loggedOutageEnd = f.OutageEnded
 }
 
 // logUnlisted logs reported incarnations that are missing from the target list when their
 // state changes. Nothing is logged before the first replica of the list.
-func (c *clusterState) logUnlisted(v *view.View, unlisted map[fleet.Life]fleet.Standing) {
-	if c.targets.Copy().FollowedSince().IsZero() {
+func (c *clusterState) logUnlisted(v *view.View, unlisted map[fleet.Incarnation]fleet.UnlistedState) {
+	if c.targets.Replica().CompleteSince().IsZero() {
 		return
 	}
 	for incarnation, state := range unlisted {
@@ -40,8 +40,8 @@
 			continue
 		}
 		report := v.Engines[incarnation]
-		c.logger.Info("target_unlisted", "target", incarnation, "outcome", state.String(), "began_within", c.age(report.BeganAfter), "word_age", c.age(report.HeardAt),
-			"list_age", c.age(v.ListedAt), "list_followed_for", c.age(c.targets.Copy().FollowedSince()), "started", c.age(c.startedAt))
+		c.logger.Info("target_unlisted", "target", incarnation, "outcome", state.String(), "began_within", c.age(report.StartedAfter), "word_age", c.age(report.ReceivedAt),
+			"list_age", c.age(v.TargetsCurrentAt), "list_followed_for", c.age(c.targets.Replica().CompleteSince()), "started", c.age(c.startedAt))
 	}
 	c.unlisted = unlisted
 }
@@ -55,11 +55,11 @@
 }
 
 // reportedTargets converts the sidecars' reports.
-func reportedTargets(reports map[fleet.Life]view.EngineWord) []fleet.Living {
-	all := make([]fleet.Living, 0, len(reports))
+func reportedTargets(reports map[fleet.Incarnation]view.EngineReport) []fleet.Report {
+	all := make([]fleet.Report, 0, len(reports))
 	for incarnation, r := range reports {
-		all = append(all, fleet.Living{
-			Life: incarnation, Service: r.Service, Address: r.Address, Zone: r.Zone, Weights: r.Weights, BeganAfter: r.BeganAfter, HeardAt: r.HeardAt,
+		all = append(all, fleet.Report{
+			Incarnation: incarnation, Service: r.Service, Address: r.Address, Zone: r.Zone, Weights: r.Weights, StartedAfter: r.StartedAfter, ReceivedAt: r.ReceivedAt,
 		})
 	}
 	return all
@@ -67,7 +67,7 @@
 
 // listedAt returns the time at which the replica of the target list was current.
 func (c *clusterState) listedAt() time.Time {
-	if at := c.targets.Copy().CurrentAt(); !at.IsZero() {
+	if at := c.targets.Replica().CurrentAt(); !at.IsZero() {
 		return at
 	}
 	return c.clock.Now()
--- a/internal/gateway/tracker/elsewhere.go
+++ b/internal/gateway/tracker/elsewhere.go
@@ -58,7 +58,7 @@
 	if old != nil {
 		delete(e.byID, old.id)
 	}
-	saved := s.Saved || old != nil && old.saved && old.wasRead && now.Sub(old.at) < savedFor
+	saved := s.Offloaded || old != nil && old.saved && old.wasRead && now.Sub(old.at) < savedFor
 	e.families[family] = &reading{id: id, holder: s.Holder, saved: saved, at: now}
 	e.byID[id] = family
 }
@@ -70,7 +70,7 @@
 	}
 	one := e.families[family]
 	switch {
-	case p.Read:
+	case p.PrefillDone:
 		one.wasRead, one.at = true, now
 	case p.Ended && !one.wasRead:
 		e.drop(family) // it failed before it was read
@@ -78,20 +78,20 @@
 }
 
 // lookUp adds what is known of a family to an answer.
-func (e *elsewhere) lookUp(family parts.Key, a *probe.Answer, now time.Time) {
+func (e *elsewhere) lookUp(family parts.Key, a *probe.Response, now time.Time) {
 	one := e.families[family]
 	if one == nil {
 		return
 	}
 	age := now.Sub(one.at)
 	if !one.wasRead {
-		a.Coming = a.Coming || age < comingElsewhere
+		a.PrefillInProgress = a.PrefillInProgress || age < comingElsewhere
 		return
 	}
 	if age < heldElsewhere {
 		a.Holder = one.holder
 	}
-	a.Saved = a.Saved || one.saved && age < savedFor
+	a.Offloaded = a.Offloaded || one.saved && age < savedFor
 }
 
 func (e *elsewhere) drop(family parts.Key) {
--- a/internal/gateway/tracker/queue.go
+++ b/internal/gateway/tracker/queue.go
@@ -61,14 +61,14 @@
 		if s.wasRead {
 			continue
 		}
-		w.Reading[s.urgency] += s.reads
+		w.Prefill[s.urgency] += s.reads
 		if head == nil || s.before(head) {
 			head = s
 		}
 	}
 	if head != nil {
-		w.Reading[head.urgency] -= head.reads
-		w.Reading[0] += head.remaining(freeAt, now)
+		w.Prefill[head.urgency] -= head.reads
+		w.Prefill[0] += head.remaining(freeAt, now)
 	}
 	return w
 }
@@ -79,7 +79,7 @@
 // arrivals averages the share of its time for which an engine is given prompts to read,
 // by their urgency.
 type arrivals struct {
-	share [ledger.Urgencies]float64
+	share [ledger.Priorities]float64
 	at    time.Time
 }
 
@@ -97,9 +97,9 @@
 }
 
 // thousandths returns the shares as they are told.
-func (a *arrivals) thousandths(now time.Time) ledger.Lanes[int] {
+func (a *arrivals) thousandths(now time.Time) ledger.PerPriority[int] {
 	a.decay(now)
-	var all ledger.Lanes[int]
+	var all ledger.PerPriority[int]
 	for u, share := range a.share {
 		all[u] = int(1000 * share)
 	}
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -38,9 +38,9 @@
 
 // State is what the engine's controller knows of it.
 type State struct {
-	Life    fleet.Life
-	Weights map[string]int64
-	Phase   weights.Phase
+	Incarnation fleet.Incarnation
+	Weights     map[string]int64
+	Phase       weights.Phase
 	// ReportedAt is when the engine last reported.
 	ReportedAt time.Time
 }
@@ -52,9 +52,9 @@
 	mu     sync.Mutex
 	known  bool
 	state  State
-	book   *parts.Book
-	paces  *readtime.Paces
-	health *health.Book
+	book   *parts.Index
+	paces  *readtime.Slowdowns
+	health *health.Monitor
 	sends  map[probe.SendID]*send
 	// elsewhere is where other engines read the families of which this one is the first.
 	elsewhere *elsewhere
@@ -67,61 +67,61 @@
 // New returns a tracker of an engine of which nothing is known.
 func New(now func() time.Time) *Tracker {
 	return &Tracker{
-		now: now, book: parts.NewBook(), paces: readtime.NewPaces(),
-		health: health.NewBook(nil), sends: map[probe.SendID]*send{}, elsewhere: newElsewhere(),
+		now: now, book: parts.NewIndex(), paces: readtime.NewSlowdowns(),
+		health: health.NewMonitor(nil), sends: map[probe.SendID]*send{}, elsewhere: newElsewhere(),
 	}
 }
 
 // Set takes in what the engine's controller knows. What was sent to an earlier life of
 // the engine ended with it; one that does not answer for a moment keeps its life.
-func (t *Tracker) Set(s State) {
+func (t *Tracker) SetState(s State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s.Life.Instance == "" {
-		s.Life = t.state.Life
+	if s.Incarnation.Instance == "" {
+		s.Incarnation = t.state.Incarnation
 	}
-	if t.known && s.Life != t.state.Life && t.state.Life.Instance != "" {
+	if t.known && s.Incarnation != t.state.Incarnation && t.state.Incarnation.Instance != "" {
 		t.forget()
 	}
 	t.known, t.state = true, s
 }
 
 func (t *Tracker) forget() {
-	t.book, t.paces = parts.NewBook(), readtime.NewPaces()
+	t.book, t.paces = parts.NewIndex(), readtime.NewSlowdowns()
 	clear(t.sends)
 }
 
 // Learn takes in that the engine's cache holds so many tokens of a part now.
-func (t *Tracker) Learn(k parts.Key, tokens int) {
+func (t *Tracker) SetCached(k parts.Key, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.book.Learn(t.id(), k, tokens, t.now())
+	t.book.RecordReport(t.id(), k, tokens, t.now())
 }
 
 // id is the engine's short name. The caller holds mu.
-func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Life.String()) }
+func (t *Tracker) id() fleet.ID { return fleet.IDOf(t.state.Incarnation.String()) }
 
 // Probe implements probe.Engine.
-func (t *Tracker) Probe(p probe.Prompt) (probe.Answer, bool) {
+func (t *Tracker) Probe(p probe.Prompt) (probe.Response, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	if !t.known {
-		return probe.Answer{}, false
+		return probe.Response{}, false
 	}
 	t.sweep(now)
-	a := probe.Answer{
-		Life: t.state.Life, Weights: t.state.Weights, Phase: t.state.Phase,
-		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), Arriving: t.arriving.thousandths(now), Pace: t.paces.Of(t.state.Life, now), ReportAge: now.Sub(t.state.ReportedAt),
+	a := probe.Response{
+		Incarnation: t.state.Incarnation, WeightVersions: t.state.Weights, Phase: t.state.Phase,
+		Work: workOf(slices.Collect(maps.Values(t.sends)), t.freeAt, now), OfferedLoad: t.arriving.thousandths(now), Slowdown: t.paces.Factor(t.state.Incarnation, now), ReportAge: now.Sub(t.state.ReportedAt),
 	}
-	_, a.Ill = t.health.Rested(now)[t.state.Life]
+	_, a.Unhealthy = t.health.Ejected(now)[t.state.Incarnation]
 	t.lookUp(p, &a, now)
 	return a, true
 }
 
 // lookUp fills in what the engine holds or reads of a prompt's shared parts, at the
 // weights that it has. The caller holds mu.
-func (t *Tracker) lookUp(p probe.Prompt, a *probe.Answer, now time.Time) {
+func (t *Tracker) lookUp(p probe.Prompt, a *probe.Response, now time.Time) {
 	keys := keysOf(p, t.state.Weights[p.Model])
 	if len(keys) == 0 {
 		return
@@ -129,21 +129,21 @@
 	id := t.id()
 	for _, held := range t.book.Prefixes(keys, p.Parts[:len(keys)], keptFor, now) {
 		if held.Target == id {
-			a.Held = held.Tokens
+			a.CachedTokens = held.Tokens
 		}
 	}
 	for i, k := range keys {
-		if t.book.At(k, p.Parts[i].Tokens, id, now) == parts.Coming {
-			a.Coming = true
+		if t.book.StateAt(k, p.Parts[i].Tokens, id, now) == parts.InProgress {
+			a.PrefillInProgress = true
 		}
 	}
 	last := len(keys) - 1
-	a.Saved = t.book.At(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Held
+	a.Offloaded = t.book.StateAt(keys[last], p.Parts[last].Tokens, theStore, now) == parts.Cached
 	t.elsewhere.lookUp(keys[last], a, now)
 }
 
 func keysOf(p probe.Prompt, version int64) []parts.Key {
-	scope := parts.Scope(p.Model, version, p.Isolated)
+	scope := parts.Scope(p.Model, version, p.IsolatedWorkspace)
 	n := min(len(p.Parts), mostParts)
 	keys := make([]parts.Key, 0, n)
 	for _, part := range p.Parts[:n] {
@@ -153,7 +153,7 @@
 }
 
 // Sent implements probe.Engine.
-func (t *Tracker) Sent(id probe.SendID, s probe.Send) {
+func (t *Tracker) OnSend(id probe.SendID, s probe.Send) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -162,22 +162,22 @@
 		return
 	}
 	if s.Holder.IsValid() {
-		t.elsewhere.sent(id, keysOf(s.Prompt, s.Weights), s, now)
+		t.elsewhere.sent(id, keysOf(s.Prompt, s.WeightVersion), s, now)
 		return
 	}
 	one := &send{
-		urgency: s.Urgency, reads: s.Read, memory: s.Memory, keys: keysOf(s.Prompt, s.Weights), saved: s.Saved,
+		urgency: s.Priority, reads: s.PrefillTime, memory: s.Memory, keys: keysOf(s.Prompt, s.WeightVersion), saved: s.Offloaded,
 		begunAt: now, endsAt: now.Add(s.Lifetime),
 	}
 	t.sends[id] = one
 	t.arriving.add(one.urgency, one.reads, now)
-	t.book.Note(t.id(), one.keys, false, now)
-	t.book.DropFresh() // nobody else is told
+	t.book.Record(t.id(), one.keys, false, now)
+	t.book.DropUpdates() // nobody else is told
 }
 
 // Progressed implements probe.Engine. The failure guarded against is a word that comes
 // late or twice: it finds no send of its name.
-func (t *Tracker) Progressed(id probe.SendID, p probe.Progress) {
+func (t *Tracker) OnProgress(id probe.SendID, p probe.Progress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -186,18 +186,18 @@
 		t.elsewhere.progressed(id, p, now)
 		return
 	}
-	if p.Read {
+	if p.PrefillDone {
 		one.wasRead, t.freeAt = true, now
-		t.book.Note(t.id(), one.keys, true, now)
+		t.book.Record(t.id(), one.keys, true, now)
 		if one.saved {
-			t.book.Note(theStore, one.keys, true, now)
+			t.book.Record(theStore, one.keys, true, now)
 		}
-		t.book.DropFresh()
-		t.paces.Note(t.state.Life, p.Took, p.Expected, now)
+		t.book.DropUpdates()
+		t.paces.Record(t.state.Incarnation, p.Latency, p.ExpectedLatency, now)
 	}
 	if p.Ended {
 		delete(t.sends, id)
-		t.health.Note("", t.state.Life, p.Outcome, now)
+		t.health.Record("", t.state.Incarnation, p.Outcome, now)
 	}
 }
 
