--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -25,7 +25,7 @@
 func newBench() *bench {
 	b := &bench{at: start}
 	b.Tracker = New(func() time.Time { return b.at })
-	b.Set(State{Life: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	b.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
 	return b
 }
 
@@ -33,18 +33,18 @@
 
 func (b *bench) send(s probe.Send) probe.SendID {
 	b.number++
-	id := probe.SendID{Entry: netip.MustParseAddrPort("10.0.0.1:5000"), Number: b.number}
+	id := probe.SendID{Entry: netip.MustParseAddrPort("10.0.0.1:5000"), Sequence: b.number}
 	if s.Lifetime == 0 {
 		s.Lifetime = 10 * time.Second
 	}
-	if s.Weights == 0 {
-		s.Weights = 1
+	if s.WeightVersion == 0 {
+		s.WeightVersion = 1
 	}
-	b.Sent(id, s)
+	b.OnSend(id, s)
 	return id
 }
 
-func (b *bench) probe(t *testing.T, p probe.Prompt) probe.Answer {
+func (b *bench) probe(t *testing.T, p probe.Prompt) probe.Response {
 	t.Helper()
 	a, ok := b.Probe(p)
 	if !ok {
@@ -68,17 +68,17 @@
 func TestUrgentPromptIsNotExpectedBehindLongOnes(t *testing.T) {
 	b := newBench()
 	for range 6 {
-		b.send(probe.Send{Urgency: 1, Read: 180 * time.Millisecond})
+		b.send(probe.Send{Priority: 1, PrefillTime: 180 * time.Millisecond})
 	}
 	for range 4 {
-		b.send(probe.Send{Urgency: 0, Read: 36 * time.Millisecond})
+		b.send(probe.Send{Priority: 0, PrefillTime: 36 * time.Millisecond})
 	}
 	b.pass(200 * time.Millisecond)
 	work := b.probe(t, promptOf()).Work
-	if urgent := work.Reading.UpTo(0); urgent > 150*time.Millisecond {
+	if urgent := work.Prefill.UpTo(0); urgent > 150*time.Millisecond {
 		t.Errorf("an urgent prompt would wait for %v", urgent)
 	}
-	if all := work.Reading.UpTo(1); all < 6*180*time.Millisecond {
+	if all := work.Prefill.UpTo(1); all < 6*180*time.Millisecond {
 		t.Errorf("a long prompt would wait for %v only", all)
 	}
 }
@@ -88,19 +88,19 @@
 // was expected.
 func TestOnlyThePromptBeingReadShrinks(t *testing.T) {
 	b := newBench()
-	first := b.send(probe.Send{Urgency: 1, Read: 100 * time.Millisecond})
-	b.send(probe.Send{Urgency: 1, Read: 100 * time.Millisecond})
+	first := b.send(probe.Send{Priority: 1, PrefillTime: 100 * time.Millisecond})
+	b.send(probe.Send{Priority: 1, PrefillTime: 100 * time.Millisecond})
 	b.pass(60 * time.Millisecond)
-	if got := b.probe(t, promptOf()).Work.Reading.All(); got != 140*time.Millisecond {
+	if got := b.probe(t, promptOf()).Work.Prefill.Total(); got != 140*time.Millisecond {
 		t.Errorf("%v are left, want 140ms", got)
 	}
 	b.pass(400 * time.Millisecond)
-	if got := b.probe(t, promptOf()).Work.Reading.All(); got != 115*time.Millisecond {
+	if got := b.probe(t, promptOf()).Work.Prefill.Total(); got != 115*time.Millisecond {
 		t.Errorf("%v are left of a prompt that takes longer than expected and of one behind it, want 115ms", got)
 	}
-	b.Progressed(first, probe.Progress{Read: true})
+	b.OnProgress(first, probe.Progress{PrefillDone: true})
 	b.pass(30 * time.Millisecond)
-	if got := b.probe(t, promptOf()).Work.Reading.All(); got != 70*time.Millisecond {
+	if got := b.probe(t, promptOf()).Work.Prefill.Total(); got != 70*time.Millisecond {
 		t.Errorf("%v are left of the second, want 70ms", got)
 	}
 }
@@ -110,17 +110,17 @@
 func TestArrivalsAreToldByUrgency(t *testing.T) {
 	b := newBench()
 	for range 100 {
-		id := b.send(probe.Send{Urgency: 0, Read: 40 * time.Millisecond})
+		id := b.send(probe.Send{Priority: 0, PrefillTime: 40 * time.Millisecond})
 		b.pass(100 * time.Millisecond)
-		b.Progressed(id, probe.Progress{Read: true})
-		b.Progressed(id, probe.Progress{Ended: true})
+		b.OnProgress(id, probe.Progress{PrefillDone: true})
+		b.OnProgress(id, probe.Progress{Ended: true})
 	}
-	arriving := b.probe(t, promptOf()).Arriving
+	arriving := b.probe(t, promptOf()).OfferedLoad
 	if got := arriving.UpTo(0); got < 350 || got > 450 {
 		t.Errorf("urgent prompts take %d thousandths of its time, want some 400", got)
 	}
 	b.pass(5 * arrivalsWindow)
-	if got := b.probe(t, promptOf()).Arriving.All(); got > 10 {
+	if got := b.probe(t, promptOf()).OfferedLoad.Total(); got > 10 {
 		t.Errorf("%d thousandths long after the last one", got)
 	}
 }
@@ -129,12 +129,12 @@
 // or the engine would seem full.
 func TestSendsWithoutAnEndAreForgotten(t *testing.T) {
 	b := newBench()
-	b.send(probe.Send{Read: time.Second, Memory: 5000, Lifetime: 3 * time.Second})
-	if got := b.probe(t, promptOf()).Work; got.Running != 1 || got.Memory.All() != 5000 {
+	b.send(probe.Send{PrefillTime: time.Second, Memory: 5000, Lifetime: 3 * time.Second})
+	if got := b.probe(t, promptOf()).Work; got.Running != 1 || got.Memory.Total() != 5000 {
 		t.Fatalf("work %+v", got)
 	}
 	b.pass(4 * time.Second)
-	if got := b.probe(t, promptOf()).Work; got.Running != 0 || got.Memory.All() != 0 {
+	if got := b.probe(t, promptOf()).Work; got.Running != 0 || got.Memory.Total() != 0 {
 		t.Errorf("work %+v after its lifetime", got)
 	}
 }
@@ -143,15 +143,15 @@
 // and held, has ended with it.
 func TestNewLifeOfTheEngineBeginsEmpty(t *testing.T) {
 	b := newBench()
-	id := b.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
-	b.Progressed(id, probe.Progress{Read: true})
-	b.Learn(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
-	b.Set(State{Life: fleet.Life{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
-	if a := b.probe(t, promptOf("a")); a.Work.Running != 0 || a.Held != 0 || a.Life.Instance != "i-2" {
+	id := b.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
+	b.OnProgress(id, probe.Progress{PrefillDone: true})
+	b.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
+	b.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	if a := b.probe(t, promptOf("a")); a.Work.Running != 0 || a.CachedTokens != 0 || a.Incarnation.Instance != "i-2" {
 		t.Errorf("answer %+v", a)
 	}
-	b.Progressed(id, probe.Progress{Ended: true, Outcome: health.Failed})
-	if a := b.probe(t, promptOf("b")); a.Held != 0 || a.Ill {
+	b.OnProgress(id, probe.Progress{Ended: true, Outcome: health.Failed})
+	if a := b.probe(t, promptOf("b")); a.CachedTokens != 0 || a.Unhealthy {
 		t.Errorf("answer %+v after a late word", a)
 	}
 }
@@ -161,22 +161,22 @@
 // other weights share nothing.
 func TestPartsAreComingThenHeldThenAsTheCacheSays(t *testing.T) {
 	b := newBench()
-	id := b.send(probe.Send{Prompt: promptOf("a", "b"), Read: 100 * time.Millisecond})
-	if a := b.probe(t, promptOf("a", "b")); !a.Coming || a.Held != 0 {
-		t.Errorf("while it is read: coming %v, held %d", a.Coming, a.Held)
+	id := b.send(probe.Send{Prompt: promptOf("a", "b"), PrefillTime: 100 * time.Millisecond})
+	if a := b.probe(t, promptOf("a", "b")); !a.PrefillInProgress || a.CachedTokens != 0 {
+		t.Errorf("while it is read: coming %v, held %d", a.PrefillInProgress, a.CachedTokens)
 	}
-	b.Progressed(id, probe.Progress{Read: true})
-	if a := b.probe(t, promptOf("a", "c")); a.Coming || a.Held != 1000 {
-		t.Errorf("afterwards: coming %v, held %d", a.Coming, a.Held)
+	b.OnProgress(id, probe.Progress{PrefillDone: true})
+	if a := b.probe(t, promptOf("a", "c")); a.PrefillInProgress || a.CachedTokens != 1000 {
+		t.Errorf("afterwards: coming %v, held %d", a.PrefillInProgress, a.CachedTokens)
 	}
 	b.pass(time.Second)
-	b.Learn(parts.KeyOf(parts.Scope("m", 1, ""), "a"), 0)
-	if a := b.probe(t, promptOf("a", "b")); a.Held != 0 {
-		t.Errorf("%d held of a prompt whose beginning was dropped", a.Held)
+	b.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "a"), 0)
+	if a := b.probe(t, promptOf("a", "b")); a.CachedTokens != 0 {
+		t.Errorf("%d held of a prompt whose beginning was dropped", a.CachedTokens)
 	}
-	b.Set(State{Life: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: b.at})
-	if a := b.probe(t, promptOf("b")); a.Held != 0 {
-		t.Errorf("%d held that were made by other weights", a.Held)
+	b.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 2}, ReportedAt: b.at})
+	if a := b.probe(t, promptOf("b")); a.CachedTokens != 0 {
+		t.Errorf("%d held that were made by other weights", a.CachedTokens)
 	}
 }
 
@@ -186,20 +186,20 @@
 func TestFirstEngineKnowsWhereItsFamilyIsRead(t *testing.T) {
 	b := newBench()
 	other := netip.MustParseAddrPort("10.0.0.9:8000")
-	id := b.send(probe.Send{Prompt: promptOf("a", "b"), Holder: other, Saved: true})
-	if a := b.probe(t, promptOf("a", "b")); !a.Coming || a.Holder.IsValid() || a.Work.Running != 0 {
+	id := b.send(probe.Send{Prompt: promptOf("a", "b"), Holder: other, Offloaded: true})
+	if a := b.probe(t, promptOf("a", "b")); !a.PrefillInProgress || a.Holder.IsValid() || a.Work.Running != 0 {
 		t.Errorf("while it is read elsewhere: %+v", a)
 	}
-	b.Progressed(id, probe.Progress{Read: true})
-	if a := b.probe(t, promptOf("a", "b")); a.Holder != other || !a.Saved || a.Coming {
+	b.OnProgress(id, probe.Progress{PrefillDone: true})
+	if a := b.probe(t, promptOf("a", "b")); a.Holder != other || !a.Offloaded || a.PrefillInProgress {
 		t.Errorf("afterwards: %+v", a)
 	}
 	b.pass(heldElsewhere)
-	if a := b.probe(t, promptOf("a", "b")); a.Holder.IsValid() || !a.Saved {
+	if a := b.probe(t, promptOf("a", "b")); a.Holder.IsValid() || !a.Offloaded {
 		t.Errorf("once that cache may have dropped it: %+v", a)
 	}
 	b.pass(savedFor)
-	if a := b.probe(t, promptOf("a", "b")); a.Saved {
+	if a := b.probe(t, promptOf("a", "b")); a.Offloaded {
 		t.Error("the store is believed to hold it for ever")
 	}
 }
@@ -209,8 +209,8 @@
 func TestReadingElsewhereThatFailedIsNotAwaited(t *testing.T) {
 	b := newBench()
 	id := b.send(probe.Send{Prompt: promptOf("a"), Holder: netip.MustParseAddrPort("10.0.0.9:8000")})
-	b.Progressed(id, probe.Progress{Ended: true, Outcome: health.Broken})
-	if a := b.probe(t, promptOf("a")); a.Coming || a.Holder.IsValid() {
+	b.OnProgress(id, probe.Progress{Ended: true, Outcome: health.Broken})
+	if a := b.probe(t, promptOf("a")); a.PrefillInProgress || a.Holder.IsValid() {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -219,7 +219,7 @@
 func TestElsewhereIsBounded(t *testing.T) {
 	e := newElsewhere()
 	for i := range 3 * mostElsewhere {
-		e.sent(probe.SendID{Number: uint32(i)}, []parts.Key{parts.Key(i)}, probe.Send{}, start)
+		e.sent(probe.SendID{Sequence: uint32(i)}, []parts.Key{parts.Key(i)}, probe.Send{}, start)
 	}
 	if len(e.families) > mostElsewhere || len(e.byID) > mostElsewhere {
 		t.Errorf("%d families, %d sends", len(e.families), len(e.byID))
@@ -231,17 +231,17 @@
 func TestSlowAndFailingEngineIsTold(t *testing.T) {
 	b := newBench()
 	for range 20 {
-		id := b.send(probe.Send{Read: 50 * time.Millisecond})
-		b.Progressed(id, probe.Progress{Read: true, Took: 400 * time.Millisecond, Expected: 100 * time.Millisecond})
-		b.Progressed(id, probe.Progress{Ended: true})
+		id := b.send(probe.Send{PrefillTime: 50 * time.Millisecond})
+		b.OnProgress(id, probe.Progress{PrefillDone: true, Latency: 400 * time.Millisecond, ExpectedLatency: 100 * time.Millisecond})
+		b.OnProgress(id, probe.Progress{Ended: true})
 	}
-	if a := b.probe(t, promptOf()); a.Pace < 2 || a.Ill {
-		t.Errorf("pace %.1f, ill %v", a.Pace, a.Ill)
+	if a := b.probe(t, promptOf()); a.Slowdown < 2 || a.Unhealthy {
+		t.Errorf("pace %.1f, ill %v", a.Slowdown, a.Unhealthy)
 	}
 	for range 10 {
-		b.Progressed(b.send(probe.Send{}), probe.Progress{Ended: true, Outcome: health.Failed})
+		b.OnProgress(b.send(probe.Send{}), probe.Progress{Ended: true, Outcome: health.Failed})
 	}
-	if a := b.probe(t, promptOf()); !a.Ill {
+	if a := b.probe(t, promptOf()); !a.Unhealthy {
 		t.Error("an engine that fails all is not told")
 	}
 }
@@ -250,13 +250,13 @@
 // the same engine afterwards: what it was sent and holds is still known.
 func TestEngineThatWasHeldUpKeepsWhatIsKnown(t *testing.T) {
 	b := newBench()
-	b.send(probe.Send{Prompt: promptOf("a"), Read: time.Second})
-	b.Set(State{Phase: weights.Silent, Weights: map[string]int64{"m": 1}})
-	if a := b.probe(t, promptOf()); a.Phase != weights.Silent || a.Work.Running != 1 {
+	b.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
+	b.SetState(State{Phase: weights.Unresponsive, Weights: map[string]int64{"m": 1}})
+	if a := b.probe(t, promptOf()); a.Phase != weights.Unresponsive || a.Work.Running != 1 {
 		t.Errorf("while it is silent: %+v", a)
 	}
-	b.Set(State{Life: fleet.Life{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
-	if a := b.probe(t, promptOf("a")); a.Work.Running != 1 || !a.Coming {
+	b.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: b.at})
+	if a := b.probe(t, promptOf("a")); a.Work.Running != 1 || !a.PrefillInProgress {
 		t.Errorf("afterwards: %+v", a)
 	}
 }
@@ -265,7 +265,7 @@
 func BenchmarkProbe(b *testing.B) {
 	t := newBench()
 	for i := range 60 {
-		t.send(probe.Send{Prompt: promptOf("a", string(rune('b'+i%20))), Urgency: i % 4, Read: 50 * time.Millisecond, Memory: 3000})
+		t.send(probe.Send{Prompt: promptOf("a", string(rune('b'+i%20))), Priority: i % 4, PrefillTime: 50 * time.Millisecond, Memory: 3000})
 	}
 	p := promptOf("a", "c")
 	b.ReportAllocs()
@@ -281,8 +281,8 @@
 	p := promptOf("a", "c")
 	b.ReportAllocs()
 	for b.Loop() {
-		id := t.send(probe.Send{Prompt: p, Urgency: 1, Read: 50 * time.Millisecond, Memory: 3000})
-		t.Progressed(id, probe.Progress{Read: true})
-		t.Progressed(id, probe.Progress{Ended: true})
+		id := t.send(probe.Send{Prompt: p, Priority: 1, PrefillTime: 50 * time.Millisecond, Memory: 3000})
+		t.OnProgress(id, probe.Progress{PrefillDone: true})
+		t.OnProgress(id, probe.Progress{Ended: true})
 	}
 }
--- a/internal/gateway/upstream/pool.go
+++ b/internal/gateway/upstream/pool.go
@@ -122,7 +122,7 @@
 
 // LimitIdle notes how long a target says that it keeps idle connections. Half
 // of it is used: the target's clock and the way there take their part.
-func (p *Pool) LimitIdle(address netip.AddrPort, timeout time.Duration) {
+func (p *Pool) SetIdleLimit(address netip.AddrPort, timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits[address] = timeout / 2
@@ -149,7 +149,7 @@
 //
 // The failure guarded against: a process that ends closes its connections and its listener
 // one after the other. A connection that is made in between is closed a moment later.
-func (p *Pool) Refuses(ctx context.Context, address netip.AddrPort) bool {
+func (p *Pool) RefusesConnections(ctx context.Context, address netip.AddrPort) bool {
 	for range refuseTries {
 		c, err := p.dial(ctx, address)
 		if err != nil {
--- a/internal/gateway/upstream/pool_test.go
+++ b/internal/gateway/upstream/pool_test.go
@@ -49,8 +49,8 @@
 func send(t *testing.T, p *Pool, to netip.AddrPort, id string) (string, error) {
 	t.Helper()
 	resp, err := p.Send(t.Context(), to, &Request{
-		Method: http.MethodPost, Target: "/a%2Fb?x=1", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte("body"),
-		Mine: func(_ int, h http.Header) bool { return h.Get("Id") == id },
+		Method: http.MethodPost, RequestURI: "/a%2Fb?x=1", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte("body"),
+		Matches: func(_ int, h http.Header) bool { return h.Get("Id") == id },
 	})
 	if err != nil {
 		return "", err
@@ -153,7 +153,7 @@
 	})
 	p := NewPool(func() {})
 	defer p.CloseIdle()
-	if _, err := send(t, p, to, "1"); !errors.Is(err, ErrForeign) {
+	if _, err := send(t, p, to, "1"); !errors.Is(err, ErrUnmatchedResponse) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -190,7 +190,7 @@
 			l.Close()
 		}()
 		p := NewPool(func() {})
-		if got := p.Refuses(t.Context(), address); got != c.want {
+		if got := p.RefusesConnections(t.Context(), address); got != c.want {
 			t.Errorf("%s: refuses %v", c.story, got)
 		}
 		l.Close()
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -28,7 +28,7 @@
 
 // ErrForeign says that a connection brought something that is no answer to its
 // request.
-var ErrForeign = errors.New("not the answer to this request")
+var ErrUnmatchedResponse = errors.New("not the answer to this request")
 
 const (
 	// dialTimeout bounds a new connection, which takes a few milliseconds. Hosts
@@ -51,15 +51,15 @@
 type Request struct {
 	Method string
 	// Target is the request target as the caller sent it.
-	Target string
-	Host   string
-	Header http.Header
-	Body   []byte
+	RequestURI string
+	Host       string
+	Header     http.Header
+	Body       []byte
 	// Fresh asks for a connection that has not been idle for long, for requests
 	// that cannot be repeated: a target may have dropped an idle one.
-	Fresh bool
+	FreshConn bool
 	// Mine reports whether a response answers this request.
-	Mine func(status int, h http.Header) bool
+	Matches func(status int, h http.Header) bool
 }
 
 // Response is a target's answer. Close it in any case.
@@ -67,14 +67,14 @@
 	Status int
 	Header http.Header
 	// Length of the body; -1 when the target does not say.
-	Length int64
+	ContentLength int64
 	// Unframed answers end with their connection.
-	Unframed bool
-	conn     *conn
-	raw      *http.Response
-	whole    bool
-	written  <-chan error
-	stop     func() bool
+	CloseDelimited bool
+	conn           *conn
+	raw            *http.Response
+	whole          bool
+	written        <-chan error
+	stop           func() bool
 }
 
 // Read implements io.Reader. It fails when the answer is cut off.
@@ -87,14 +87,14 @@
 }
 
 // Whole reports whether the body was read to its end.
-func (r *Response) Whole() bool { return r.whole }
+func (r *Response) Complete() bool { return r.whole }
 
 // Close ends the exchange. The connection is kept when the answer was read to
 // its end and nothing is left on it; otherwise it is closed, which makes the
 // target drop the request.
 func (r *Response) Close() {
 	stopped := r.stop()
-	if stopped && r.whole && !r.raw.Close && !r.Unframed && r.bodyWritten() && r.conn.reader.Buffered() == 0 {
+	if stopped && r.whole && !r.raw.Close && !r.CloseDelimited && r.bodyWritten() && r.conn.reader.Buffered() == 0 {
 		r.conn.pool.put(r.conn)
 		return
 	}
@@ -116,7 +116,7 @@
 // Send sends a request to an address and returns the answer's head. When the
 // context ends the connection is closed, also while the body is read.
 func (p *Pool) Send(ctx context.Context, address netip.AddrPort, req *Request) (*Response, error) {
-	c, err := p.get(ctx, address, req.Fresh)
+	c, err := p.get(ctx, address, req.FreshConn)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
 	}
@@ -132,9 +132,9 @@
 		return nil, err
 	}
 	return &Response{
-		Status: raw.StatusCode, Header: raw.Header, Length: raw.ContentLength,
-		Unframed: raw.ContentLength < 0 && !chunked(raw) && bodyAllowed(req.Method, raw.StatusCode),
-		raw:      raw, conn: c, written: written, stop: stop,
+		Status: raw.StatusCode, Header: raw.Header, ContentLength: raw.ContentLength,
+		CloseDelimited: raw.ContentLength < 0 && !chunked(raw) && bodyAllowed(req.Method, raw.StatusCode),
+		raw:            raw, conn: c, written: written, stop: stop,
 	}, nil
 }
 
@@ -166,7 +166,7 @@
 func encodeHead(req *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(bufferSize)
-	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
+	b.WriteString(req.Method + " " + req.RequestURI + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
 	_ = req.Header.Write(&b)
 	if len(req.Body) > 0 || req.Method == http.MethodPost || req.Method == http.MethodPut || req.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
@@ -184,15 +184,15 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "read answer")
 		}
-		if req.Mine(raw.StatusCode, raw.Header) {
+		if req.Matches(raw.StatusCode, raw.Header) {
 			return raw, nil
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(raw.Body, maxForeignBody))
 		if err != nil || n == maxForeignBody || raw.Close {
-			return nil, errors.Wrapf(ErrForeign, "status %d", raw.StatusCode)
+			return nil, errors.Wrapf(ErrUnmatchedResponse, "status %d", raw.StatusCode)
 		}
 	}
-	return nil, errors.Wrap(ErrForeign, "too many answers to other requests")
+	return nil, errors.Wrap(ErrUnmatchedResponse, "too many answers to other requests")
 }
 
 // readFinal passes over informational responses.
--- a/internal/gateway/weights/remote.go
+++ b/internal/gateway/weights/remote.go
@@ -12,8 +12,8 @@
 )
 
 // Remote is an engine without a sidecar, as the platform's list shows it.
-type Remote struct {
-	fleet.Life
+type RemoteEngine struct {
+	fleet.Incarnation
 	Engine Engine
 	// Versions of its models.
 	Versions map[string]int64
@@ -48,16 +48,16 @@
 	logger   logr.Logger
 	now      func() time.Time
 	ordered  func(Outcome)
-	progress map[fleet.Life]*progress
+	progress map[fleet.Incarnation]*progress
 }
 
 // NewRemoteController returns a controller whose orders name a holder. ordered counts them.
 func NewRemoteController(loop *control.Loop, holder string, logger logr.Logger, now func() time.Time, ordered func(Outcome)) *RemoteController {
-	return &RemoteController{loop: loop, holder: holder, logger: logger, now: now, ordered: ordered, progress: map[fleet.Life]*progress{}}
+	return &RemoteController{loop: loop, holder: holder, logger: logger, now: now, ordered: ordered, progress: map[fleet.Incarnation]*progress{}}
 }
 
 // Behind reports whether an engine lacks a wanted version, as far as is known.
-func (c *RemoteController) Behind(engines []Remote, model string, wanted int64) bool {
+func (c *RemoteController) AnyStale(engines []RemoteEngine, model string, wanted int64) bool {
 	for i := range engines {
 		if c.lacks(&engines[i], model, wanted) {
 			return true
@@ -66,9 +66,9 @@
 	return false
 }
 
-func (c *RemoteController) lacks(e *Remote, model string, wanted int64) bool {
+func (c *RemoteController) lacks(e *RemoteEngine, model string, wanted int64) bool {
 	have, serves := e.Versions[model]
-	if p := c.progress[e.Life]; p != nil {
+	if p := c.progress[e.Incarnation]; p != nil {
 		have = max(have, p.version)
 	}
 	return serves && have < wanted
@@ -76,25 +76,25 @@
 
 // Step gives the orders that are due for a model: to as many engines as may load at once,
 // in the order of their turns.
-func (c *RemoteController) Step(engines []Remote, model string, wanted int64, token uint64) {
+func (c *RemoteController) Step(engines []RemoteEngine, model string, wanted int64, token uint64) {
 	c.forget()
-	places := Parallel(len(engines)) - c.underWay()
+	places := MaxParallelLoads(len(engines)) - c.underWay()
 	views := make([]EngineView, len(engines))
-	byLife := map[fleet.Life]*Remote{}
+	byLife := map[fleet.Incarnation]*RemoteEngine{}
 	for i := range engines {
-		views[i] = EngineView{Life: engines[i].Life}
-		byLife[engines[i].Life] = &engines[i]
+		views[i] = EngineView{Incarnation: engines[i].Incarnation}
+		byLife[engines[i].Incarnation] = &engines[i]
 	}
-	for _, v := range c.failedLast(Turns(views, wanted)) {
-		e := byLife[v.Life]
+	for _, v := range c.failedLast(RolloutOrder(views, wanted)) {
+		e := byLife[v.Incarnation]
 		if places <= 0 {
 			return
 		}
-		if c.waits(e.Life) || !c.lacks(e, model, wanted) {
+		if c.waits(e.Incarnation) || !c.lacks(e, model, wanted) {
 			continue
 		}
 		places--
-		c.begin(e, Order{Model: model, Version: wanted, Swap: SwapUnderRuns, Holder: c.holder, Token: token, Life: e.Life})
+		c.begin(e, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.holder, Token: token, Incarnation: e.Incarnation})
 	}
 }
 
@@ -102,11 +102,11 @@
 // failure guarded against: those whose turn comes first do not answer, and take all
 // places again and again while the others wait.
 func (c *RemoteController) failedLast(turns []EngineView) []EngineView {
-	slices.SortStableFunc(turns, func(a, b EngineView) int { return c.failures(a.Life) - c.failures(b.Life) })
+	slices.SortStableFunc(turns, func(a, b EngineView) int { return c.failures(a.Incarnation) - c.failures(b.Incarnation) })
 	return turns
 }
 
-func (c *RemoteController) failures(life fleet.Life) int {
+func (c *RemoteController) failures(life fleet.Incarnation) int {
 	if p := c.progress[life]; p != nil && p.failed {
 		return 1
 	}
@@ -114,7 +114,7 @@
 }
 
 // waits reports whether an engine's order is under way, or its next one is not due.
-func (c *RemoteController) waits(life fleet.Life) bool {
+func (c *RemoteController) waits(life fleet.Incarnation) bool {
 	p := c.progress[life]
 	return p != nil && (p.ordering || p.loading || p.failed && c.now().Before(p.notAfter))
 }
@@ -145,12 +145,12 @@
 
 // begin asks the engine for its count of orders and gives it the next one. The count makes
 // an order harmless that is carried out late: a newer one was accepted before.
-func (c *RemoteController) begin(e *Remote, o Order) {
+func (c *RemoteController) begin(e *RemoteEngine, o LoadRequest) {
 	p := &progress{ordering: true}
-	if old := c.progress[e.Life]; old != nil {
+	if old := c.progress[e.Incarnation]; old != nil {
 		p.version, p.failed = old.version, old.failed
 	}
-	c.progress[e.Life] = p
+	c.progress[e.Incarnation] = p
 	type result struct {
 		report  Report
 		outcome Outcome
@@ -161,27 +161,27 @@
 			return result{}, err
 		}
 		if report.Weights[o.Model] >= o.Version {
-			return result{report: report, outcome: Holds}, nil
+			return result{report: report, outcome: AlreadyLoaded}, nil
 		}
-		o.Orders = report.Orders
+		o.ExpectedLoads = report.AcceptedLoads
 		outcome, err := e.Engine.Load(ctx, o)
 		return result{report: report, outcome: outcome}, err
 	}, func(r result, err error) { c.take(o, p, r.outcome, err) })
 }
 
-func (c *RemoteController) take(o Order, p *progress, outcome Outcome, err error) {
+func (c *RemoteController) take(o LoadRequest, p *progress, outcome Outcome, err error) {
 	c.ordered(outcome)
 	detail := ""
 	if err != nil {
 		detail = err.Error()
 	}
-	c.logger.Info("weights_ordered", "model", o.Model, "version", o.Version, "token", o.Token, "target", o.Life,
-		"orders", o.Orders, "outcome", outcome.String(), "error", detail, "sidecar", false)
+	c.logger.Info("weights_ordered", "model", o.Model, "version", o.Version, "token", o.Token, "target", o.Incarnation,
+		"orders", o.ExpectedLoads, "outcome", outcome.String(), "error", detail, "sidecar", false)
 	p.ordering = false
 	switch outcome {
 	case Accepted:
 		p.loading, p.failed, p.version, p.notAfter = true, false, o.Version, c.now().Add(remoteLoadTime)
-	case Holds:
+	case AlreadyLoaded:
 		p.failed, p.version, p.notAfter = false, o.Version, c.now()
 	default:
 		p.failed, p.notAfter = true, c.now().Add(remoteRetry)
--- a/internal/gateway/wire/wire.go
+++ b/internal/gateway/wire/wire.go
@@ -31,17 +31,17 @@
 	// Sized is set when the request states them.
 	PromptTokens int
 	MaxTokens    int
-	Sized        bool
+	HasSizes     bool
 	// Parts of the prompt in their order; the last belongs to the request or its
 	// session alone.
 	Parts []Part
 	// LastEvent is the event after which a stream is to go on; empty for a new
 	// one.
-	LastEvent string
+	LastEventID string
 }
 
 // Send is what the system says to a target of one send.
-type Send struct {
+type Attempt struct {
 	// TimeLeft is after how long the target stops work.
 	TimeLeft time.Duration
 	// Instance is the only target that may run it.
@@ -50,7 +50,7 @@
 	Workspace string
 	// Urgency ranks requests that wait at an engine; 0 is first. Below zero it
 	// is left out.
-	Urgency int
+	Priority int
 	// CacheScope separates cached parts: a part is only found under the scope it
 	// was stored under. Empty is left out.
 	CacheScope string
@@ -62,11 +62,11 @@
 	FetchFrom string
 	// SaveTo is the address of a store that the parts are sent to once they are
 	// read; empty for none.
-	SaveTo string
+	OffloadTo string
 	// LastEvent is the event after which the stream goes on; empty for a new one.
-	LastEvent string
+	LastEventID string
 	// Transfer names a copy of a run's memory to go on from; empty for none.
-	Transfer string
+	TransferHandle string
 }
 
 // Reply is what a target says of its answer besides status and body.
@@ -94,7 +94,7 @@
 	// WriteSend returns the headers of one send: the caller's without those that
 	// concern one connection, are secret, or are the system's to set, and with
 	// the system's own.
-	WriteSend(caller http.Header, s Send) http.Header
+	WriteSend(caller http.Header, s Attempt) http.Header
 	// ReadReply decodes a target's headers.
 	ReadReply(status int, h http.Header) Reply
 	// WriteReply copies a target's headers to the caller's answer.
--- a/internal/gateway/wire/wiretest/wiretest.go
+++ b/internal/gateway/wire/wiretest/wiretest.go
@@ -13,22 +13,22 @@
 
 // Header names of the test protocol.
 const (
-	ID        = "Test-Id"
-	TimeLeft  = "Test-Time-Left"
-	Key       = "Test-Key"
-	Workspace = "Test-Workspace"
-	Instance  = "Test-Instance"
-	Model     = "Test-Model"
-	Prompt    = "Test-Prompt"
-	Parts     = "Test-Parts"
-	LastEvent = "Test-Last-Event"
-	Seal      = "Test-Seal"
-	NotRun    = "Test-Not-Run"
-	Scope     = "Test-Scope"
-	Weights   = "Test-Weights"
-	Fetch     = "Test-Fetch"
-	Save      = "Test-Save"
-	Urgency   = "Test-Urgency"
+	ID          = "Test-Id"
+	TimeLeft    = "Test-Time-Left"
+	Key         = "Test-Key"
+	Workspace   = "Test-Workspace"
+	Instance    = "Test-Instance"
+	Model       = "Test-Model"
+	Prompt      = "Test-Prompt"
+	Parts       = "Test-Parts"
+	LastEventID = "Test-Last-Event"
+	Seal        = "Test-Seal"
+	NotRun      = "Test-Not-Run"
+	CacheScope  = "Test-Scope"
+	Weights     = "Test-Weights"
+	FetchFrom   = "Test-Fetch"
+	OffloadTo   = "Test-Save"
+	Priority    = "Test-Urgency"
 )
 
 // Protocol implements wire.Protocol.
@@ -36,7 +36,7 @@
 
 // ReadRequest implements wire.Protocol.
 func (Protocol) ReadRequest(h http.Header) (wire.Request, error) {
-	r := wire.Request{ID: h.Get(ID), Key: h.Get(Key), Model: h.Get(Model), LastEvent: h.Get(LastEvent)}
+	r := wire.Request{ID: h.Get(ID), Key: h.Get(Key), Model: h.Get(Model), LastEventID: h.Get(LastEventID)}
 	if text := h.Get(TimeLeft); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil {
@@ -54,7 +54,7 @@
 }
 
 // WriteSend implements wire.Protocol.
-func (Protocol) WriteSend(caller http.Header, s wire.Send) http.Header {
+func (Protocol) WriteSend(caller http.Header, s wire.Attempt) http.Header {
 	h := http.Header{}
 	for _, name := range []string{ID, Model, Prompt, Parts, "Content-Type"} {
 		if v := caller.Get(name); v != "" {
@@ -69,15 +69,15 @@
 	set(TimeLeft, s.TimeLeft.String())
 	set(Instance, s.Instance)
 	set(Workspace, s.Workspace)
-	set(Scope, s.CacheScope)
-	set(LastEvent, s.LastEvent)
-	set(Fetch, s.FetchFrom)
-	set(Save, s.SaveTo)
+	set(CacheScope, s.CacheScope)
+	set(LastEventID, s.LastEventID)
+	set(FetchFrom, s.FetchFrom)
+	set(OffloadTo, s.OffloadTo)
 	if s.Weights > 0 {
 		set(Weights, strconv.FormatInt(s.Weights, 10))
 	}
-	if s.Urgency >= 0 {
-		set(Urgency, strconv.Itoa(s.Urgency))
+	if s.Priority >= 0 {
+		set(Priority, strconv.Itoa(s.Priority))
 	}
 	return h
 }
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -93,7 +93,7 @@
 // their place: the event is older than what put them there.
 func (x *Index) storeMissing(blocks []uint64) {
 	for _, block := range blocks {
-		b := Short(block)
+		b := ShortHash(block)
 		if _, held := x.places[b]; !held {
 			x.places[b] = x.order.PushFront(b)
 		}
@@ -103,9 +103,9 @@
 
 func (x *Index) drop(blocks []uint64) {
 	for _, block := range blocks {
-		if place, held := x.places[Short(block)]; held {
+		if place, held := x.places[ShortHash(block)]; held {
 			x.order.Remove(place)
-			delete(x.places, Short(block))
+			delete(x.places, ShortHash(block))
 		}
 	}
 }
@@ -121,7 +121,7 @@
 // holds all its blocks now. Leading blocks stay longest, as in the engine. The
 // word of another incarnation than the one known is passed over: it comes late
 // from an earlier life, or the events will tell of a new one.
-func (x *Index) Confirm(incarnation string, blocks []uint64) {
+func (x *Index) AddCached(incarnation string, blocks []uint64) {
 	if x.incarnation == "" {
 		x.incarnation = incarnation
 	}
@@ -129,7 +129,7 @@
 		return
 	}
 	for i := len(blocks) - 1; i >= 0; i-- {
-		b := Short(blocks[i])
+		b := ShortHash(blocks[i])
 		if place, held := x.places[b]; held {
 			x.order.MoveToFront(place)
 			continue
@@ -141,16 +141,16 @@
 
 // Expect counts the blocks of admitted work as held, so that a second request
 // for a prefix that is being computed is not sent elsewhere.
-func (x *Index) Expect(blocks []uint64) {
+func (x *Index) AddInProgress(blocks []uint64) {
 	for _, block := range blocks {
-		x.expected[Short(block)]++
+		x.expected[ShortHash(block)]++
 	}
 }
 
 // Forget takes back what Expect counted, when the work has ended.
-func (x *Index) Forget(blocks []uint64) {
+func (x *Index) RemoveInProgress(blocks []uint64) {
 	for _, block := range blocks {
-		b := Short(block)
+		b := ShortHash(block)
 		if x.expected[b] <= 1 {
 			delete(x.expected, b)
 			continue
@@ -162,7 +162,7 @@
 // Match returns how many leading blocks the engine holds or will hold.
 func (x *Index) Match(blocks []uint64) int {
 	for i, b := range blocks {
-		if !x.holds(Short(b)) {
+		if !x.holds(ShortHash(b)) {
 			return i
 		}
 	}
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -68,7 +68,7 @@
 // Short is the name of a block in probes and in the index. Two of an engine's
 // 57,000 blocks share one once in many thousand lookups; what is believed
 // wrongly then costs time only.
-func Short(block uint64) uint32 { return uint32(block) }
+func ShortHash(block uint64) uint32 { return uint32(block) }
 
 // PointsAt returns the points at numbers of blocks, leaving out those that
 // fall together.
@@ -77,7 +77,7 @@
 	last := 0
 	for _, end := range ends {
 		if end = min(end, len(blocks)); end > last {
-			points = append(points, Point{Short(blocks[end-1]), end * blockTokens})
+			points = append(points, Point{ShortHash(blocks[end-1]), end * blockTokens})
 			last = end
 		}
 	}
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -56,13 +56,13 @@
 func TestIndexForgetsAnEarlierLife(t *testing.T) {
 	x := NewIndex(100)
 	blocks := []uint64{1, 2, 3}
-	x.Confirm("life 1", blocks)
+	x.AddCached("life 1", blocks)
 	x.Apply(page("life 1", 1, external.CacheEvent{Seq: 1, Kind: external.EventStored, Blocks: blocks}))
 	if x.Match(blocks) != 3 {
 		t.Fatal("stored blocks are not held")
 	}
 	x.Apply(page("life 2", 1))
-	x.Confirm("life 1", blocks)
+	x.AddCached("life 1", blocks)
 	if n := x.Match(blocks); n != 0 {
 		t.Fatalf("%d blocks of the earlier life are believed in", n)
 	}
@@ -78,7 +78,7 @@
 			blocks := rapid.SliceOfN(rapid.Uint64Range(1, 30), 1, 6).Draw(rt, "blocks")
 			switch rapid.IntRange(0, 2).Draw(rt, "step") {
 			case 0:
-				x.Confirm("a", blocks)
+				x.AddCached("a", blocks)
 				if x.Match(blocks[:1]) != 1 {
 					rt.Fatalf("a block just confirmed is not held")
 				}
--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -134,7 +134,7 @@
 
 // Ask sends a question and waits for its answer until the context ends. It
 // sets the question's number.
-func (c *Client) Ask(ctx context.Context, to netip.AddrPort, request *peerv1.ProbeRequest) (*peerv1.ProbeResponse, error) {
+func (c *Client) Probe(ctx context.Context, to netip.AddrPort, request *peerv1.ProbeRequest) (*peerv1.ProbeResponse, error) {
 	w := waiter{to: to, answer: make(chan *peerv1.ProbeResponse, 1)}
 	c.mu.Lock()
 	c.nextID++
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -73,7 +73,7 @@
 			defer wg.Done()
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			answer, err := client.Ask(ctx, to, &peerv1.ProbeRequest{PromptTokens: uint32(i)})
+			answer, err := client.Probe(ctx, to, &peerv1.ProbeRequest{PromptTokens: uint32(i)})
 			if err != nil || answer.WaitMs != uint32(i) {
 				t.Errorf("question %d: %v %v", i, answer, err)
 			}
@@ -104,7 +104,7 @@
 	data, _ := proto.Marshal(request)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := client.Ask(context.Background(), to, sample()); err != nil {
+		if _, err := client.Probe(context.Background(), to, sample()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/replay/policies.go
+++ b/internal/replay/policies.go
@@ -220,7 +220,7 @@
 }
 
 // round asks the targets of one round; its answers come back after two hops.
-func (p *Probing) round(r *Replay, j *job, ranking *routing.Ranking, n int, quotes []routing.Quote, chosen func(int)) {
+func (p *Probing) round(r *Replay, j *job, ranking *routing.Ranking, n int, quotes []routing.Estimate, chosen func(int)) {
 	from := 0
 	if n > 0 {
 		from = min(p.Policy.Rounds[n-1], ranking.Len())
@@ -248,7 +248,7 @@
 }
 
 // cheapest is the engine of the quote that a weighing picks, or -1.
-func cheapest(policy *routing.Policy, j *job, quotes []routing.Quote) int {
+func cheapest(policy *routing.Policy, j *job, quotes []routing.Estimate) int {
 	best := policy.Pick(j.class, quotes)
 	if best < 0 {
 		return -1
@@ -257,9 +257,9 @@
 }
 
 // quote asks the real gate.
-func (r *Replay) quote(j *job, i int) routing.Quote {
+func (r *Replay) quote(j *job, i int) routing.Estimate {
 	q, refusal := r.engines[i].gate.Quote(r.question(j))
-	return routing.Quote{Index: i, Wait: q.Wait, Prefill: q.Prefill, Busy: q.Busy, Refused: refusal != nil}
+	return routing.Estimate{Index: i, Wait: q.Wait, Prefill: q.Prefill, Busy: q.Busy, Refused: refusal != nil}
 }
 
 // Oracle knows every engine's cache and queue at the moment of choosing.
@@ -276,7 +276,7 @@
 
 // Choose implements Policy.
 func (p *Oracle) Choose(r *Replay, j *job, chosen func(int)) {
-	quotes := make([]routing.Quote, 0, r.setup.Engines)
+	quotes := make([]routing.Estimate, 0, r.setup.Engines)
 	for i, e := range r.engines {
 		if !r.usable(j, i) || e.dead {
 			continue
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -120,7 +120,7 @@
 	events  schedule
 	engines []*engine
 	targets []routing.Target
-	places  []routing.Place
+	places  []routing.Location
 	random  *rand.Rand
 	seen    map[uint64]struct{}
 	result  *Result
@@ -173,7 +173,7 @@
 		r.targets = append(r.targets, routing.NewTarget("engine", engineName(i), "", zone, "region"))
 	}
 	for i := range setup.Entries {
-		r.places = append(r.places, routing.Place{Zone: zoneName(i % setup.Zones), Region: "region"})
+		r.places = append(r.places, routing.Location{Zone: zoneName(i % setup.Zones), Region: "region"})
 	}
 	setup.Policy.Start(r)
 	return r
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -27,10 +27,10 @@
 const freshShare = 0.3
 
 // NewBudgetOf returns a budget that saves up to most retries.
-func NewBudgetOf(most float64) *Budget { return &Budget{saved: freshShare * most, most: most} }
+func NewBudgetWithLimit(most float64) *Budget { return &Budget{saved: freshShare * most, most: most} }
 
 // SetMost changes how many retries are saved up.
-func (b *Budget) SetMost(most float64) {
+func (b *Budget) SetLimit(most float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.most = most
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -43,7 +43,7 @@
 	Service string
 	Address string
 	// Probe is the same address for datagrams.
-	Probe netip.AddrPort
+	ProbeAddr netip.AddrPort
 	// Zone and Region are where its host stands.
 	Zone   string
 	Region string
@@ -55,12 +55,12 @@
 // NewTarget returns a live target.
 func NewTarget(service, name, address, zone, region string) Target {
 	t := Target{Name: name, Service: service, Address: address, Zone: zone, Region: region, hash: xxhash.Sum64String(name)}
-	t.Probe, _ = netip.ParseAddrPort(address)
+	t.ProbeAddr, _ = netip.ParseAddrPort(address)
 	return t
 }
 
 // Place is where an entry stands.
-type Place struct {
+type Location struct {
 	Zone   string
 	Region string
 }
@@ -137,7 +137,7 @@
 
 // filter finds the best scope that has a target: live ones of the entry's
 // region; if there are none, live ones anywhere; if there are none, suspects.
-func filter(targets []Target, place Place) scope {
+func filter(targets []Target, place Location) scope {
 	best := nobody
 	for i := range targets {
 		switch t := &targets[i]; {
@@ -152,7 +152,7 @@
 	return best
 }
 
-func (s scope) has(t *Target, place Place) bool {
+func (s scope) has(t *Target, place Location) bool {
 	switch s {
 	case liveNear:
 		return t.State == Live && t.Region == place.Region
@@ -194,7 +194,7 @@
 // level but one (the town), which many prompts share. Then come those of the
 // innermost level (the case), over which a family that is hotter than its first
 // targets can bear spreads out; then further ones of the family.
-func Rank(targets []Target, place Place, levels []uint64) Ranking {
+func Rank(targets []Target, place Location, levels []uint64) Ranking {
 	var ranking Ranking
 	allowed := filter(targets, place)
 	if allowed == nobody {
@@ -228,7 +228,7 @@
 }
 
 // Quote is a target's answer to a probe.
-type Quote struct {
+type Estimate struct {
 	// Index of the target.
 	Index int
 	// Wait until the request would reach the engine.
@@ -238,7 +238,7 @@
 	// Busy is the share of recent time that the target spent prefilling.
 	Busy float64
 	// Distance is the time of a round trip.
-	Distance time.Duration
+	RoundTrip time.Duration
 	// Refused is set when the target takes no new work.
 	Refused bool
 }
@@ -249,39 +249,39 @@
 	Rounds []int
 	// WasteFactor is how much a millisecond of recomputing at an idle target
 	// weighs against one of waiting. A class that cannot wait has a lower one.
-	WasteFactor [config.Classes]float64
+	PrefillWeight [config.Classes]float64
 	// BusyPrice and BusyPower say how much dearer recomputing is at a target
 	// that was busy for a part of the time: 1 + BusyPrice*busy^BusyPower times.
 	// There it delays the requests behind and evicts what they would have found.
-	BusyPrice, BusyPower float64
+	BusyPenalty, BusyExponent float64
 	// Content is the wait and Miss the recomputing up to which no further round
 	// is made. A long prefix that the first targets have lost is often still
 	// held by one that was asked while they were busy.
-	Content, Miss time.Duration
+	AcceptableWait, AcceptablePrefill time.Duration
 }
 
 // DefaultPolicy is the policy of entries whose settings name none; see docs/DESIGN.md.
 var DefaultPolicy = Policy{
-	Rounds:      []int{4, 10, 16},
-	WasteFactor: [config.Classes]float64{0.05, 1, 1},
-	BusyPrice:   60,
-	BusyPower:   2,
-	Content:     30 * time.Millisecond,
-	Miss:        150 * time.Millisecond,
+	Rounds:            []int{4, 10, 16},
+	PrefillWeight:     [config.Classes]float64{0.05, 1, 1},
+	BusyPenalty:       60,
+	BusyExponent:      2,
+	AcceptableWait:    30 * time.Millisecond,
+	AcceptablePrefill: 150 * time.Millisecond,
 }
 
 // Cost is what a quote weighs, in nanoseconds of waiting.
-func (p *Policy) Cost(class config.Class, q Quote) float64 {
+func (p *Policy) Cost(class config.Class, q Estimate) float64 {
 	if q.Refused {
 		return math.Inf(1)
 	}
-	price := p.WasteFactor[class] * (1 + p.BusyPrice*math.Pow(q.Busy, p.BusyPower))
-	return float64(q.Wait) + float64(q.Distance) + price*float64(q.Prefill)
+	price := p.PrefillWeight[class] * (1 + p.BusyPenalty*math.Pow(q.Busy, p.BusyExponent))
+	return float64(q.Wait) + float64(q.RoundTrip) + price*float64(q.Prefill)
 }
 
 // Pick returns the position of the cheapest quote, or -1. Of equal ones the
 // first in the ranking wins.
-func (p *Policy) Pick(class config.Class, quotes []Quote) int {
+func (p *Policy) Pick(class config.Class, quotes []Estimate) int {
 	best := -1
 	cost := math.Inf(1)
 	for i, q := range quotes {
@@ -293,7 +293,7 @@
 }
 
 // Satisfied reports whether the quotes so far make another round needless.
-func (p *Policy) Satisfied(class config.Class, quotes []Quote) bool {
+func (p *Policy) Satisfied(class config.Class, quotes []Estimate) bool {
 	best := p.Pick(class, quotes)
-	return best >= 0 && quotes[best].Wait <= p.Content && quotes[best].Prefill <= p.Miss
+	return best >= 0 && quotes[best].Wait <= p.AcceptableWait && quotes[best].Prefill <= p.AcceptablePrefill
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -21,7 +21,7 @@
 	return targets
 }
 
-var place = Place{Zone: "z0", Region: "r0"}
+var place = Location{Zone: "z0", Region: "r0"}
 
 // No target that is leaving is ever ranked; suspects only when no other is
 // left; the entry's own region goes before others.
@@ -85,22 +85,22 @@
 
 func TestPickWeighsWaitAgainstRecomputing(t *testing.T) {
 	p := DefaultPolicy
-	cached := Quote{Index: 0, Wait: 60 * time.Millisecond}
-	idle := Quote{Index: 1, Prefill: 80 * time.Millisecond}
+	cached := Estimate{Index: 0, Wait: 60 * time.Millisecond}
+	idle := Estimate{Index: 1, Prefill: 80 * time.Millisecond}
 	busy := idle
 	busy.Busy = 0.9
 	for _, c := range []struct {
 		name   string
 		class  config.Class
-		quotes []Quote
+		quotes []Estimate
 		want   int
 	}{
-		{"an alert recomputes rather than wait", config.ClassAlert, []Quote{cached, idle}, 1},
-		{"a question waits for the cache", config.ClassInteractive, []Quote{cached, idle}, 0},
-		{"nobody recomputes at a busy target", config.ClassAlert, []Quote{cached, busy}, 0},
-		{"a refused quote is no choice", config.ClassAlert, []Quote{{Refused: true}, cached}, 1},
-		{"all refused", config.ClassAlert, []Quote{{Refused: true}}, -1},
-		{"the first of equal ones", config.ClassBatch, []Quote{cached, cached}, 0},
+		{"an alert recomputes rather than wait", config.ClassAlert, []Estimate{cached, idle}, 1},
+		{"a question waits for the cache", config.ClassInteractive, []Estimate{cached, idle}, 0},
+		{"nobody recomputes at a busy target", config.ClassAlert, []Estimate{cached, busy}, 0},
+		{"a refused quote is no choice", config.ClassAlert, []Estimate{{Refused: true}, cached}, 1},
+		{"all refused", config.ClassAlert, []Estimate{{Refused: true}}, -1},
+		{"the first of equal ones", config.ClassBatch, []Estimate{cached, cached}, 0},
 	} {
 		if got := p.Pick(c.class, c.quotes); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
--- a/internal/sidecar/gate.go
+++ b/internal/sidecar/gate.go
@@ -160,7 +160,7 @@
 	g.lastID++
 	p := &Pass{gate: g, id: g.lastID, work: w, permit: permit, MatchedTokens: matched, Prefill: prefill, expecting: true, Decided: make(chan *errkind.Error, 1)}
 	g.waiters[p.id] = p
-	g.index.Expect(w.Blocks)
+	g.index.AddInProgress(w.Blocks)
 	g.noteBusy()
 	g.deliver(g.queue.Offer(g.now(), admission.Request{
 		ID:        p.id,
@@ -220,7 +220,7 @@
 func (g *Gate) forget(p *Pass) {
 	if p.expecting {
 		p.expecting = false
-		g.index.Forget(p.work.Blocks)
+		g.index.RemoveInProgress(p.work.Blocks)
 	}
 }
 
@@ -238,7 +238,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.learnRate(p.work.PromptTokens-cached, g.now()-p.startedAt)
-	g.index.Confirm(incarnation, p.work.Blocks)
+	g.index.AddCached(incarnation, p.work.Blocks)
 	g.forget(p)
 	g.breaker.Complete(g.now(), p.permit, breaker.Success)
 	g.noteBusy()
@@ -269,7 +269,7 @@
 func (p *Pass) Abandon() {
 	g := p.gate
 	g.mu.Lock()
-	waiting := g.queue.Abandon(p.id)
+	waiting := g.queue.Cancel(p.id)
 	if waiting {
 		delete(g.waiters, p.id)
 		g.forget(p)
