--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -18,7 +18,7 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire"
 )
 
-// serveAdmin serves the administration API, where the settings name an address.
+// serveAdmin serves the administration API if an address is configured.
 func (p *process) serveAdmin() error {
 	if p.settings.AdminListen == "" {
 		return nil
@@ -26,12 +26,12 @@
 	state := &admin.Process{
 		Name: p.settings.Name, Role: string(p.settings.Role), Zone: p.settings.AvailabilityZone, TokenSHA256: p.settings.AdminTokenSHA256,
 		StartedMs: time.Now().UnixMilli(), Registry: p.metrics.Registry,
-		Config: p.textInForce, Targets: p.listTargets, Goals: p.goals, Burn: p.burn,
+		Config: p.currentConfig, Targets: p.listTargets, Goals: p.burnGoals, Burn: p.burn,
 		Ready: p.ready, InFlight: p.inFlight, Draining: func() bool { return p.currentView().Stopping },
 	}
 	if p.entry != nil {
 		state.Placement = p.explainPlacement
-		state.Quarantine, state.Release = p.listSuspects, p.releaseRequest
+		state.Quarantine, state.Release = p.listQuarantine, p.releaseRequest
 		state.Limits = p.listLimits
 	}
 	handler, err := admin.Handler(state)
@@ -42,14 +42,14 @@
 }
 
 func (p *process) currentView() *view.View {
-	v, ok := p.beliefs.view.Get()
+	v, ok := p.state.view.Get()
 	if !ok {
 		return &view.View{}
 	}
 	return v
 }
 
-func (p *process) textInForce() (int64, string, bool) {
+func (p *process) currentConfig() (int64, string, bool) {
 	v := p.currentView()
 	if v.Estate == nil {
 		return 0, "", false
@@ -57,8 +57,7 @@
 	return v.Estate.Version, string(v.RawEstate), true
 }
 
-// ready reports whether the process does its part: an entry takes callers, a
-// sidecar knows its engine.
+// ready reports whether an entry can serve callers, or a sidecar has received the estate.
 func (p *process) ready() bool {
 	if p.entry != nil {
 		return p.entry.ready()
@@ -79,7 +78,7 @@
 	for _, list := range v.Targets {
 		for i := range list {
 			all = append(all, oas.Target{
-				Name: list[i].Instance, Service: list[i].Service, AvailabilityZone: list[i].Zone, Address: list[i].Address.String(), State: stateOf(v, &list[i]),
+				Name: list[i].Instance, Service: list[i].Service, AvailabilityZone: list[i].Zone, Address: list[i].Address.String(), State: targetState(v, &list[i]),
 			})
 		}
 	}
@@ -87,7 +86,7 @@
 	return all
 }
 
-func stateOf(v *view.View, t *fleet.Target) oas.TargetState {
+func targetState(v *view.View, t *fleet.Target) oas.TargetState {
 	switch {
 	case t.Leaving:
 		return oas.TargetStateLeaving
@@ -98,8 +97,9 @@
 	}
 }
 
-// goals asks the same service level of each service and class that has a route.
-func (p *process) goals() []burn.Goal {
+// burnGoals returns the configured service level for each service and class that has a
+// route.
+func (p *process) burnGoals() []burn.Goal {
 	v := p.currentView()
 	if v.Estate == nil {
 		return nil
@@ -116,14 +116,14 @@
 	return all
 }
 
-// explainPlacement answers where a request would go.
+// explainPlacement explains where a request would be sent.
 func (p *process) explainPlacement(ctx context.Context, params oas.GetPlacementParams) (*oas.Placement, error) {
 	request := wire.Request{Model: params.Model.Or(""), PromptTokens: params.PromptTokens.Or(0), MaxTokens: params.MaxTokens.Or(0)}
 	for _, text := range params.Parts {
 		id, size, _ := strings.Cut(text, ":")
 		tokens, err := strconv.Atoi(size)
 		if err != nil || tokens < 0 || id == "" {
-			return nil, errkind.New(errkind.BadRequest, "part %q; allowed is ID:TOKENS", text)
+			return nil, errkind.New(errkind.BadRequest, "part %q is not of the form ID:TOKENS", text)
 		}
 		request.Parts = append(request.Parts, wire.Part{ID: id, Tokens: tokens})
 	}
@@ -131,38 +131,38 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	return placementOf(x), nil
+	return encodePlacement(x), nil
 }
 
-func placementOf(x *forward.Explanation) *oas.Placement {
-	answer := &oas.Placement{
+func encodePlacement(x *forward.Explanation) *oas.Placement {
+	result := &oas.Placement{
 		Route: x.Route, Service: x.Service, ConfigVersion: x.Estate, ListAgeMs: x.ListAge.Milliseconds(), Candidates: []oas.PlacementCandidate{},
 	}
 	if x.Chosen != "" {
-		answer.Chosen = oas.NewOptString(x.Chosen)
+		result.Chosen = oas.NewOptString(x.Chosen)
 	}
 	if x.Refusal != nil {
-		answer.Refusal, answer.Detail = oas.NewOptString(x.Refusal.Kind.String()), oas.NewOptString(x.Refusal.Detail)
+		result.Refusal, result.Detail = oas.NewOptString(x.Refusal.Kind.String()), oas.NewOptString(x.Refusal.Detail)
 	}
 	for i := range x.Targets {
 		t := &x.Targets[i]
 		c := oas.PlacementCandidate{Target: t.Instance, AvailabilityZone: t.Zone, Address: t.Address.String()}
 		if len(x.Ratings) > i {
-			rate(&c, &x.Candidates[i], &x.Ratings[i])
+			fillRating(&c, &x.Candidates[i], &x.Ratings[i])
 		}
-		answer.Candidates = append(answer.Candidates, c)
+		result.Candidates = append(result.Candidates, c)
 	}
-	return answer
+	return result
 }
 
-func rate(c *oas.PlacementCandidate, k *placement.Candidate, r *placement.Rating) {
-	inMs := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, inMs(r.Choice.Wait), inMs(r.Choice.Prefill), inMs(r.Choice.Fetch)
-	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.CachedTokens, r.Choice.FetchedTokens, k.Work.Running, k.Version
+func fillRating(c *oas.PlacementCandidate, candidate *placement.Candidate, r *placement.Rating) {
+	milliseconds := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+	c.Cost, c.WaitMs, c.ReadMs, c.FetchMs = r.Cost, milliseconds(r.Choice.Wait), milliseconds(r.Choice.Prefill), milliseconds(r.Choice.Fetch)
+	c.Held, c.Fetched, c.Running, c.Weights = r.Choice.CachedTokens, r.Choice.FetchedTokens, candidate.Work.Running, candidate.Version
 	if r.FilterReason != "" {
 		c.Filtered = oas.NewOptString(r.FilterReason)
 	}
-	for mark, set := range map[string]bool{"rested": k.Ejected, "emptying": k.Draining, "other zone": !k.SameZone, "loads soon": k.LoadScheduled, "old weights": k.StaleFor > 0} {
+	for mark, set := range map[string]bool{"rested": candidate.Ejected, "emptying": candidate.Draining, "other zone": !candidate.SameZone, "loads soon": candidate.LoadScheduled, "old weights": candidate.StaleFor > 0} {
 		if set {
 			c.Marks = append(c.Marks, mark)
 		}
--- a/internal/gateway/adminquarantine.go
+++ b/internal/gateway/adminquarantine.go
@@ -7,11 +7,11 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/quarantine"
 )
 
-// listSuspects lists the requests under which targets ended, for operators.
-func (p *process) listSuspects() []oas.QuarantinedRequest {
+// listQuarantine returns the requests to which crashes of targets are attributed.
+func (p *process) listQuarantine() []oas.QuarantinedRequest {
 	now := p.clock.Now()
 	var all []oas.QuarantinedRequest
-	for _, l := range p.entry.suspects.book.List(now) {
+	for _, l := range p.entry.quarantine.registry.List(now) {
 		row := oas.QuarantinedRequest{
 			Print: l.Fingerprint.String(), Verdict: oas.QuarantinedRequestVerdict(l.Verdict.String()), Ends: l.Status.Crashes, Targets: []string{}, Served: l.Served,
 			Workspace: l.Workspace, Route: l.Route, ChangedMsAgo: now.Sub(l.ChangedAt()).Milliseconds(),
@@ -27,8 +27,8 @@
 	return all
 }
 
-// releaseRequest lets a request go by its print as logs show it.
+// releaseRequest releases the request with a hexadecimal fingerprint from quarantine.
 func (p *process) releaseRequest(text string) bool {
-	print, err := strconv.ParseUint(text, 16, 64)
-	return err == nil && p.entry.suspects.release(quarantine.Fingerprint(print))
+	fingerprint, err := strconv.ParseUint(text, 16, 64)
+	return err == nil && p.entry.quarantine.release(quarantine.Fingerprint(fingerprint))
 }
--- /dev/null
+++ b/internal/gateway/clusterstate.go
@@ -0,0 +1,287 @@
+package gateway
+
+import (
+	"net/http"
+	"net/netip"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"github.com/toucanwell/toucanwell/internal/blackboard"
+	"github.com/toucanwell/toucanwell/internal/control"
+	"github.com/toucanwell/toucanwell/internal/gateway/estate"
+	"github.com/toucanwell/toucanwell/internal/gateway/feed"
+	"github.com/toucanwell/toucanwell/internal/gateway/fleet"
+	"github.com/toucanwell/toucanwell/internal/gateway/hostclock"
+	"github.com/toucanwell/toucanwell/internal/gateway/mesh"
+	"github.com/toucanwell/toucanwell/internal/gateway/view"
+	"github.com/toucanwell/toucanwell/internal/gateway/weights"
+	"github.com/toucanwell/toucanwell/internal/settings"
+)
+
+// Topic names, as used between processes.
+const (
+	topicOperators = "operators"
+	topicTargets   = "targets"
+)
+
+const (
+	// declarationsWait is how long a read of the declarations waits at the store for a new
+	// record. Longer waits need fewer calls, but a read on a dead connection delays new
+	// declarations for as long.
+	declarationsWait = 4 * time.Second
+	// outageGap is how long the store must be unreachable for it to count as an outage.
+	outageGap = 1500 * time.Millisecond
+	// refreshPeriod is how often the view is rebuilt without a change, to drop expired data.
+	refreshPeriod = 200 * time.Millisecond
+	// engineReportTTL is how long a sidecar's report of its engine is valid.
+	engineReportTTL = 2500 * time.Millisecond
+)
+
+// clusterState is what a process knows of the deployment. It is used on the control thread
+// only; requests use the immutable view that it publishes.
+type clusterState struct {
+	settings     *Settings
+	platform     Platform
+	loop         *control.Loop
+	clock        *hostclock.Clock
+	logger       logr.Logger
+	peers        *http.Client
+	mesh         *mesh.Mesh
+	declarations *feed.Follower
+	targets      *feed.Follower
+	directory    *fleet.Directory
+	estate       *estate.Estate
+	// rawEstate is the record that the estate was decoded from.
+	rawEstate     []byte
+	wantedWeights map[string]weights.History
+	engineReports map[fleet.Incarnation]view.EngineReport
+	// unlisted are the reported incarnations that are missing from the target list.
+	unlisted        map[fleet.Incarnation]fleet.UnlistedState
+	loggedOutageEnd time.Time
+	// unresponsive holds the time of the last report of each unresponsive engine.
+	unresponsive map[netip.AddrPort]time.Time
+	// listingsDigest is the digest of all listings, digestByKey that of each listing.
+	listingsDigest uint64
+	digestByKey    map[string]uint64
+	fetching       map[string]bool
+	// fetchedAt is when each topic was last fetched from a peer.
+	fetchedAt map[string]time.Time
+	startedAt time.Time
+	// replicaAnnouncedTo holds the incarnations of the processes without a replica to which
+	// this process has announced its own.
+	replicaAnnouncedTo map[netip.AddrPort]uint64
+	// large is set in large fleets; see updateFleetSize.
+	large atomic.Bool
+	// rejectedListings holds the error of each invalid record of the target list.
+	rejectedListings map[string]string
+	stopping         bool
+	// These are set when the process begins to stop. From selectiveFrom on, only requests that
+	// end before shutdownAt are accepted.
+	stoppingSince, selectiveFrom, shutdownAt time.Time
+	view                                     blackboard.Fact[*view.View]
+	// onViewChange is called after each new view, onEstateChange for each new version of the
+	// estate.
+	onViewChange   func()
+	onEstateChange func(version int64)
+	// onListingRejected is called for each invalid record of the target list.
+	onListingRejected func()
+}
+
+func newClusterState(s *Settings, p Platform, loop *control.Loop, clock *hostclock.Clock, logger logr.Logger, peers *http.Client, onCall func(string, time.Duration, error)) *clusterState {
+	c := &clusterState{
+		settings: s, platform: p, loop: loop, clock: clock, logger: logger, peers: peers,
+		directory: fleet.NewDirectory(), wantedWeights: map[string]weights.History{}, engineReports: map[fleet.Incarnation]view.EngineReport{}, unlisted: map[fleet.Incarnation]fleet.UnlistedState{}, unresponsive: map[netip.AddrPort]time.Time{},
+		replicaAnnouncedTo: map[netip.AddrPort]uint64{}, fetching: map[string]bool{}, fetchedAt: map[string]time.Time{}, digestByKey: map[string]uint64{}, rejectedListings: map[string]string{}, onViewChange: func() {}, onEstateChange: func(int64) {}, onListingRejected: func() {},
+	}
+	c.declarations = feed.NewFollower(loop, p.Declarations(), feed.NewReplica(outageGap), feed.Options{
+		Name: topicOperators, Wait: declarationsWait, ShouldRead: c.shouldReadDeclarations, OnChange: c.declarationsChanged,
+		OnCall: onCall, OnRecovered: func() {}, Logger: logger, Now: clock.Now,
+	})
+	c.targets = feed.NewFollower(loop, p.Targets(), feed.NewReplica(outageGap), feed.Options{
+		Name: topicTargets, ShouldRead: c.shouldReadTargets, OnChange: c.targetsChanged,
+		OnCall: onCall, OnRecovered: c.declarations.RestartCall, Logger: logger, Now: clock.Now,
+	})
+	return c
+}
+
+// start starts to follow the store. The mesh must be set.
+func (c *clusterState) start() {
+	c.startedAt = c.clock.Now()
+	c.loop.Post(c.mesh.Introduce)
+	c.declarations.Start()
+	c.targets.Start()
+	c.loop.Every(func() time.Duration { return refreshPeriod }, c.publishView)
+}
+
+// stop records that the process is stopping and will exit at shutdownAt.
+func (c *clusterState) stop(shutdownAt time.Time) {
+	c.stopping, c.stoppingSince = true, c.clock.Now()
+	c.selectiveFrom, c.shutdownAt = time.Now().Add(balancerRemoveTime), shutdownAt
+}
+
+func (c *clusterState) isEntry() bool { return c.settings.Role == settings.RoleEntry }
+
+func (c *clusterState) declarationsChanged(keys []string) {
+	for _, key := range keys {
+		r, ok := c.declarations.Replica().Get(key)
+		if !ok {
+			continue
+		}
+		d, err := c.platform.DecodeDeclaration(r)
+		if err != nil {
+			// The last valid declaration stays in force; parts of an invalid one are not applied.
+			c.logger.Error(err, "declaration_refused", "key", key, "offset", r.Offset)
+			continue
+		}
+		c.applyDeclaration(d, r)
+	}
+	c.publishView()
+	c.mesh.Broadcast()
+}
+
+func (c *clusterState) applyDeclaration(d Declaration, r feed.Record) {
+	if d.Estate != nil && (c.estate == nil || d.Estate.Version > c.estate.Version) {
+		c.estate, c.rawEstate = d.Estate, r.Value
+		c.onEstateChange(d.Estate.Version)
+		c.logger.Info("estate_in_force", "estate", d.Estate.Version, "offset", r.Offset, "routes", len(d.Estate.Routes()), "services", len(d.Estate.Services()), "stores", len(d.Estate.Stores()), "limited", len(d.Estate.RateLimited()))
+	}
+	if d.Model == "" || d.Version <= c.wantedWeights[d.Model].Newest() {
+		return
+	}
+	c.wantedWeights[d.Model] = c.wantedWeights[d.Model].Add(weights.WantedVersion{Version: d.Version, Since: c.clock.Now()})
+	c.logger.Info("weights_wanted", "model", d.Model, "version", d.Version, "offset", r.Offset)
+}
+
+func (c *clusterState) targetsChanged(keys []string) {
+	changed := false
+	for _, key := range keys {
+		r, ok := c.targets.Replica().Get(key)
+		if !ok {
+			delete(c.rejectedListings, key)
+			c.setListingDigest(key, 0)
+			if c.directory.Remove(key, c.listedAt()) {
+				changed = true
+				c.logger.Info("target_gone", "target", key, "end", c.targets.Replica().End())
+			}
+			continue
+		}
+		listing, err := c.platform.DecodeTarget(r)
+		if err != nil {
+			c.rejectListing(key, r.Offset, err)
+			c.setListingDigest(key, 0)
+			continue
+		}
+		delete(c.rejectedListings, key)
+		c.setListingDigest(key, listingDigest(&listing))
+		changed = c.applyListing(listing, r.Offset) || changed
+	}
+	if changed {
+		c.publishViewSoon()
+		c.mesh.Introduce()
+	}
+}
+
+// maxRejectedListings limits the size of rejectedListings.
+const maxRejectedListings = 1000
+
+// rejectListing skips an invalid record of the target list. Every rejection is counted, but
+// only new errors are logged, since the record's writer may repeat it with each heartbeat.
+func (c *clusterState) rejectListing(key string, offset uint64, err error) {
+	c.onListingRejected()
+	if c.rejectedListings[key] == err.Error() || len(c.rejectedListings) >= maxRejectedListings {
+		return
+	}
+	c.rejectedListings[key] = err.Error()
+	c.logger.Info("target_refused", "target", key, "offset", offset, "error", err.Error())
+}
+
+// applyListing applies a listing and reports whether a relevant field changed.
+func (c *clusterState) applyListing(l fleet.Listing, offset uint64) bool {
+	old, known := c.directory.Find(l.Instance)
+	returned := c.directory.Gone(old.Incarnation)
+	if !c.directory.Add(l, offset, c.clock.Now()) {
+		c.logger.Info("target_late_word", "target", l.Incarnation, "newest", old.Incarnation, "offset", offset)
+		return false
+	}
+	if known && !returned && listingDigest(&old.Listing) == listingDigest(&l) {
+		return false
+	}
+	c.logger.Info("target_listed", "target", l.Incarnation, "service", l.Service, "address", l.Address, "zone", l.Zone,
+		"leaving", l.Leaving, "weights", l.Weights, "returned", returned, "offset", offset)
+	return true
+}
+
+// publishViewSoon publishes a new view at once, or with the next refresh in a large fleet,
+// where engines change continuously.
+func (c *clusterState) publishViewSoon() {
+	if !c.large.Load() {
+		c.publishView()
+	}
+}
+
+// publishView builds and publishes a new view.
+func (c *clusterState) publishView() {
+	now := c.clock.Now()
+	syncState := c.syncState(now)
+	c.logOutage(syncState)
+	v := &view.View{
+		Estate: c.estate, RawEstate: c.rawEstate, Targets: c.directory.Targets(c.isDeclared, now, syncState),
+		TargetsCurrentAt: c.targets.Replica().CurrentAt(), EstateCurrentAt: c.currentAt(topicOperators), Engines: map[fleet.Incarnation]view.EngineReport{}, Unresponsive: map[netip.AddrPort]bool{}, Wanted: map[string]weights.History{},
+		EntryCount: 1 + len(c.mesh.Live(true)), EntryRank: c.entryRank(), Stopping: c.stopping, SelectiveFrom: c.selectiveFrom, ShutdownAt: c.shutdownAt,
+	}
+	c.updateFleetSize(v.Targets)
+	v.LargeFleet = c.large.Load()
+	for incarnation, report := range c.engineReports {
+		if now.Sub(report.ReceivedAt) <= engineReportTTL {
+			v.Engines[incarnation] = report
+		} else {
+			delete(c.engineReports, incarnation)
+		}
+	}
+	for address, reportedAt := range c.unresponsive {
+		if now.Sub(reportedAt) <= engineReportTTL {
+			v.Unresponsive[address] = true
+		} else {
+			delete(c.unresponsive, address)
+		}
+	}
+	c.logUnlisted(v, c.directory.ApplyReports(v.Targets, reportedTargets(v.Engines), syncState, now))
+	for model, w := range c.wantedWeights {
+		v.Wanted[model] = w
+	}
+	c.view.Post(v, now)
+	c.onViewChange()
+}
+
+// isDeclared reports whether operators declare a service.
+func (c *clusterState) isDeclared(service string) bool {
+	return c.estate != nil && c.estate.Service(service) != nil
+}
+
+// sidecarHosts returns the hosts that may run sidecars, which are those of the engines.
+func (c *clusterState) sidecarHosts() []netip.Addr {
+	v, ok := c.view.Get()
+	if !ok {
+		return nil
+	}
+	var hosts []netip.Addr
+	for _, list := range v.Targets {
+		for i := range list {
+			if len(list[i].Weights) > 0 {
+				hosts = append(hosts, list[i].Address.Addr())
+			}
+		}
+	}
+	return hosts
+}
+
+// targetsOf returns the targets of a service in the current view.
+func (c *clusterState) targetsOf(service string) []fleet.Target {
+	v, ok := c.view.Get()
+	if !ok {
+		return nil
+	}
+	return v.Targets[service]
+}
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -24,51 +24,51 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-// maxFacts is how many facts about parts one heartbeat holds. A fact takes 14
-// bytes; with the rest a heartbeat stays within one packet.
-const maxFacts = 60
+// maxPartUpdates is the most part updates in one heartbeat. An update takes 14 bytes; the
+// heartbeat must fit into one packet.
+const maxPartUpdates = 60
 
-// entry is the role that takes callers' requests.
+// entry is the role that serves callers' requests.
 type entry struct {
-	beliefs   *beliefs
-	ledger    *ledger.Ledger
-	parts     *parts.Index
-	health    *health.Monitor
-	reach     *reach.Monitor
-	pool      *upstream.Pool
-	forwarder *forward.Forwarder
-	suspects  *suspects
-	// caches are those that were told of, with when they were last.
-	caches map[fleet.ID]time.Time
-	// probes asks sidecars; nil where probes are off.
+	state      *clusterState
+	ledger     *ledger.Ledger
+	parts      *parts.Index
+	health     *health.Monitor
+	reach      *reach.Monitor
+	pool       *upstream.Pool
+	forwarder  *forward.Forwarder
+	quarantine *quarantineSync
+	// cacheReportedAt is when the last report of each cache was received.
+	cacheReportedAt map[fleet.ID]time.Time
+	// probes sends probes to sidecars; nil if probes are disabled.
 	probes *probe.Client
-	// limits is this entry's part in the rate limits; nil where there are none.
+	// limits enforces the rate limits of workspaces; nil if they are disabled.
 	limits *limits
-	// changed are the targets at which this entry's work has changed since the
-	// others were told.
-	changed map[fleet.ID]bool
+	// changedTargets are the targets whose work from this entry has changed since the last
+	// announcement to the other entries.
+	changedTargets map[fleet.ID]bool
 }
 
 func newEntry(p *process) *entry {
-	e := &entry{beliefs: p.beliefs, ledger: ledger.New(), parts: parts.NewIndex(), reach: &reach.Monitor{}, caches: map[fleet.ID]time.Time{}, changed: map[fleet.ID]bool{}}
-	e.health = health.NewMonitor(func(life fleet.Incarnation, until time.Time, failures, others float64, outcome health.Outcome) {
-		p.logger.Info("target_rested", "target", life, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
+	e := &entry{state: p.state, ledger: ledger.New(), parts: parts.NewIndex(), reach: &reach.Monitor{}, cacheReportedAt: map[fleet.ID]time.Time{}, changedTargets: map[fleet.ID]bool{}}
+	e.health = health.NewMonitor(func(incarnation fleet.Incarnation, until time.Time, failures, others float64, outcome health.Outcome) {
+		p.logger.Info("target_rested", "target", incarnation, "for", until.Sub(p.clock.Now()).Round(time.Millisecond),
 			"failures", math.Round(100*failures)/100, "others", math.Round(100*others)/100, "outcome", outcome.String())
 	})
 	e.pool = upstream.NewPool(p.metrics.Connection)
-	e.suspects = newSuspects(p)
+	e.quarantine = newQuarantineSync(p)
 	e.forwarder = forward.New(forward.Deps{
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
-		Quarantine: e.suspects.book, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.RefusesConnections(ctx, t.Address) }),
+		Quarantine: e.quarantine.registry, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds: forward.Bounds{
-			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.Weights.Duration,
+			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration,
 		},
-		Zone: p.settings.AvailabilityZone, Logger: p.logger, RoutineLogger: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, AnnounceWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
+		Zone: p.settings.AvailabilityZone, Logger: p.logger, RoutineLogger: p.routineLogger, Metrics: requestMetrics{p.metrics, p.burn}, AnnounceWork: e.announceWork, Now: p.clock.Now, Seed: p.settings.seed(),
 	})
 	return e
 }
 
-// open makes rate limits and probes possible.
+// open starts the rate limiter and the probe client if they are enabled.
 func (e *entry) open(p *process) error {
 	var err error
 	if e.limits, err = openLimits(p); err != nil {
@@ -81,12 +81,12 @@
 }
 
 func (e *entry) openProbes(s *Settings) error {
-	sidecars, ok := s.probe()
+	sidecars, ok := s.probeAddress()
 	if !ok {
 		return nil
 	}
 	var err error
-	e.probes, err = probe.NewClient(s.mesh().Addr(), sidecars.Port(), e.beliefs.clock.Now)
+	e.probes, err = probe.NewClient(s.meshAddress().Addr(), sidecars.Port(), e.state.clock.Now)
 	if err == nil {
 		e.forwarder.Sidecars = e.probes
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// requestMetrics counts requests for Prometheus and for the report on burn.
+// requestMetrics records requests in the Prometheus metrics and the burn-rate counter.
 type requestMetrics struct {
 	*metrics.Metrics
 	counter *burn.Counter
@@ -113,130 +113,130 @@
 	m.counter.Add(burn.Key{Service: service, Class: class, Workspace: workspace}, good)
 }
 
-func (e *entry) currentView() (*view.View, bool) { return e.beliefs.view.Get() }
+func (e *entry) currentView() (*view.View, bool) { return e.state.view.Get() }
 
-// ready reports whether the entry can serve callers. One that is cut off says no,
-// so that the balancer turns to others.
+// ready reports whether the entry can serve callers. It is false while the entry is
+// partitioned, so that the load balancer prefers other entries.
 func (e *entry) ready() bool {
 	v, ok := e.currentView()
-	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.Partitioned(e.beliefs.clock.Now())
+	return ok && v.Estate != nil && len(v.Targets) > 0 && !v.Stopping && !e.reach.Partitioned(e.state.clock.Now())
 }
 
-// compose adds to a heartbeat what other entries want to know.
-func (e *entry) compose(beat *peerv1.Beat) {
-	e.composeWork(beat)
-	e.suspects.compose(beat)
+// compose adds this entry's work and quarantine records to a heartbeat.
+func (e *entry) compose(heartbeat *peerv1.Beat) {
+	e.composeWork(heartbeat)
+	e.quarantine.compose(heartbeat)
 }
 
-func (e *entry) composeWork(beat *peerv1.Beat) {
-	if e.beliefs.large.Load() {
+func (e *entry) composeWork(heartbeat *peerv1.Beat) {
+	if e.state.large.Load() {
 		e.parts.DropUpdates()
 		return
 	}
-	for target, w := range e.ledger.Own(e.beliefs.clock.Now()) {
-		beat.Loads = append(beat.Loads, probe.EncodeLoad(target, w))
+	for target, w := range e.ledger.Own(e.state.clock.Now()) {
+		heartbeat.Loads = append(heartbeat.Loads, probe.EncodeLoad(target, w))
 	}
 }
 
 const (
-	// tellDelay gathers what other entries are told at once. In larger fleets more
-	// is gathered, by tellDelayEach for each entry: what an entry hears grows with
-	// their number.
-	tellDelay     = 8 * time.Millisecond
-	tellDelayEach = 2 * time.Millisecond
+	// announceDelay is how long changes are batched before they are announced to the other
+	// entries. announceDelayPerEntry is added for each live entry, because the number of
+	// announcements that an entry receives grows with the number of entries.
+	announceDelay         = 8 * time.Millisecond
+	announceDelayPerEntry = 2 * time.Millisecond
 )
 
-// tellWork tells the other entries soon of this entry's work at a target, and of
-// the parts that are read there.
-func (e *entry) tellWork(target fleet.ID) {
-	if e.beliefs.large.Load() {
+// announceWork schedules an announcement to the other entries of this entry's work at a
+// target and of pending part updates.
+func (e *entry) announceWork(target fleet.ID) {
+	if e.state.large.Load() {
 		return
 	}
-	e.beliefs.loop.Post(func() {
-		first := len(e.changed) == 0
-		e.changed[target] = true
+	e.state.loop.Post(func() {
+		first := len(e.changedTargets) == 0
+		e.changedTargets[target] = true
 		if !first {
 			return
 		}
-		delay := tellDelay + tellDelayEach*time.Duration(len(e.beliefs.mesh.Live(true)))
-		e.beliefs.loop.Go(func(ctx context.Context) {
+		delay := announceDelay + announceDelayPerEntry*time.Duration(len(e.state.mesh.Live(true)))
+		e.state.loop.Go(func(ctx context.Context) {
 			if sleep.For(ctx, delay) {
-				e.beliefs.loop.Post(e.tellChanged)
+				e.state.loop.Post(e.announceChangedWork)
 			}
 		})
 	})
 }
 
-func (e *entry) tellChanged() {
-	now := e.beliefs.clock.Now()
-	e.beliefs.mesh.BroadcastToEntries(func(beat *peerv1.Beat) {
-		for target := range e.changed {
-			beat.Loads = append(beat.Loads, probe.EncodeLoad(target, e.ledger.OwnAt(target, now)))
+func (e *entry) announceChangedWork() {
+	now := e.state.clock.Now()
+	e.state.mesh.BroadcastToEntries(func(heartbeat *peerv1.Beat) {
+		for target := range e.changedTargets {
+			heartbeat.Loads = append(heartbeat.Loads, probe.EncodeLoad(target, e.ledger.OwnAt(target, now)))
 		}
-		beat.Parts = e.freshFacts()
+		heartbeat.Parts = e.takePartUpdates()
 	})
-	clear(e.changed)
+	clear(e.changedTargets)
 }
 
-// freshFacts returns what the other entries were not told yet of parts.
-func (e *entry) freshFacts() []*peerv1.PartHeld {
-	var facts []*peerv1.PartHeld
-	for _, f := range e.parts.TakeUpdates(maxFacts) {
-		facts = append(facts, &peerv1.PartHeld{Part: uint32(f.Part), Target: uint32(f.Target), Done: f.Done})
+// takePartUpdates returns the part updates that have not been announced yet.
+func (e *entry) takePartUpdates() []*peerv1.PartHeld {
+	var updates []*peerv1.PartHeld
+	for _, u := range e.parts.TakeUpdates(maxPartUpdates) {
+		updates = append(updates, &peerv1.PartHeld{Part: uint32(u.Part), Target: uint32(u.Target), Done: u.Done})
 	}
-	return facts
+	return updates
 }
 
-func (e *entry) heard(m *mesh.Member) {
-	now := e.beliefs.clock.Now()
+func (e *entry) onHeartbeat(m *mesh.Member) {
+	now := e.state.clock.Now()
 	if !m.Entry {
 		e.reach.HeartbeatReceived(now)
 	}
 	if m.Entry && e.limits != nil {
-		e.limits.heard(m)
+		e.limits.onHeartbeat(m)
 	}
 	if m.Entry {
-		e.ledger.ApplyReport(m.Address, loadsOf(m.Heartbeat), m.Heartbeat.Partial, now)
+		e.ledger.ApplyReport(m.Address, announcedWork(m.Heartbeat), m.Heartbeat.Partial, now)
 		for _, p := range m.Heartbeat.Parts {
 			e.parts.Apply(parts.Update{Part: parts.Key(p.Part), Target: fleet.ID(p.Target), Done: p.Done}, now)
 		}
-		e.suspects.heard(m)
+		e.quarantine.onHeartbeat(m)
 	}
-	e.learnCache(m, now)
-	if e.beliefs.hearEngine(m) {
-		e.beliefs.postSoon()
+	e.applyCacheReport(m, now)
+	if e.state.applyEngineReport(m) {
+		e.state.publishViewSoon()
 	}
 }
 
-// cacheSilence is the silence after which word of a cache is news again. Sidecars tell of
-// each cache twice a second.
-const cacheSilence = 5 * time.Second
+// cacheReportTimeout is the silence after which a cache's next report is logged. Sidecars
+// report each cache twice a second.
+const cacheReportTimeout = 5 * time.Second
 
-// learnCache takes in what a cache holds by its own word.
-func (e *entry) learnCache(m *mesh.Member, now time.Time) {
+// applyCacheReport updates the part index with the cached parts that a sidecar reports.
+func (e *entry) applyCacheReport(m *mesh.Member, now time.Time) {
 	c := m.Heartbeat.Cache
 	if c == nil || len(c.Parts) != len(c.Tokens) {
 		return
 	}
-	if now.Sub(e.caches[fleet.ID(c.Cache)]) > cacheSilence {
-		e.beliefs.logger.Info("cache_told", "cache", c.Cache, "peer", m.Name, "parts", len(c.Parts))
-		maps.DeleteFunc(e.caches, func(_ fleet.ID, at time.Time) bool { return now.Sub(at) > cacheSilence })
+	if now.Sub(e.cacheReportedAt[fleet.ID(c.Cache)]) > cacheReportTimeout {
+		e.state.logger.Info("cache_told", "cache", c.Cache, "peer", m.Name, "parts", len(c.Parts))
+		maps.DeleteFunc(e.cacheReportedAt, func(_ fleet.ID, at time.Time) bool { return now.Sub(at) > cacheReportTimeout })
 	}
-	e.caches[fleet.ID(c.Cache)] = now
+	e.cacheReportedAt[fleet.ID(c.Cache)] = now
 	for i, part := range c.Parts {
 		e.parts.RecordReport(fleet.ID(c.Cache), parts.Key(part), int(c.Tokens[i]), now)
 	}
 }
 
-func loadsOf(beat *peerv1.Beat) map[fleet.ID]ledger.Work {
-	loads := make(map[fleet.ID]ledger.Work, len(beat.Loads))
-	for _, l := range beat.Loads {
+func announcedWork(heartbeat *peerv1.Beat) map[fleet.ID]ledger.Work {
+	loads := make(map[fleet.ID]ledger.Work, len(heartbeat.Loads))
+	for _, l := range heartbeat.Loads {
 		loads[fleet.ID(l.Target)] = probe.DecodeLoad(l)
 	}
 	return loads
 }
 
-// readyHandler answers the balancer.
+// readyHandler serves the load balancer's readiness check.
 func (e *entry) readyHandler(path string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
--- /dev/null
+++ b/internal/gateway/fleetsize.go
@@ -0,0 +1,23 @@
+package gateway
+
+import "github.com/toucanwell/toucanwell/internal/gateway/fleet"
+
+// updateFleetSize determines whether the fleet is large, that is whether entries probe the
+// sidecars of candidate engines and work and cache contents are not broadcast. Without live
+// sidecars a fleet is never large.
+func (c *clusterState) updateFleetSize(targets map[string][]fleet.Target) {
+	engines := 0
+	for _, list := range targets {
+		for i := range list {
+			if len(list[i].Weights) > 0 {
+				engines++
+			}
+		}
+	}
+	entries := len(c.mesh.Live(true))
+	hasSidecars := len(c.mesh.Live(false)) > 0
+	large := hasSidecars && (engines > c.settings.LargeEngines || entries > c.settings.LargeEntries)
+	if c.large.Swap(large) != large {
+		c.logger.Info("fleet_sized", "large", large, "engines", engines, "entries", entries)
+	}
+}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -10,18 +10,18 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/ratelimit"
 )
 
-// limits is an entry's part in the rate limits of workspaces.
+// limits enforces the rate limits of workspaces at an entry.
 type limits struct {
-	beliefs *beliefs
+	state   *clusterState
 	limiter *ratelimit.Limiter
-	// port is where every entry answers about limits.
+	// port is the port on which all entries serve rate-limit leases.
 	port      uint16
 	startedAt time.Time
-	// met are the lives of the entries that were heard.
-	met map[netip.AddrPort]uint64
+	// seenIncarnations are the last seen incarnations of the other entries.
+	seenIncarnations map[netip.AddrPort]uint64
 }
 
-// openLimits binds the address; without one there are no limits.
+// openLimits starts the rate limiter. It returns nil if rate limits are disabled.
 func openLimits(p *process) (*limits, error) {
 	if p.settings.LimitsListen == "" {
 		return nil, nil
@@ -30,14 +30,14 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "limits_listen")
 	}
-	l := &limits{beliefs: p.beliefs, port: address.Port(), startedAt: p.clock.Now(), met: map[netip.AddrPort]uint64{}}
+	l := &limits{state: p.state, port: address.Port(), startedAt: p.clock.Now(), seenIncarnations: map[netip.AddrPort]uint64{}}
 	l.limiter, err = ratelimit.Open(ratelimit.Options{Listen: address, Incarnation: p.incarnation, LimitOf: l.limitOf, Now: p.clock.Now})
 	return l, err
 }
 
-// limitOf is a workspace's limit by the newest view.
+// limitOf returns a workspace's limit in the current view.
 func (l *limits) limitOf(workspace string) ratelimit.Limit {
-	v, ok := l.beliefs.view.Get()
+	v, ok := l.state.view.Get()
 	if !ok || v.Estate == nil {
 		return ratelimit.Limit{}
 	}
@@ -48,34 +48,35 @@
 	return w.Rate.Limit
 }
 
-// heard takes in at once that an entry has begun a life. Where all start anew, callers wait
-// until they know of each other.
-func (l *limits) heard(m *mesh.Member) {
-	if l.met[m.Address] == m.Incarnation {
+// onHeartbeat refreshes the limiter's members as soon as another entry has started. After a
+// restart of all entries, callers wait until the entries know each other.
+func (l *limits) onHeartbeat(m *mesh.Member) {
+	if l.seenIncarnations[m.Address] == m.Incarnation {
 		return
 	}
-	l.met[m.Address] = m.Incarnation
+	l.seenIncarnations[m.Address] = m.Incarnation
 	l.refresh()
 }
 
-// refresh tells the limiter which entries live. It runs on the control thread.
+// refresh updates the limiter's members. It runs on the control thread.
 func (l *limits) refresh() {
-	b := l.beliefs
-	known, silent := b.mesh.Known(true)
-	m := &ratelimit.Members{AsOf: b.clock.Now(), StartedAt: l.startedAt, Known: 1 + known, Unreachable: silent, Self: l.at(b.settings.mesh())}
-	if !b.stopping {
+	state := l.state
+	known, unreachable := state.mesh.Known(true)
+	m := &ratelimit.Members{AsOf: state.clock.Now(), StartedAt: l.startedAt, Known: 1 + known, Unreachable: unreachable, Self: l.limitsAddress(state.settings.meshAddress())}
+	if !state.stopping {
 		m.Live = append(m.Live, m.Self)
 	}
-	for _, member := range b.mesh.Live(true) {
+	for _, member := range state.mesh.Live(true) {
 		if !member.Leaving {
-			m.Live = append(m.Live, l.at(member.Address))
+			m.Live = append(m.Live, l.limitsAddress(member.Address))
 		}
 	}
-	m.HeardPeer = len(l.met) > 0 || b.settings.FirstStart
+	m.HeardPeer = len(l.seenIncarnations) > 0 || state.settings.FirstStart
 	l.limiter.SetMembers(m)
 }
 
-// at is where the entry at a mesh address answers about limits.
-func (l *limits) at(mesh netip.AddrPort) netip.AddrPort {
+// limitsAddress returns the address on which the entry at a mesh address serves rate-limit
+// leases.
+func (l *limits) limitsAddress(mesh netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(mesh.Addr(), l.port)
 }
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -27,54 +27,55 @@
 )
 
 const (
-	// Periods of heartbeats: among entries, which tell each other their work at
-	// targets; between entries and sidecars; among sidecars.
-	entriesPeriod  = 100 * time.Millisecond
-	mixedPeriod    = 400 * time.Millisecond
-	sidecarsPeriod = 500 * time.Millisecond
-	// The same in large fleets, in which heartbeats carry no work: who lives, and how
-	// new the copies of topics are.
-	largeEntriesPeriod = 400 * time.Millisecond
-	largePeriod        = time.Second
-	peerIdle           = 5 * time.Second
+	// Heartbeat periods among entries, which announce their work at targets; between entries
+	// and sidecars; and among sidecars.
+	entryHeartbeatPeriod   = 100 * time.Millisecond
+	mixedHeartbeatPeriod   = 400 * time.Millisecond
+	sidecarHeartbeatPeriod = 500 * time.Millisecond
+	// The same in large fleets, where heartbeats carry only liveness and the positions of
+	// topic replicas.
+	largeEntryHeartbeatPeriod = 400 * time.Millisecond
+	largeHeartbeatPeriod      = time.Second
+	// peerIdleTimeout is how long idle connections to peers are kept open.
+	peerIdleTimeout = 5 * time.Second
 )
 
-// process is one process of the system.
+// process is a running entry or sidecar.
 type process struct {
-	settings *Settings
-	platform Platform
-	logger   logr.Logger
-	ordinary logr.Logger
-	log      *logging.Bounded
-	metrics  *metrics.Metrics
-	burn     *burn.Counter
-	clock    *hostclock.Clock
-	loop     *control.Loop
-	beliefs  *beliefs
-	entry    *entry
-	sidecar  *sidecar
-	callers  *callers
-	listener net.Listener
-	others   []*http.Server
-	failed   chan error
-	deputy   *deputy
-	// incarnation tells this life of the process from others.
+	settings      *Settings
+	platform      Platform
+	logger        logr.Logger
+	routineLogger logr.Logger
+	log           *logging.Bounded
+	metrics       *metrics.Metrics
+	burn          *burn.Counter
+	clock         *hostclock.Clock
+	loop          *control.Loop
+	state         *clusterState
+	entry         *entry
+	sidecar       *sidecar
+	callers       *callerServer
+	listener      net.Listener
+	servers       []*http.Server
+	serveErrors   chan error
+	deputy        *deputy
+	// incarnation distinguishes this start of the process from others.
 	incarnation uint64
 }
 
-// Process is a running process.
+// Process is a running entry or sidecar.
 type Process struct{ *process }
 
-// Start runs a process until Stop or Close.
+// Start starts a process. It runs until Stop or Close.
 func Start(s *Settings, platform Platform, out io.Writer) (*Process, error) {
 	log := logging.NewBounded(out, s.Name, s.LogLinesPerSecond)
 	p := &process{
-		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), ordinary: logging.New(log.Ordinary(), s.Name), metrics: metrics.New(),
-		clock: hostclock.New(), burn: burn.NewCounter(time.Now), incarnation: rand.Uint64(), failed: make(chan error, 4),
+		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), routineLogger: logging.New(log.Ordinary(), s.Name), metrics: metrics.New(),
+		clock: hostclock.New(), burn: burn.NewCounter(time.Now), incarnation: rand.Uint64(), serveErrors: make(chan error, 4),
 	}
 	p.loop = control.NewLoop(s.seed(), p.metrics.Control)
-	peers := &http.Client{Transport: &http.Transport{DialContext: upstream.NewDialer().DialContext, IdleConnTimeout: peerIdle, DisableCompression: true}}
-	p.beliefs = newBeliefs(s, platform, p.loop, p.clock, p.logger, peers, p.metrics.StoreCall)
+	peers := &http.Client{Transport: &http.Transport{DialContext: upstream.NewDialer().DialContext, IdleConnTimeout: peerIdleTimeout, DisableCompression: true}}
+	p.state = newClusterState(s, platform, p.loop, p.clock, p.logger, peers, p.metrics.StoreCall)
 	if s.Role == settings.RoleEntry {
 		p.entry = newEntry(p)
 	} else {
@@ -84,10 +85,10 @@
 		log.Close()
 		return nil, err
 	}
-	p.expose()
+	p.registerGauges()
 	go p.loop.Run()
-	p.beliefs.mesh.Start()
-	p.beliefs.start()
+	p.state.mesh.Start()
+	p.state.start()
 	if p.sidecar != nil {
 		p.sidecar.start()
 	}
@@ -97,57 +98,57 @@
 			go limits.limiter.Serve()
 			p.loop.Go(limits.limiter.ReportUsage)
 		}
-		p.entry.suspects.start()
+		p.entry.quarantine.start()
 		p.deputy = newDeputy(p)
 		p.deputy.start()
 	}
-	p.loop.Go(func(ctx context.Context) { p.clock.Watch(ctx, p.woke) })
+	p.loop.Go(func(ctx context.Context) { p.clock.Watch(ctx, p.onResume) })
 	p.logger.Info("started", "role", string(s.Role), "mesh", s.MeshListen, "store", s.Store.Address)
 	return &Process{p}, nil
 }
 
-// expose registers the gauges that are read off the newest view.
-func (p *process) expose() {
-	age := func(at func(*view.View) time.Time) func() float64 {
+// registerGauges registers the gauges that are computed from the current view.
+func (p *process) registerGauges() {
+	age := func(timeOf func(*view.View) time.Time) func() float64 {
 		return func() float64 {
-			v, ok := p.beliefs.view.Get()
-			if !ok || at(v).IsZero() {
+			v, ok := p.state.view.Get()
+			if !ok || timeOf(v).IsZero() {
 				return math.NaN()
 			}
-			return p.clock.Now().Sub(at(v)).Seconds()
+			return p.clock.Now().Sub(timeOf(v)).Seconds()
 		}
 	}
-	p.metrics.Gauge("targets_age_seconds", "Age of the copy of the platform's list of targets.", age(func(v *view.View) time.Time { return v.TargetsCurrentAt }))
-	p.metrics.Gauge("declarations_age_seconds", "Age of the copy of what operators declare.", age(func(v *view.View) time.Time { return v.EstateCurrentAt }))
-	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(p.log.Dropped()) })
-	p.beliefs.entryRefused = p.metrics.TargetRefused
-	p.beliefs.inForce = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
+	p.metrics.Gauge("targets_age_seconds", "Age of the local replica of the platform's target list.", age(func(v *view.View) time.Time { return v.TargetsCurrentAt }))
+	p.metrics.Gauge("declarations_age_seconds", "Age of the local replica of operators' declarations.", age(func(v *view.View) time.Time { return v.EstateCurrentAt }))
+	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the process started.", func() float64 { return float64(p.log.Dropped()) })
+	p.state.onListingRejected = p.metrics.TargetRefused
+	p.state.onEstateChange = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
 	if p.entry != nil {
 		p.metrics.Gauge("requests_in_flight", "Requests being served.", func() float64 { return float64(p.entry.forwarder.InFlight()) })
 	}
 }
 
-func (p *process) woke(pause time.Duration) {
+func (p *process) onResume(pause time.Duration) {
 	p.logger.Info("host_woke", "suspended_for", pause)
-	p.beliefs.operators.RestartCall()
-	p.beliefs.targets.RestartCall()
+	p.state.declarations.RestartCall()
+	p.state.targets.RestartCall()
 }
 
-// open binds the addresses and serves them.
+// open binds the listen addresses and starts serving.
 func (p *process) open() error {
 	m, err := mesh.New(p.loop, mesh.Options{
 		Self: &peerv1.Beat{
 			Name: p.settings.Name, Incarnation: p.incarnation, Entry: p.entry != nil, Zone: p.settings.AvailabilityZone,
 		},
-		Listen: p.settings.mesh(), Seeds: p.settings.seedHosts(), Hosts: p.beliefs.hosts,
-		Compose: p.compose, OnHeartbeat: p.heard, Period: p.period, Logger: p.logger, Now: p.clock.Now,
+		Listen: p.settings.meshAddress(), Seeds: p.settings.seedHosts(), Hosts: p.state.sidecarHosts,
+		Compose: p.compose, OnHeartbeat: p.onHeartbeat, Period: p.heartbeatPeriod, Logger: p.logger, Now: p.clock.Now,
 	})
 	if err != nil {
 		return err
 	}
-	p.beliefs.mesh = m
+	p.state.mesh = m
 	mux := http.NewServeMux()
-	mux.Handle(mesh.NewServer(p.loop, p.beliefs.answer).Handler())
+	mux.Handle(mesh.NewServer(p.loop, p.state.topicPage).Handler())
 	if err := p.serve(p.settings.MeshListen, mux); err != nil {
 		return err
 	}
@@ -177,8 +178,8 @@
 		return errors.Wrap(err, "listen")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	p.others = append(p.others, server)
-	go func() { p.failed <- server.Serve(listener) }()
+	p.servers = append(p.servers, server)
+	go func() { p.serveErrors <- server.Serve(listener) }()
 	return nil
 }
 
@@ -188,79 +189,79 @@
 		return errors.Wrap(err, "listen")
 	}
 	p.listener = listener
-	p.callers = newCallers(p.entry.forwarder, listener.Addr(), p.logger)
-	p.beliefs.changed = func() {
+	p.callers = newCallerServer(p.entry.forwarder, listener.Addr(), p.logger)
+	p.state.onViewChange = func() {
 		p.entry.forwarder.RecheckCrashes()
 		if p.entry.limits != nil {
 			p.entry.limits.refresh()
 		}
-		if p.beliefs.estate != nil {
-			p.callers.apply(p.beliefs.estate.Limits)
+		if p.state.estate != nil {
+			p.callers.apply(p.state.estate.Limits)
 		}
 	}
-	go func() { p.failed <- p.callers.serve(listener) }()
+	go func() { p.serveErrors <- p.callers.serve(listener) }()
 	return nil
 }
 
-func (p *process) compose(beat *peerv1.Beat) {
-	p.beliefs.compose(beat)
+func (p *process) compose(heartbeat *peerv1.Beat) {
+	p.state.compose(heartbeat)
 	if p.entry != nil {
-		p.entry.compose(beat)
+		p.entry.compose(heartbeat)
 	} else {
-		p.sidecar.compose(beat)
+		p.sidecar.compose(heartbeat)
 	}
 }
 
-func (p *process) heard(m *mesh.Member) {
-	p.beliefs.heard(m)
+func (p *process) onHeartbeat(m *mesh.Member) {
+	p.state.onHeartbeat(m)
 	if p.entry != nil {
-		p.entry.heard(m)
+		p.entry.onHeartbeat(m)
 	} else {
-		p.sidecar.heard(m)
+		p.sidecar.onHeartbeat(m)
 	}
 }
 
-func (p *process) period(entries bool) time.Duration {
+func (p *process) heartbeatPeriod(entries bool) time.Duration {
 	switch {
-	case p.beliefs.large.Load() && entries && p.entry != nil:
-		return largeEntriesPeriod
-	case p.beliefs.large.Load():
-		return largePeriod
+	case p.state.large.Load() && entries && p.entry != nil:
+		return largeEntryHeartbeatPeriod
+	case p.state.large.Load():
+		return largeHeartbeatPeriod
 	case entries && p.entry != nil:
-		return entriesPeriod
+		return entryHeartbeatPeriod
 	case !entries && p.entry == nil:
-		return sidecarsPeriod
+		return sidecarHeartbeatPeriod
 	default:
-		return mixedPeriod
+		return mixedHeartbeatPeriod
 	}
 }
 
-// Adopt takes over what may change in the settings of a running process: the
-// seeds. Everything else keeps the value that it started with, which is said.
-func (p *process) Adopt(next *Settings) {
+// Reload applies changed settings to the running process. Only the seeds can change; other
+// settings keep their values until a restart.
+func (p *process) Reload(next *Settings) {
 	fixed := *next
 	fixed.Seeds = p.settings.Seeds
 	same := reflect.DeepEqual(&fixed, p.settings)
-	p.loop.Post(func() { p.beliefs.mesh.SetSeeds(next.seedHosts()) })
+	p.loop.Post(func() { p.state.mesh.SetSeeds(next.seedHosts()) })
 	p.logger.Info("settings_reloaded", "seeds", next.Seeds, "others_unchanged", same)
 }
 
-// Refused tells that changed settings were not taken over.
-func (p *process) Refused(err error) { p.logger.Error(err, "settings_refused") }
+// ReloadFailed logs that changed settings are invalid and were not applied.
+func (p *process) ReloadFailed(err error) { p.logger.Error(err, "settings_refused") }
 
-// Failed yields the error of a listener that ended by itself.
-func (p *process) Failed() <-chan error { return p.failed }
+// ServeErrors returns the channel that receives the error of an HTTP server that stopped.
+func (p *process) ServeErrors() <-chan error { return p.serveErrors }
 
-// Close ends the process at once.
+// Close stops the process immediately.
 func (p *process) Close() {
 	if p.callers != nil {
 		_ = p.listener.Close()
 		p.callers.close()
 	}
-	for _, s := range p.others {
+	for _, s := range p.servers {
 		_ = s.Close()
 	}
-	p.beliefs.mesh.Close()
+	p.state.mesh.Close()
 	if p.sidecar != nil {
 		p.sidecar.close()
 	} else {
--- /dev/null
+++ b/internal/gateway/replicas.go
@@ -0,0 +1,138 @@
+package gateway
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	peerv1 "github.com/toucanwell/toucanwell/api/peer/v1"
+	"github.com/toucanwell/toucanwell/internal/control"
+	"github.com/toucanwell/toucanwell/internal/gateway/feed"
+	"github.com/toucanwell/toucanwell/internal/gateway/mesh"
+)
+
+// compose adds the positions of the topic replicas to a heartbeat.
+func (c *clusterState) compose(heartbeat *peerv1.Beat) {
+	heartbeat.Leaving = c.stopping
+	heartbeat.Topics = []*peerv1.TopicPosition{
+		c.position(topicOperators, c.declarations, 0),
+		c.position(topicTargets, c.targets, c.listingsDigest),
+	}
+}
+
+func (c *clusterState) position(name string, f *feed.Follower, digest uint64) *peerv1.TopicPosition {
+	current, at := c.currentAt(name), f.Replica().Position()
+	return &peerv1.TopicPosition{
+		Topic: name, End: at.End, SeenFrom: at.SeenFrom, DropEnd: at.DropEnd, AgeMs: uint32(c.clock.Now().Sub(current).Milliseconds()),
+		Unknown: current.IsZero(), Digest: digest,
+	}
+}
+
+// currentAt returns when a replica was last known to be complete. A long poll of the
+// declarations returns with the first new record, so the declarations are complete as long
+// as the store answers other reads.
+func (c *clusterState) currentAt(topic string) time.Time {
+	targetsAt := c.targets.Replica().CurrentAt()
+	if topic == topicTargets {
+		return targetsAt
+	}
+	at := c.declarations.Replica().CurrentAt()
+	if c.longPollsDeclarations() && !at.IsZero() && targetsAt.After(at) {
+		return targetsAt
+	}
+	return at
+}
+
+// onHeartbeat compares a peer's replicas with this process's and fetches missing records.
+func (c *clusterState) onHeartbeat(m *mesh.Member) {
+	for _, p := range m.Heartbeat.Topics {
+		if p.Unknown {
+			c.announceReplica(m, p.Topic)
+			continue
+		}
+		f := c.follower(p.Topic)
+		if f == nil {
+			continue
+		}
+		c.compareReplica(m.Address, f, p)
+	}
+}
+
+// compareReplica marks a replica as current if it matches the peer's, or fetches the
+// records that only the peer has.
+func (c *clusterState) compareReplica(peer netip.AddrPort, f *feed.Follower, p *peerv1.TopicPosition) {
+	replica := f.Replica()
+	at := c.clock.Now().Add(-time.Duration(p.AgeMs) * time.Millisecond)
+	peerPosition := feed.Position{End: p.End, SeenFrom: p.SeenFrom, DropEnd: p.DropEnd}
+	same := p.End == replica.End()
+	if p.Topic == topicTargets {
+		same = p.Digest == c.listingsDigest && !replica.LacksDrop(peerPosition)
+	}
+	switch {
+	case same && replica.End() > 0 && replica.CoveredBy(peerPosition):
+		replica.MarkCurrent(at)
+	case !same && p.End > replica.End():
+		c.fetchFromPeer(peer, p.Topic, f)
+	}
+}
+
+// announceReplica sends a heartbeat to a process that has no replica yet, so that it
+// fetches this process's replica and does not read the store.
+func (c *clusterState) announceReplica(m *mesh.Member, topic string) {
+	f := c.follower(topic)
+	if f == nil || f.Replica().CurrentAt().IsZero() || c.replicaAnnouncedTo[m.Address] == m.Incarnation {
+		return
+	}
+	c.replicaAnnouncedTo[m.Address] = m.Incarnation
+	c.mesh.SendTo(m.Address, func(*peerv1.Beat) {})
+}
+
+func (c *clusterState) follower(topic string) *feed.Follower {
+	switch topic {
+	case topicOperators:
+		return c.declarations
+	case topicTargets:
+		return c.targets
+	default:
+		return nil
+	}
+}
+
+// minFetchInterval is the minimum time between fetches of a topic in a large fleet. Without
+// it a rollout of weights, which changes hundreds of targets one by one, would make every
+// process fetch continuously.
+const minFetchInterval = 300 * time.Millisecond
+
+// fetchFromPeer fetches the records of a topic that a peer has and this process lacks.
+func (c *clusterState) fetchFromPeer(from netip.AddrPort, topic string, f *feed.Follower) {
+	now := c.clock.Now()
+	if c.fetching[topic] || c.large.Load() && now.Sub(c.fetchedAt[topic]) < minFetchInterval {
+		return
+	}
+	c.fetching[topic], c.fetchedAt[topic] = true, now
+	offset := f.Replica().End()
+	const timeout = 800 * time.Millisecond
+	control.Do(c.loop, timeout, func(ctx context.Context) (mesh.TopicPage, error) {
+		return mesh.Fetch(ctx, c.peers, from, topic, offset)
+	}, func(a mesh.TopicPage, err error) {
+		c.fetching[topic] = false
+		if err != nil {
+			c.logger.Info("fetch_failed", "topic", topic, "peer", from, "error", err.Error())
+			return
+		}
+		if a.End > 0 {
+			f.ApplyPage(a.Page, offset, c.clock.Now().Add(-a.Age))
+		}
+	})
+}
+
+// topicPage serves a peer's fetch.
+func (c *clusterState) topicPage(topic string, from uint64) (mesh.TopicPage, bool) {
+	f := c.follower(topic)
+	if f == nil || f.Replica().CurrentAt().IsZero() {
+		return mesh.TopicPage{}, false
+	}
+	return mesh.TopicPage{
+		Page: f.Replica().PageFrom(from), Age: c.clock.Now().Sub(c.currentAt(topic)),
+	}, true
+}
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -17,62 +17,61 @@
 const (
 	tokenTimeout = 2 * time.Second
 	tokenRetry   = 500 * time.Millisecond
-	// freshAfter is how long a host must have run since it was suspended before
-	// its sidecar gives orders: its beliefs are renewed by then.
-	freshAfter = 600 * time.Millisecond
-	// never is the age of what was not heard.
-	never = time.Hour
+	// resumeSettleTime is how long after a suspension of the host no orders are given, until
+	// the cluster state is up to date again.
+	resumeSettleTime = 600 * time.Millisecond
+	// unknownAge is the age of a report that was never received.
+	unknownAge = time.Hour
 )
 
-// sidecar is the role beside an engine: it watches the engine, tells the
-// entries, and gives the engine its orders.
+// sidecar is the role on an engine's host: it monitors the engine, reports its state to the
+// entries and orders its weight loads.
 type sidecar struct {
-	process *process
-	beliefs *beliefs
-	address netip.AddrPort
-	orders  *weights.Controller
-	// life, report and phase are the engine's as the controller said last.
-	life   fleet.Incarnation
-	report weights.Report
-	phase  weights.Phase
-	known  bool
-	token  uint64
-	caches *caches
-	// tracker knows the engine for the entries, which ask it through probes; nil where
-	// probes are off.
+	process    *process
+	state      *clusterState
+	address    netip.AddrPort
+	controller *weights.Controller
+	// incarnation, report and phase are the engine's state as last reported by the controller.
+	incarnation fleet.Incarnation
+	report      weights.Report
+	phase       weights.Phase
+	known       bool
+	token       uint64
+	caches      *cacheFollowers
+	// tracker keeps the engine's state for probes.
 	tracker *tracker.Tracker
 	probes  *probe.Server
 }
 
 func newSidecar(p *process) *sidecar {
-	s := &sidecar{process: p, beliefs: p.beliefs, address: netip.MustParseAddrPort(p.settings.Engine)}
-	s.orders = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Environment{
-		Wanted: s.wanted, HealthPath: s.healthPath, Engines: s.engines, PartialView: s.beliefs.large.Load, OnChange: s.changed,
+	s := &sidecar{process: p, state: p.state, address: netip.MustParseAddrPort(p.settings.Engine)}
+	s.controller = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Environment{
+		Wanted: s.wantedWeights, HealthPath: s.healthPath, Engines: s.engineViews, PartialView: s.state.large.Load, OnChange: s.engineChanged,
 		Token:    func() (uint64, bool) { return s.token, s.token > 0 },
-		UpToDate: func() bool { p.clock.Check(); return p.clock.SinceResume() > freshAfter },
+		UpToDate: func() bool { p.clock.Check(); return p.clock.SinceResume() > resumeSettleTime },
 	}, weights.Options{
-		Holder: p.settings.Name, MaxStaleness: p.settings.Bounds.Weights.Duration, Logger: p.logger, Now: p.clock.Now,
+		Holder: p.settings.Name, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration, Logger: p.logger, Now: p.clock.Now,
 		OnOutcome: func(o weights.Outcome) { p.metrics.Order(o.String()) },
 	})
-	p.beliefs.changed = s.orders.Trigger
-	s.caches = newCaches(p)
+	p.state.onViewChange = s.controller.Trigger
+	s.caches = newCacheFollowers(p)
 	s.tracker = tracker.New(p.clock.Now)
 	return s
 }
 
-// wanted are the weights that the engine is to have: none while it may be leaving. A load
-// would change the weights under its last runs, whose answers are worth nothing then.
-func (s *sidecar) wanted() map[string]weights.History {
-	life := fleet.Report{Incarnation: s.life, Address: s.address, StartedAfter: s.orders.StartedAfter()}
-	if b := s.beliefs; !b.directory.Active(b.declared, &life, b.following(b.clock.Now()), b.clock.Now()) {
+// wantedWeights returns the wantedWeights weights. It returns none while the engine may be leaving, since
+// a load would invalidate the responses of its last requests.
+func (s *sidecar) wantedWeights() map[string]weights.History {
+	report := fleet.Report{Incarnation: s.incarnation, Address: s.address, StartedAfter: s.controller.StartedAfter()}
+	if state := s.state; !state.directory.Active(state.isDeclared, &report, state.syncState(state.clock.Now()), state.clock.Now()) {
 		return nil
 	}
-	return s.beliefs.wanted
+	return s.state.wantedWeights
 }
 
-// open begins to answer probes.
+// open starts the probe server if probes are enabled.
 func (s *sidecar) open() error {
-	address, ok := s.process.settings.probe()
+	address, ok := s.process.settings.probeAddress()
 	if !ok {
 		return nil
 	}
@@ -89,14 +88,14 @@
 
 func (s *sidecar) start() {
 	s.fetchToken()
-	s.orders.Start()
+	s.controller.Start()
 	s.caches.start()
 }
 
-// fetchToken gets this life's fencing token, once the store gives one.
+// fetchToken fetches the fencing token of this process and retries until it succeeds.
 func (s *sidecar) fetchToken() {
 	control.Do(s.process.loop, tokenTimeout, func(ctx context.Context) (uint64, error) {
-		return s.process.platform.Token(ctx, s.process.settings.Name)
+		return s.process.platform.NextToken(ctx, s.process.settings.Name)
 	}, func(token uint64, err error) {
 		if err == nil {
 			s.token = token
@@ -115,27 +114,27 @@
 }
 
 func (s *sidecar) healthPath() string {
-	if s.beliefs.estate == nil {
+	if s.state.estate == nil {
 		return ""
 	}
-	service := s.beliefs.estate.Service(s.service())
+	service := s.state.estate.Service(s.engineService())
 	if service == nil {
 		return ""
 	}
 	return service.HealthPath
 }
 
-// engines returns all engines of the own engine's service.
-func (s *sidecar) engines(model string) []weights.EngineView {
+// engineViews returns the state of all engines of the own engine's service.
+func (s *sidecar) engineViews(model string) []weights.EngineView {
 	now := s.process.clock.Now()
 	var all []weights.EngineView
-	for _, t := range s.beliefs.listed(s.service()) {
-		v := weights.EngineView{Incarnation: t.Incarnation, Version: t.Weights[model], Age: never}
-		if word, ok := s.beliefs.words[t.Incarnation]; ok {
-			v.Version, v.Age = word.Weights[model], now.Sub(word.ReceivedAt)
-			v.Phase, v.PhaseAge = word.Phase, now.Sub(word.PhaseSince)
+	for _, t := range s.state.targetsOf(s.engineService()) {
+		v := weights.EngineView{Incarnation: t.Incarnation, Version: t.Weights[model], Age: unknownAge}
+		if report, ok := s.state.engineReports[t.Incarnation]; ok {
+			v.Version, v.Age = report.Weights[model], now.Sub(report.ReceivedAt)
+			v.Phase, v.PhaseAge = report.Phase, now.Sub(report.PhaseSince)
 		}
-		if t.Incarnation == s.life {
+		if t.Incarnation == s.incarnation {
 			v.Version, v.Phase, v.Age = s.report.Weights[model], s.phase, 0
 		}
 		all = append(all, v)
@@ -143,39 +142,39 @@
 	return all
 }
 
-func (s *sidecar) service() string {
-	if t, ok := s.beliefs.directory.ByAddress(s.beliefs.declared, s.address); ok {
+func (s *sidecar) engineService() string {
+	if t, ok := s.state.directory.ByAddress(s.state.isDeclared, s.address); ok {
 		return t.Service
 	}
 	return s.process.settings.Service
 }
 
-// changed takes in the engine's newest report, and tells the others at once of
-// what they must not learn late.
-func (s *sidecar) changed(life fleet.Incarnation, report weights.Report, phase weights.Phase) {
-	told := !s.known || phase != s.phase || life != s.life
+// engineChanged stores the engine's latest state. It broadcasts a heartbeat if the
+// incarnation, the phase or the weights have changed.
+func (s *sidecar) engineChanged(incarnation fleet.Incarnation, report weights.Report, phase weights.Phase) {
+	changed := !s.known || phase != s.phase || incarnation != s.incarnation
 	for model, version := range report.Weights {
 		if s.report.Weights[model] != version {
-			told = true
+			changed = true
 		}
 	}
-	s.caches.followEngine(s.address, life)
-	s.life, s.report, s.phase, s.known = life, report, phase, true
+	s.caches.followEngine(s.address, incarnation)
+	s.incarnation, s.report, s.phase, s.known = incarnation, report, phase, true
 	s.tracker.SetState(tracker.State{
-		Incarnation: life, Weights: report.Weights, Phase: phase, ReportedAt: report.ReceivedAt,
+		Incarnation: incarnation, Weights: report.Weights, Phase: phase, ReportedAt: report.ReceivedAt,
 	})
-	if told && !s.beliefs.large.Load() {
-		s.beliefs.mesh.Broadcast()
+	if changed && !s.state.large.Load() {
+		s.state.mesh.Broadcast()
 	}
 }
 
 // compose adds the engine's state to a heartbeat.
-func (s *sidecar) compose(beat *peerv1.Beat) {
-	if !s.known || s.life.Instance == "" && s.phase != weights.Unresponsive {
+func (s *sidecar) compose(heartbeat *peerv1.Beat) {
+	if !s.known || s.incarnation.Instance == "" && s.phase != weights.Unresponsive {
 		return
 	}
 	e := &peerv1.EngineState{
-		Instance: s.life.Instance, Born: s.life.StartedMs, Service: s.service(), Address: s.address.String(), Phase: peerv1.EnginePhase_ENGINE_PHASE_SERVING,
+		Instance: s.incarnation.Instance, Born: s.incarnation.StartedMs, Service: s.engineService(), Address: s.address.String(), Phase: peerv1.EnginePhase_ENGINE_PHASE_SERVING,
 		Running: uint32(s.report.Running), Queued: uint32(s.report.Queued),
 		MemoryUsed: uint32(s.report.MemoryUsed), MemoryTotal: uint32(s.report.MemoryTotal),
 	}
@@ -187,18 +186,18 @@
 	case weights.Unresponsive:
 		e.Phase = peerv1.EnginePhase_ENGINE_PHASE_SILENT
 	}
-	if after := s.orders.StartedAfter(); !after.IsZero() {
+	if after := s.controller.StartedAfter(); !after.IsZero() {
 		e.BeganWithinMs = uint64(max(1, s.process.clock.Now().Sub(after).Milliseconds()))
 	}
 	for model, version := range s.report.Weights {
 		e.Weights = append(e.Weights, &peerv1.ModelWeights{Model: model, Version: version})
 	}
-	beat.Engine = e
+	heartbeat.Engine = e
 }
 
-func (s *sidecar) heard(m *mesh.Member) {
-	s.caches.heard(m)
-	if s.beliefs.hearEngine(m) {
-		s.orders.Trigger()
+func (s *sidecar) onHeartbeat(m *mesh.Member) {
+	s.caches.onHeartbeat(m)
+	if s.state.applyEngineReport(m) {
+		s.controller.Trigger()
 	}
 }
