--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -50,7 +50,7 @@
 	holder := p.settings.Name + "/" + strconv.FormatUint(p.incarnation, 16)
 	return &deputy{
 		process: p, lease: lease.New(holder), engines: map[netip.AddrPort]weights.Engine{},
-		orders: weights.NewRemoteController(p.loop, p.settings.Name, p.logger, p.clock.Now, func(o weights.Outcome) { p.metrics.Order(o.String()) }),
+		orders: weights.NewRemoteController(p.loop, p.settings.Name, p.logger, p.clock.Now, func(o weights.Outcome) { p.metrics.WeightsOrder(o.String()) }),
 	}
 }
 
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -52,7 +52,7 @@
 		Fresh: func() bool { p.clock.Check(); return p.clock.SinceResume() > freshAfter },
 	}, weights.Options{
 		Holder: p.settings.Name, Bound: p.settings.Bounds.Weights.Duration, Logger: p.logger, Now: p.clock.Now,
-		Ordered: func(o weights.Outcome) { p.metrics.Order(o.String()) },
+		Ordered: func(o weights.Outcome) { p.metrics.WeightsOrder(o.String()) },
 	})
 	p.beliefs.changed = s.orders.Nudge
 	s.caches = newCaches(p)
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -64,11 +64,11 @@
 	s := &suspects{process: p, watch: watch, book: quarantine.NewRegistry(quarantine.Limits{
 		MaxCrashes: limits.Ends, SuspectFor: limits.SuspectFor.Duration, RefuseFor: limits.HoldFor.Duration, MaxRecords: limits.Records, ProbationDelay: p.beliefs.probationTurn,
 	}, watch)}
-	p.metrics.Gauge("quarantined_requests", "Requests that are refused because targets ended under them.", func() float64 {
+	p.metrics.RegisterGauge("quarantined_requests", "Requests that are refused because targets ended under them.", func() float64 {
 		refused, _ := s.book.Count()
 		return float64(refused)
 	})
-	p.metrics.Gauge("suspect_requests", "Requests under which targets ended and that may still run.", func() float64 {
+	p.metrics.RegisterGauge("suspect_requests", "Requests under which targets ended and that may still run.", func() float64 {
 		_, suspects := s.book.Count()
 		return float64(suspects)
 	})
@@ -322,7 +322,7 @@
 	if told {
 		log, event = w.ordinary, "request_blame_told"
 	}
-	w.metrics.Blamed(told)
+	w.metrics.CrashAttributed(told)
 	if !told && len(r.Crashes) == 2 {
 		w.mu.Lock()
 		w.secondEnd = true
--- a/internal/once/ledger.go
+++ b/internal/once/ledger.go
@@ -112,7 +112,7 @@
 	state, err := s.commit(ctx, ticket.record(TypeClaim))
 	if err != nil {
 		ticket.orphan()
-		return nil, nil, errkind.After(errkind.OutcomeUnknown, unknownRetry, "this try was not started; the log does not answer: %v", err)
+		return nil, nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetry, "this try was not started; the log does not answer: %v", err)
 	}
 	if state.Phase == Claimed && state.Nonce == ticket.nonce {
 		return ticket, nil, nil
@@ -132,10 +132,10 @@
 	ticket := &Ticket{slot: s, key: key, nonce: uuid.NewString(), ended: make(chan struct{})}
 	state, err := s.commit(ctx, ticket.record(TypeVoid))
 	if err != nil {
-		return nil, errkind.After(errkind.OutcomeUnknown, unknownRetry, "this try was not started; the log does not answer: %v", err)
+		return nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetry, "this try was not started; the log does not answer: %v", err)
 	}
 	if state.Phase == Void {
-		return nil, errkind.After(errkind.NotRun, retryAfter, "%s", detail)
+		return nil, errkind.NewRetryAfter(errkind.NotRun, retryAfter, "%s", detail)
 	}
 	return judge(state, key)
 }
@@ -192,7 +192,7 @@
 		}
 		return state.Answer, nil
 	default:
-		return nil, errkind.After(errkind.OutcomeUnknown, unknownRetry, "an earlier try holds this key and has not told its end")
+		return nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetry, "an earlier try holds this key and has not told its end")
 	}
 }
 
@@ -229,12 +229,12 @@
 	select {
 	case <-other.ended:
 	case <-ctx.Done():
-		return nil, nil, errkind.After(errkind.InProgress, unknownRetry, "")
+		return nil, nil, errkind.NewRetryAfter(errkind.InProgress, unknownRetry, "")
 	}
 	if other.answer != nil {
 		return nil, other.answer, nil
 	}
-	return nil, nil, errkind.After(errkind.OutcomeUnknown, unknownRetry, "the try that ran has not told its end")
+	return nil, nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetry, "the try that ran has not told its end")
 }
 
 func (t *Ticket) record(kind RecordType) Record {
@@ -270,7 +270,7 @@
 func (t *Ticket) Void(ctx context.Context, retryAfter time.Duration, detail string) *errkind.Error {
 	_, _ = t.slot.commit(ctx, t.record(TypeVoid))
 	t.leave(nil)
-	return errkind.After(errkind.NotRun, retryAfter, "%s", detail)
+	return errkind.NewRetryAfter(errkind.NotRun, retryAfter, "%s", detail)
 }
 
 // Lost ends a ticket whose call may have run.
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -98,7 +98,7 @@
 		return ticket.Void(ctx, voidRetry, "the target could not be reached")
 	}
 	ticket.Lost()
-	return errkind.After(errkind.OutcomeUnknown, voidRetry, "the target's answer was lost")
+	return errkind.NewRetryAfter(errkind.OutcomeUnknown, voidRetry, "the target's answer was lost")
 }
 
 func healthOf(status int) breaker.Result {
@@ -143,7 +143,7 @@
 	ledger := s.ledgerFor(o.service.Name)
 	answer, closed := ledger.Close(context.WithoutCancel(ctx), onceKey(o, workspace, m), termsOf(o.service), refusal.RetryAfter, refusal.Error())
 	if answer != nil {
-		return errkind.After(errkind.InProgress, 0, "the call has run; ask again with the same key for its answer")
+		return errkind.NewRetryAfter(errkind.InProgress, 0, "the call has run; ask again with the same key for its answer")
 	}
 	return closed
 }
--- a/internal/sidecar/gate.go
+++ b/internal/sidecar/gate.go
@@ -105,7 +105,7 @@
 		return errkind.New(errkind.Leaving, "the target is leaving")
 	}
 	if notBefore, blocked := g.breaker.Blocked(g.now()); blocked {
-		return errkind.After(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
+		return errkind.NewRetryAfter(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
 	}
 	return nil
 }
@@ -153,7 +153,7 @@
 	}
 	permit, ok, notBefore := g.breaker.Acquire(g.now())
 	if !ok {
-		return nil, errkind.After(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
+		return nil, errkind.NewRetryAfter(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
 	}
 	matched := g.matched(w)
 	prefill := g.prefillTime(w.PromptTokens - matched)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -35,7 +35,7 @@
 func (s *Sidecar) own() (own, *errkind.Error) {
 	snapshot, ok := s.board.Config.Get()
 	if !ok {
-		return own{}, errkind.After(errkind.ConfigurationMissing, time.Second, "")
+		return own{}, errkind.NewRetryAfter(errkind.ConfigurationMissing, time.Second, "")
 	}
 	service, _ := snapshot.Config.TargetNamed(s.settings.Name)
 	if service == nil {
@@ -57,7 +57,7 @@
 	loaded, _ := s.board.Engine.Get()
 	if loaded.Weights != weights || loaded.Loading {
 		const loadRetry = 200 * time.Millisecond
-		return errkind.After(errkind.WrongWeights, loadRetry, "loaded %q, asked for %q", loaded.Weights, weights)
+		return errkind.NewRetryAfter(errkind.WrongWeights, loadRetry, "loaded %q, asked for %q", loaded.Weights, weights)
 	}
 	return nil
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -106,7 +106,7 @@
 		gate:    NewGate(limits, s.Cache.MaxBlocks, s.Target.PrefillTokensPerSecond, clock),
 		runs:    newRuns(),
 		board:   &Board{},
-		loop:    control.NewLoop(s.Seed, d.Metrics.Control),
+		loop:    control.NewLoop(s.Seed, d.Metrics.ControlTime),
 		ledgers: map[string]*once.Ledger{},
 		ctx:     ctx, stop: stop,
 	}
