--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -53,7 +53,7 @@
 	t.Cleanup(c.Close)
 	carried := uint64(0)
 	eventually(t, "the configuration is carried forward", func() bool {
-		for _, r := range c.Log.ReadNow(configlog.Stream, 2).Records {
+		for _, r := range c.Log.ReadPage(configlog.Stream, 2).Records {
 			if strings.Contains(string(r.Data), `"type":"carry"`) {
 				carried = r.Offset
 			}
--- a/internal/cluster/failure_test.go
+++ b/internal/cluster/failure_test.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c.Log.AppendNow(configlog.Stream, data)
+	return c.Log.AppendRecord(configlog.Stream, data)
 }
 
 // Two workspaces send the same text, and new weights are put in force between
@@ -150,7 +150,7 @@
 	}
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
 	allEnginesGet(t, c, "2026-12")
-	if peak, total := c.Store.Peak(); peak > 2 || total != len(c.Engines) {
+	if peak, total := c.Store.FetchCounts(); peak > 2 || total != len(c.Engines) {
 		t.Errorf("%d of %d loads ran at once", peak, total)
 	}
 	if after := cachedTokens(t, c, "muenchen-token", b); after != 0 {
--- a/internal/configlog/fold_test.go
+++ b/internal/configlog/fold_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return log.AppendNow(Stream, data)
+	return log.AppendRecord(Stream, data)
 }
 
 // reader is a process that reads the stream now and then.
@@ -67,7 +67,7 @@
 					base = rapid.Uint64Range(0, base).Draw(rt, "base")
 				}
 				appendRecord(rt, log, Record{Type: TypePublish, Nonce: fmt.Sprint(n), Base: base, Text: textNumber(n)})
-				reference.folder.Read(log.ReadNow(Stream, reference.folder.Next()))
+				reference.folder.Read(log.ReadPage(Stream, reference.folder.Next()))
 				s := reference.folder.Snapshot()
 				accepted[s.Version] = s.Text
 			case "carry":
@@ -76,12 +76,12 @@
 				if snapshot := s.Snapshot(); snapshot.Version > 0 && !s.Undecided() {
 					appendRecord(rt, log, Record{Type: TypeCarry, Version: snapshot.Version, AsOf: snapshot.AsOf, Text: snapshot.Text})
 				}
-				reference.folder.Read(log.ReadNow(Stream, reference.folder.Next()))
+				reference.folder.Read(log.ReadPage(Stream, reference.folder.Next()))
 			case "trim":
 				trim(rt, log, reference.folder.Snapshot())
 			case "read":
 				r := rapid.SampledFrom(readers).Draw(rt, "reader")
-				r.folder.Read(log.ReadNow(Stream, r.folder.Next()))
+				r.folder.Read(log.ReadPage(Stream, r.folder.Next()))
 				r.see(rt)
 			case "ask":
 				r := rapid.SampledFrom(readers).Draw(rt, "asker")
@@ -99,7 +99,7 @@
 			appendRecord(rt, log, Record{Type: TypeCarry, Version: want.Version, AsOf: want.AsOf, Text: want.Text})
 		}
 		for i, r := range readers {
-			r.folder.Read(log.ReadNow(Stream, r.folder.Next()))
+			r.folder.Read(log.ReadPage(Stream, r.folder.Next()))
 			r.see(rt)
 			s := r.folder.Snapshot()
 			if s.Version > 0 && accepted[s.Version] != s.Text {
@@ -118,7 +118,7 @@
 // trim drops old records, but never the newest copy of what is in force: a
 // process carries it before its time is over.
 func trim(rt *rapid.T, log *standin.Log, inForce Snapshot) {
-	page := log.ReadNow(Stream, 1)
+	page := log.ReadPage(Stream, 1)
 	keepFrom := page.Next
 	for _, r := range page.Records {
 		if strings.Contains(string(r.Data), fmt.Sprintf(`"version":%d,`, inForce.Version)) || r.Offset == inForce.Version {
@@ -140,7 +140,7 @@
 }
 
 func (l *lossyLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
-	offset := l.AppendNow(stream, data)
+	offset := l.AppendRecord(stream, data)
 	if l.lose > 0 {
 		l.lose--
 		l.loseRead = true
@@ -154,7 +154,7 @@
 		l.loseRead = false
 		return nil, errors.New("answer lost")
 	}
-	return l.ReadNow(stream, from), nil
+	return l.ReadPage(stream, from), nil
 }
 
 // The log takes an operator's publish and loses its answer. The operator must
@@ -166,7 +166,7 @@
 		if err != nil || !verdict.Accepted {
 			t.Fatalf("%+v %v", verdict, err)
 		}
-		if n := len(log.ReadNow(Stream, 1).Records); n != 1 {
+		if n := len(log.ReadPage(Stream, 1).Records); n != 1 {
 			t.Fatalf("%d records", n)
 		}
 	})
@@ -201,7 +201,7 @@
 	if _, err := Publish(context.Background(), log, "n", 0, textNumber(9)); err == nil {
 		t.Fatal("a publish was accepted although nobody knows what is in force")
 	}
-	log.TrimTo(Stream, log.ReadNow(Stream, 1).Next)
+	log.TrimTo(Stream, log.ReadPage(Stream, 1).Next)
 	version, err := Recover(context.Background(), log, "r", textNumber(7))
 	if err != nil {
 		t.Fatal(err)
@@ -217,7 +217,7 @@
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "a", Text: textNumber(1)})
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "b", Base: 1, Text: "schema = 2"})
 	f := NewFolder()
-	f.Read(log.ReadNow(Stream, 1))
+	f.Read(log.ReadPage(Stream, 1))
 	verdicts := f.TakeVerdicts()
 	if f.Snapshot().Version != 1 || verdicts[1].Accepted || verdicts[1].Problem == nil {
 		t.Fatalf("%+v %+v", f.Snapshot(), verdicts)
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -69,7 +69,7 @@
 func Start(s *Settings, platform Platform, out io.Writer) (*Process, error) {
 	log := logging.NewBounded(out, s.Name, s.LogLinesPerSecond)
 	p := &process{
-		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), ordinary: logging.New(log.Ordinary(), s.Name), metrics: metrics.New(),
+		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), ordinary: logging.New(log.Routine(), s.Name), metrics: metrics.New(),
 		clock: hostclock.New(), burn: burn.NewCounter(time.Now), incarnation: rand.Uint64(), failed: make(chan error, 4),
 	}
 	p.loop = control.NewLoop(s.seed(), p.metrics.ControlTime)
--- a/internal/once/ledger_test.go
+++ b/internal/once/ledger_test.go
@@ -37,16 +37,16 @@
 	lost, delay := f.draw()
 	time.Sleep(delay)
 	if lost >= f.loss {
-		return f.log.AppendNow(stream, data), nil
+		return f.log.AppendRecord(stream, data), nil
 	}
 	if lost < f.loss/3 {
 		return 0, errors.New("refused")
 	}
 	if lost < f.loss*2/3 {
-		f.log.AppendNow(stream, data)
+		f.log.AppendRecord(stream, data)
 		return 0, errors.New("answer lost")
 	}
-	time.AfterFunc(3*time.Second, func() { f.log.AppendNow(stream, data) })
+	time.AfterFunc(3*time.Second, func() { f.log.AppendRecord(stream, data) })
 	return 0, errors.New("answer lost, append still on its way")
 }
 
@@ -56,7 +56,7 @@
 	if lost < f.loss {
 		return nil, errors.New("read lost")
 	}
-	return f.log.ReadNow(stream, from), nil
+	return f.log.ReadPage(stream, from), nil
 }
 
 const (
