--- a/cmd/toucanwell/admin.go
+++ b/cmd/toucanwell/admin.go
@@ -36,15 +36,15 @@
 }
 
 // answer is what one process said.
-type answer[T any] struct {
+type response[T any] struct {
 	address string
 	value   T
 	err     error
 }
 
 // askAll asks all processes at once and keeps their order.
-func askAll[T any](ctx context.Context, addresses []string, ask func(context.Context, *oas.Client) (T, error)) []answer[T] {
-	answers := make([]answer[T], len(addresses))
+func queryAll[T any](ctx context.Context, addresses []string, ask func(context.Context, *oas.Client) (T, error)) []response[T] {
+	answers := make([]response[T], len(addresses))
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Add(1)
@@ -69,7 +69,7 @@
 		Usage: "show which version each process has in force, and whether it is ready",
 		Flags: []cli.Flag{adminFlag(), outputFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			answers := askAll(ctx, c.StringSlice("admin"), func(ctx context.Context, client *oas.Client) (*oas.State, error) {
+			answers := queryAll(ctx, c.StringSlice("admin"), func(ctx context.Context, client *oas.Client) (*oas.State, error) {
 				return client.GetState(ctx)
 			})
 			if c.String("output") == "json" {
@@ -80,7 +80,7 @@
 	}
 }
 
-func printStates(answers []answer[*oas.State]) error {
+func printStates(answers []response[*oas.State]) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PROCESS\tROLE\tZONE\tVERSION\tREADY\tDRAINING\tIN FLIGHT\tSINCE")
 	failed := 0
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func printStatesJSON(answers []answer[*oas.State]) error {
+func printStatesJSON(answers []response[*oas.State]) error {
 	type row struct {
 		Address string     `json:"address"`
 		State   *oas.State `json:"state,omitempty"`
@@ -129,7 +129,7 @@
 				Name:  "configuration",
 				Usage: "print the text in force; its version goes to standard error",
 				Flags: []cli.Flag{adminFlag()},
-				Action: withFirst(func(ctx context.Context, client *oas.Client) error {
+				Action: withFirstProcess(func(ctx context.Context, client *oas.Client) error {
 					configuration, err := client.GetConfiguration(ctx)
 					if err != nil {
 						return err
@@ -143,7 +143,7 @@
 				Name:  "targets",
 				Usage: "list the targets with their states",
 				Flags: []cli.Flag{adminFlag()},
-				Action: withFirst(func(ctx context.Context, client *oas.Client) error {
+				Action: withFirstProcess(func(ctx context.Context, client *oas.Client) error {
 					list, err := client.GetTargets(ctx)
 					if err != nil {
 						return err
@@ -162,7 +162,7 @@
 }
 
 // withEach runs an action against one process named after the other.
-func withEach(action func(context.Context, *oas.Client) error) cli.ActionFunc {
+func forEachProcess(action func(context.Context, *oas.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		for _, address := range c.StringSlice("admin") {
 			client, err := adminClient(address)
@@ -178,7 +178,7 @@
 }
 
 // withFirst runs an action against the first process named.
-func withFirst(action func(context.Context, *oas.Client) error) cli.ActionFunc {
+func withFirstProcess(action func(context.Context, *oas.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		client, err := adminClient(c.StringSlice("admin")[0])
 		if err != nil {
--- a/cmd/toucanwell/explain.go
+++ b/cmd/toucanwell/explain.go
@@ -13,7 +13,7 @@
 )
 
 // exitNoLines tells that no log line tells of the request.
-const exitNoLines = 4
+const exitRequestNotFound = 4
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
@@ -37,7 +37,7 @@
 				return err
 			}
 			if len(story.Lines) == 0 {
-				return cli.Exit("", exitNoLines)
+				return cli.Exit("", exitRequestNotFound)
 			}
 			return nil
 		},
--- a/cmd/toucanwell/limits.go
+++ b/cmd/toucanwell/limits.go
@@ -22,7 +22,7 @@
 		Flags: []cli.Flag{adminFlag(), outputFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			var all []oas.WorkspaceLimit
-			err := withEach(func(ctx context.Context, client *oas.Client) error {
+			err := forEachProcess(func(ctx context.Context, client *oas.Client) error {
 				l, err := client.GetLimits(ctx)
 				if err == nil {
 					all = append(all, l.Workspaces...)
--- a/cmd/toucanwell/losses.go
+++ b/cmd/toucanwell/losses.go
@@ -48,10 +48,10 @@
 }
 
 // defaultAim judges routes of which no aim is named.
-const defaultAim = 500 * time.Millisecond
+const defaultObjective = 500 * time.Millisecond
 
 func lossesOptions(window time.Duration, aims []string) (losses.Options, error) {
-	o := losses.Options{Window: window, DefaultObjective: defaultAim, Objectives: map[string]time.Duration{}}
+	o := losses.Options{Window: window, DefaultObjective: defaultObjective, Objectives: map[string]time.Duration{}}
 	if window <= 0 {
 		return o, errors.Newf("window is %s; allowed is a time above 0", window)
 	}
@@ -83,27 +83,27 @@
 }
 
 // shownReasons is how many reasons a row names, the most frequent first.
-const shownReasons = 3
+const maxReasons = 3
 
 func printLosses(w io.Writer, rows []losses.Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "route\tfrom s\trequests\tin time\tlate\tgone\theld\tfetched\treasons")
 	for _, r := range rows {
 		fmt.Fprintf(t, "%s\t%.0f\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", r.Route, r.Start, r.Requests, r.InTime, r.Late, r.Cancelled,
-			shareOf(r.CachedTokens, r.SharedTokens), shareOf(r.FetchedTokens, r.SharedTokens), mainReasons(r.Reasons))
+			formatShare(r.CachedTokens, r.SharedTokens), formatShare(r.FetchedTokens, r.SharedTokens), topReasons(r.Reasons))
 	}
 	return t.Flush()
 }
 
 // shareOf is a share as a row shows it; a dash where there is nothing to share.
-func shareOf(part, whole int) string {
+func formatShare(part, whole int) string {
 	if whole == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", share(part, whole))
 }
 
-func mainReasons(reasons map[string]int) string {
+func topReasons(reasons map[string]int) string {
 	names := slices.SortedFunc(maps.Keys(reasons), func(a, b string) int {
 		if reasons[a] != reasons[b] {
 			return reasons[b] - reasons[a]
@@ -111,7 +111,7 @@
 		return strings.Compare(a, b)
 	})
 	var all []string
-	for _, name := range names[:min(len(names), shownReasons)] {
+	for _, name := range names[:min(len(names), maxReasons)] {
 		all = append(all, fmt.Sprintf("%d %s", reasons[name], name))
 	}
 	return strings.Join(all, ", ")
--- a/cmd/toucanwell/model.go
+++ b/cmd/toucanwell/model.go
@@ -34,7 +34,7 @@
 			outputFlag(),
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			rows, err := playModel(c)
+			rows, err := runModel(c)
 			if err != nil {
 				return cli.Exit(err.Error(), exitBadInput)
 			}
@@ -57,7 +57,7 @@
 	*batchmodel.Result
 }
 
-func playModel(c *cli.Command) ([]modelRow, error) {
+func runModel(c *cli.Command) ([]modelRow, error) {
 	spec, ok := batchmodel.Shapes[c.String("shape")]
 	if !ok {
 		return nil, errors.Newf("shape %q; there are %v", c.String("shape"), slices.Sorted(maps.Keys(batchmodel.Shapes)))
--- a/cmd/toucanwell/quarantine.go
+++ b/cmd/toucanwell/quarantine.go
@@ -24,7 +24,7 @@
 				Usage: "list what one entry refuses or suspects, and why; all entries know the same within a second",
 				Flags: []cli.Flag{adminFlag(), outputFlag()},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					return withFirst(func(ctx context.Context, client *oas.Client) error {
+					return withFirstProcess(func(ctx context.Context, client *oas.Client) error {
 						q, err := client.GetQuarantine(ctx)
 						if err != nil {
 							return err
@@ -42,7 +42,7 @@
 					if c.Args().Len() != 1 {
 						return cli.Exit("name the request: toucanwell quarantine release PRINT", exitBadInput)
 					}
-					return withFirst(func(ctx context.Context, client *oas.Client) error {
+					return withFirstProcess(func(ctx context.Context, client *oas.Client) error {
 						return client.ReleaseRequest(ctx, oas.ReleaseRequestParams{Print: c.Args().First()})
 					})(ctx, c)
 				},
@@ -60,14 +60,14 @@
 	for _, r := range q.Requests {
 		held := ""
 		if ms, ok := r.HeldMs.Get(); ok {
-			held = inMs(ms).String()
+			held = roundedMillis(ms).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s ago\t%s\n", r.Print, r.Verdict, r.Ends, r.Served, r.Workspace, r.Route, inMs(r.ChangedMsAgo), held)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%s ago\t%s\n", r.Print, r.Verdict, r.Ends, r.Served, r.Workspace, r.Route, roundedMillis(r.ChangedMsAgo), held)
 	}
 	return w.Flush()
 }
 
 // inMs is a time in milliseconds, rounded for people.
-func inMs(ms int64) time.Duration {
+func roundedMillis(ms int64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second)
 }
--- a/cmd/toucanwell/replay.go
+++ b/cmd/toucanwell/replay.go
@@ -44,7 +44,7 @@
 }
 
 func runReplay(_ context.Context, c *cli.Command) error {
-	shape, err := shapeNamed(c.String("shape"))
+	shape, err := findShape(c.String("shape"))
 	if err != nil {
 		return err
 	}
@@ -58,16 +58,16 @@
 	fmt.Printf("%s: %d engines, %d entries, %.2f requests a second and engine, %v, lag %v, loss %.2f, seed %d\n", shape.Name,
 		c.Int("engines"), c.Int("entries"), rate, c.Duration("length"), c.Duration("lag"), c.Float("loss"), c.Uint64("seed"))
 	var results []*replay.Result
-	policies, err := policiesOf(c)
+	policies, err := selectPolicies(c)
 	if err != nil {
 		return err
 	}
-	faults, err := faultsOf(c)
+	faults, err := parseFaults(c)
 	if err != nil {
 		return err
 	}
 	for _, policy := range policies {
-		records, done, err := recordsOf(c, shape, rate)
+		records, done, err := openRecords(c, shape, rate)
 		if err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 const zones = 3
 
 // faultsOf returns the fault that the flag names.
-func faultsOf(c *cli.Command) ([]replay.Fault, error) {
+func parseFaults(c *cli.Command) ([]replay.Fault, error) {
 	f := replay.Fault{At: c.Duration("length") / 2}
 	var part []int
 	for i := 0; i < c.Int("engines"); i += zones {
@@ -115,15 +115,15 @@
 }
 
 // policiesOf returns the wanted policies and the variants.
-func policiesOf(c *cli.Command) ([]replay.Policy, error) {
+func selectPolicies(c *cli.Command) ([]replay.Policy, error) {
 	var policies []replay.Policy
 	for _, policy := range replay.Policies() {
-		if wanted(policy.Name(), c.String("policies")) {
+		if matchesAny(policy.Name(), c.String("policies")) {
 			policies = append(policies, policy)
 		}
 	}
 	for _, text := range c.StringSlice("variant") {
-		policy, err := variant(text)
+		policy, err := parseVariant(text)
 		if err != nil {
 			return nil, err
 		}
@@ -133,7 +133,7 @@
 }
 
 // variant builds a policy from a text like "waste=2/4/8;content=50ms".
-func variant(text string) (replay.Policy, error) {
+func parseVariant(text string) (replay.Policy, error) {
 	weighing := routing.DefaultPolicy
 	oracle := false
 	for _, part := range strings.Split(text, ";") {
@@ -194,7 +194,7 @@
 }
 
 // recordsOf returns the records of the trace file or of the generator.
-func recordsOf(c *cli.Command, shape trace.Shape, rate float64) (iter.Seq[trace.Record], func() error, error) {
+func openRecords(c *cli.Command, shape trace.Shape, rate float64) (iter.Seq[trace.Record], func() error, error) {
 	path := c.String("trace")
 	if path == "" {
 		records := trace.Generate(shape, rate*float64(c.Int("engines")), c.Duration("length"), c.Uint64("seed"))
@@ -219,7 +219,7 @@
 	return records, func() error { return errors.CombineErrors(problem, file.Close()) }, nil
 }
 
-func shapeNamed(name string) (trace.Shape, error) {
+func findShape(name string) (trace.Shape, error) {
 	switch name {
 	case "marktlizenz":
 		return trace.Marktlizenz(), nil
@@ -229,7 +229,7 @@
 	return trace.Shape{}, errors.Newf("shape %q found; allowed are marktlizenz and olaje", name)
 }
 
-func wanted(name, list string) bool {
+func matchesAny(name, list string) bool {
 	if list == "" {
 		return true
 	}
--- a/cmd/toucanwell/report.go
+++ b/cmd/toucanwell/report.go
@@ -25,7 +25,7 @@
 		Usage: "show how fast the service-level objectives' error budgets burn",
 		Flags: []cli.Flag{adminFlag(), outputFlag(), &cli.StringFlag{Name: "plot", Usage: "write a picture of the burn by minute (SVG, or PNG by the ending)"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			r, err := gather(ctx, c.StringSlice("admin"), time.Now())
+			r, err := collectReport(ctx, c.StringSlice("admin"), time.Now())
 			if err != nil {
 				return err
 			}
@@ -53,9 +53,9 @@
 	now    time.Time
 }
 
-func gather(ctx context.Context, addresses []string, now time.Time) (*report, error) {
+func collectReport(ctx context.Context, addresses []string, now time.Time) (*report, error) {
 	r := &report{now: now, Missing: []string{}}
-	answers := askAll(ctx, addresses, func(ctx context.Context, client *oas.Client) (*oas.Burn, error) { return client.GetBurn(ctx) })
+	answers := queryAll(ctx, addresses, func(ctx context.Context, client *oas.Client) (*oas.Burn, error) { return client.GetBurn(ctx) })
 	for _, a := range answers {
 		if a.err != nil {
 			r.Missing = append(r.Missing, fmt.Sprintf("%s gave no answer: %v", a.address, a.err))
@@ -69,7 +69,7 @@
 			r.counts = append(r.counts, burn.Count{Key: key, Minute: row.MinuteUnix, Good: row.Good, Bad: row.Bad})
 		}
 	}
-	if r.goals = toldGoals(answers); len(r.goals) == 0 {
+	if r.goals = reportedGoals(answers); len(r.goals) == 0 {
 		goals, err := objectives(ctx, addresses)
 		if err != nil {
 			return nil, err
@@ -82,7 +82,7 @@
 }
 
 // toldGoals are the goals of the first process that tells its own.
-func toldGoals(answers []answer[*oas.Burn]) []burn.Goal {
+func reportedGoals(answers []response[*oas.Burn]) []burn.Goal {
 	for _, a := range answers {
 		if a.err != nil || len(a.value.Goals) == 0 {
 			continue
@@ -98,7 +98,7 @@
 
 // objectives reads the goals from the newest configuration in force.
 func objectives(ctx context.Context, addresses []string) ([]burn.Goal, error) {
-	answers := askAll(ctx, addresses, func(ctx context.Context, client *oas.Client) (*oas.Configuration, error) {
+	answers := queryAll(ctx, addresses, func(ctx context.Context, client *oas.Client) (*oas.Configuration, error) {
 		return client.GetConfiguration(ctx)
 	})
 	var newest *oas.Configuration
@@ -143,7 +143,7 @@
 	plotTop    = 50
 	plotLeft   = 160
 	// leastBurnShown keeps the line of an even burn, 1, inside the picture.
-	leastBurnShown = 2.0
+	minPlottedBurn = 2.0
 )
 
 // plot draws the burn of each objective by minute, and the even burn that would
@@ -156,7 +156,7 @@
 		Background: chart.Style{Padding: chart.Box{Top: plotTop, Left: plotLeft}},
 		XAxis:      chart.XAxis{ValueFormatter: chart.TimeValueFormatterWithFormat("15:04")},
 	}
-	highest := leastBurnShown
+	highest := minPlottedBurn
 	for _, g := range r.goals {
 		s := r.series(g)
 		highest = max(highest, slices.Max(s.YValues))
--- a/cmd/toucanwell/standin.go
+++ b/cmd/toucanwell/standin.go
@@ -16,7 +16,7 @@
 )
 
 // storeBears is how many fetches the store behind one engine bears.
-const storeBears = 2
+const storeConcurrency = 2
 
 func standinCommand() *cli.Command {
 	return &cli.Command{
@@ -46,7 +46,7 @@
 	case "hosts":
 		return standin.NewHosts().Handler(), nil
 	case "engine":
-		return standin.NewEngine(cluster.DefaultCosts, weights, standin.NewWeightStore(storeBears)).Handler(), nil
+		return standin.NewEngine(cluster.DefaultCosts, weights, standin.NewWeightStore(storeConcurrency)).Handler(), nil
 	case "plain":
 		return standin.NewPlain().Handler(), nil
 	}
@@ -64,7 +64,7 @@
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			shape, err := shapeNamed(c.String("shape"))
+			shape, err := findShape(c.String("shape"))
 			if err != nil {
 				return err
 			}
--- a/cmd/toucanwelld/gateway.go
+++ b/cmd/toucanwelld/gateway.go
@@ -17,7 +17,7 @@
 
 // memoryShare is the part of a process's memory at which the garbage collector
 // works harder; the rest is for stacks and what it has not yet returned.
-const memoryShare = 0.7
+const memoryLimitRatio = 0.7
 
 // gatewayCommand runs a process in a deployment whose state lies in the
 // platform's store.
@@ -38,7 +38,7 @@
 		fmt.Println("settings are good")
 		return nil
 	}
-	debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryLimitRatio))
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	p, err := gateway.Start(s, platform.New(s.Store.Address), os.Stdout)
@@ -54,7 +54,7 @@
 
 // serve runs until a signal to stop, and takes over changed settings.
 func serve(p *gateway.Process, path string, signals <-chan os.Signal) error {
-	changed := changedAt(path)
+	changed := modTime(path)
 	tick := time.NewTicker(reloadPeriod)
 	defer tick.Stop()
 	for {
@@ -64,10 +64,10 @@
 				p.Stop()
 				return nil
 			}
-			changed = changedAt(path)
+			changed = modTime(path)
 			reload(p, path)
 		case <-tick.C:
-			if now := changedAt(path); now != changed {
+			if now := modTime(path); now != changed {
 				changed = now
 				reload(p, path)
 			}
@@ -80,7 +80,7 @@
 
 // changedAt is when the settings file was written last; the zero time when it
 // cannot be looked at, which the next reload tells.
-func changedAt(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -133,12 +133,12 @@
 }
 
 // errNoRecords is what processes answer that keep no records of requests.
-var errNoRecords = errkind.New(errkind.UnknownRoute, "this process keeps no records of requests; ask an entry of a gateway")
+var errNoQuarantine = errkind.New(errkind.UnknownRoute, "this process keeps no records of requests; ask an entry of a gateway")
 
 // GetQuarantine implements oas.Handler.
 func (s *server) GetQuarantine(context.Context) (*oas.Quarantine, error) {
 	if s.Quarantine == nil {
-		return nil, errNoRecords
+		return nil, errNoQuarantine
 	}
 	return &oas.Quarantine{Requests: append([]oas.QuarantinedRequest{}, s.Quarantine()...)}, nil
 }
@@ -146,7 +146,7 @@
 // ReleaseRequest implements oas.Handler.
 func (s *server) ReleaseRequest(_ context.Context, params oas.ReleaseRequestParams) error {
 	if s.Release == nil {
-		return errNoRecords
+		return errNoQuarantine
 	}
 	if !s.Release(params.Print) {
 		return errkind.New(errkind.UnknownRun, "nothing is held against request %s", params.Print)
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -48,17 +48,17 @@
 	for rest != "" {
 		var f Field
 		var ok bool
-		if f, rest, ok = next(rest); !ok {
+		if f, rest, ok = cutField(rest); !ok {
 			return Line{}, false
 		}
-		if !l.take(f) {
+		if !l.setField(f) {
 			return Line{}, false
 		}
 	}
 	return l, l.Event != ""
 }
 
-func (l *Line) take(f Field) bool {
+func (l *Line) setField(f Field) bool {
 	var err error
 	switch f.Key {
 	case "time":
@@ -75,7 +75,7 @@
 }
 
 // next cuts the first pair off a line.
-func next(text string) (Field, string, bool) {
+func cutField(text string) (Field, string, bool) {
 	key, rest, ok := strings.Cut(text, "=")
 	if !ok {
 		return Field{}, "", false
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -13,16 +13,16 @@
 const (
 	// requestField names the request on its lines, and printField what its caller's other
 	// tries have in common with it.
-	requestField = "request_id"
-	printField   = "print"
+	requestField     = "request_id"
+	fingerprintField = "print"
 	// maxLine is the longest line that is read; longer ones are no lines of ours.
-	maxLine = 1 << 20
+	maxLineBytes = 1 << 20
 	// Before is how long before a request's first line beliefs are told.
 	Lookback = 5 * time.Second
 )
 
 // beliefEvents are the lines that tell of a changed belief or dependency.
-var beliefEvents = []string{
+var stateChangeEvents = []string{
 	"estate_in_force", "weights_wanted", "target_listed", "target_unlisted", "target_gone", "engine_told", "engine_told_silent", "target_rested",
 	"store_lost", "store_regained", "list_regained", "feed_trimmed", "fetch_failed", "peer_heard", "peer_silent", "host_woke", "declaration_refused",
 	"settings_reloaded", "settings_refused", "started", "stopping", "stopped", "stop_cut_requests", "log_lines_dropped",
@@ -32,7 +32,7 @@
 
 // suspectEvents are the lines that tell what is held against a request. They may be older
 // than the try that is asked for, and concern all tries of it.
-var suspectEvents = []string{"request_blamed", "request_blame_told", "request_held", "request_quarantined", "request_not_quarantined", "request_cleared", "request_released", "quarantine_kept"}
+var quarantineEvents = []string{"request_blamed", "request_blame_told", "request_held", "request_quarantined", "request_not_quarantined", "request_cleared", "request_released", "quarantine_kept"}
 
 // Story is what the logs tell of one request.
 type Story struct {
@@ -55,16 +55,16 @@
 	var beliefs, held []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			l, ok := Parse(scanner.Text())
 			switch {
 			case !ok:
-			case l.Get(requestField) == id || l.Get(requestField) != "" && l.Get(printField) == id:
+			case l.Get(requestField) == id || l.Get(requestField) != "" && l.Get(fingerprintField) == id:
 				s.Lines = append(s.Lines, l)
-			case slices.Contains(suspectEvents, l.Event):
+			case slices.Contains(quarantineEvents, l.Event):
 				held = append(held, l)
-			case slices.Contains(beliefEvents, l.Event):
+			case slices.Contains(stateChangeEvents, l.Event):
 				beliefs = append(beliefs, l)
 			}
 		}
@@ -72,29 +72,29 @@
 			return nil, err
 		}
 	}
-	byTime(s.Lines)
-	byTime(beliefs)
+	sortByTime(s.Lines)
+	sortByTime(beliefs)
 	for _, l := range held {
-		if s.has(func(own *Line) bool { return own.Get(printField) == l.Get(printField) }) {
+		if s.containsLine(func(own *Line) bool { return own.Get(fingerprintField) == l.Get(fingerprintField) }) {
 			s.StateChanges = append(s.StateChanges, l)
 		}
 	}
 	for _, l := range beliefs {
-		if s.concerns(&l) {
+		if s.isRelevant(&l) {
 			s.StateChanges = append(s.StateChanges, l)
 			s.Dropped = s.Dropped || l.Event == "log_lines_dropped"
 		}
 	}
-	byTime(s.StateChanges)
+	sortByTime(s.StateChanges)
 	return s, nil
 }
 
-func byTime(lines []Line) {
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
 // concerns reports whether a belief may have decided something about the request.
-func (s *Story) concerns(l *Line) bool {
+func (s *Story) isRelevant(l *Line) bool {
 	if len(s.Lines) == 0 {
 		return false
 	}
@@ -102,13 +102,13 @@
 	if l.Time.Before(from) || l.Time.After(to) {
 		return false
 	}
-	return s.has(func(own *Line) bool {
-		return own.Process == l.Process && (target(l) == "" || target(l) == own.Get("target") || target(l) == own.Get("address"))
+	return s.containsLine(func(own *Line) bool {
+		return own.Process == l.Process && (targetOf(l) == "" || targetOf(l) == own.Get("target") || targetOf(l) == own.Get("address"))
 	})
 }
 
 // target is the target that a belief is about, by its instance or its address.
-func target(l *Line) string {
+func targetOf(l *Line) string {
 	if t := l.Get("target"); t != "" {
 		return t
 	}
@@ -118,7 +118,7 @@
 	return ""
 }
 
-func (s *Story) has(match func(*Line) bool) bool {
+func (s *Story) containsLine(match func(*Line) bool) bool {
 	return slices.ContainsFunc(s.Lines, func(l Line) bool { return match(&l) })
 }
 
@@ -156,13 +156,13 @@
 	fmt.Fprintf(w, "\n%s:\n", title)
 	for i := range lines {
 		l := &lines[i]
-		fmt.Fprintf(w, "  %+.1f ms\t%s\t%s\t%s\n", float64(l.Time.Sub(begin).Microseconds())/1000, l.Process, l.Event, told(l))
+		fmt.Fprintf(w, "  %+.1f ms\t%s\t%s\t%s\n", float64(l.Time.Sub(begin).Microseconds())/1000, l.Process, l.Event, formatFields(l))
 	}
 	return w.Flush()
 }
 
 // told joins the fields that say something.
-func told(l *Line) string {
+func formatFields(l *Line) string {
 	var b strings.Builder
 	for _, f := range l.Fields {
 		if f.Key == requestField || f.Value == "" || f.Value == "0s" || f.Value == "invalid AddrPort" {
--- a/internal/load/events.go
+++ b/internal/load/events.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
 // eventReader yields the data of server-sent events.
 type eventReader struct{ lines *bufio.Scanner }
 
 func newEventReader(in io.Reader) *eventReader {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 0, 4096), maxEvent)
+	lines.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	return &eventReader{lines}
 }
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -100,7 +100,7 @@
 	return messages
 }
 
-func promptOf(messages []message) string {
+func promptText(messages []message) string {
 	var text strings.Builder
 	for _, m := range messages {
 		text.WriteString("<" + m.Role + ">" + m.Content + "\n")
@@ -137,7 +137,7 @@
 		out.Failure = fmt.Sprintf("%d %s", resp.StatusCode, text)
 		return out
 	}
-	out.readStream(resp.Body, start, standin.Transcript(promptOf(messages), r.OutputLength))
+	out.checkStream(resp.Body, start, standin.Transcript(promptText(messages), r.OutputLength))
 	return out
 }
 
@@ -149,16 +149,16 @@
 	}
 }
 
-var errNoEnd = errors.New("stream without its end mark")
+var errTruncatedStream = errors.New("stream without its end mark")
 
 // readStream reads the events up to the end mark and compares the text.
-func (out *Outcome) readStream(body io.Reader, start time.Time, want string) {
+func (out *Outcome) checkStream(body io.Reader, start time.Time, want string) {
 	var text strings.Builder
 	dec := newEventReader(body)
 	for {
 		data, err := dec.next()
 		if err != nil {
-			out.Failure = errNoEnd.Error()
+			out.Failure = errTruncatedStream.Error()
 			return
 		}
 		if out.TTFT == 0 {
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -18,23 +18,23 @@
 type Bounded struct {
 	out     io.Writer
 	process string
-	perSec  int
+	limit   int
 	lines   chan []byte
 	dropped atomic.Uint64
-	ended   chan struct{}
+	done    chan struct{}
 	mu      sync.Mutex
 	second  int64
 	// inSec and ordinary count the second's lines, all and ordinary ones.
-	inSec, ordinary int
-	closed          bool
+	linesInSecond, routineInSecond int
+	closed                         bool
 }
 
 const (
 	// bufferedLines bounds the memory that a stuck reader costs: 1,024 lines of
 	// some 300 bytes.
-	bufferedLines = 1024
+	maxBufferedLines = 1024
 	// ordinaryShare is the part of the rate that ordinary lines may take.
-	ordinaryShare = 0.7
+	routineShare = 0.7
 	// closeTimeout bounds the wait for a stuck reader at the end.
 	closeTimeout = 200 * time.Millisecond
 )
@@ -42,7 +42,7 @@
 // NewBounded returns a writer of at most perSecond lines a second to out, for the
 // process of a name.
 func NewBounded(out io.Writer, process string, perSecond int) *Bounded {
-	b := &Bounded{out: out, process: process, perSec: perSecond, lines: make(chan []byte, bufferedLines), ended: make(chan struct{})}
+	b := &Bounded{out: out, process: process, limit: perSecond, lines: make(chan []byte, maxBufferedLines), done: make(chan struct{})}
 	go b.run()
 	return b
 }
@@ -51,17 +51,17 @@
 func (b *Bounded) Write(line []byte) (int, error) { return b.write(line, false), nil }
 
 // Ordinary returns the writer of ordinary lines.
-func (b *Bounded) Routine() io.Writer { return ordinary{b} }
+func (b *Bounded) Routine() io.Writer { return routineWriter{b} }
 
-type ordinary struct{ *Bounded }
+type routineWriter struct{ *Bounded }
 
 // Write implements io.Writer.
-func (o ordinary) Write(line []byte) (int, error) { return o.write(line, true), nil }
+func (o routineWriter) Write(line []byte) (int, error) { return o.write(line, true), nil }
 
 func (b *Bounded) write(line []byte, ordinary bool) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.closed || !b.allowed(time.Now().Unix(), ordinary) {
+	if b.closed || !b.allow(time.Now().Unix(), ordinary) {
 		b.dropped.Add(1)
 		return len(line)
 	}
@@ -74,16 +74,16 @@
 }
 
 // allowed counts a line against the second's budget. The caller holds mu.
-func (b *Bounded) allowed(second int64, ordinary bool) bool {
+func (b *Bounded) allow(second int64, ordinary bool) bool {
 	if second != b.second {
-		b.second, b.inSec, b.ordinary = second, 0, 0
+		b.second, b.linesInSecond, b.routineInSecond = second, 0, 0
 	}
-	if ordinary && b.ordinary >= int(ordinaryShare*float64(b.perSec)) || b.inSec >= b.perSec {
+	if ordinary && b.routineInSecond >= int(routineShare*float64(b.limit)) || b.linesInSecond >= b.limit {
 		return false
 	}
-	b.inSec++
+	b.linesInSecond++
 	if ordinary {
-		b.ordinary++
+		b.routineInSecond++
 	}
 	return true
 }
@@ -92,7 +92,7 @@
 func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
 
 func (b *Bounded) run() {
-	defer close(b.ended)
+	defer close(b.done)
 	var told uint64
 	for line := range b.lines {
 		if dropped := b.dropped.Load(); dropped > told {
@@ -112,7 +112,7 @@
 	}
 	b.mu.Unlock()
 	select {
-	case <-b.ended:
+	case <-b.done:
 	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -10,26 +10,26 @@
 )
 
 // stuck is an output whose reader has stopped reading until it is released.
-type stuck struct {
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
 // Whoever reads the log is stuck. Requests go on: lines are dropped, and the
 // log says how many when it gets through again.
 func TestStuckReaderCostsLinesNotRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		b := NewBounded(out, "p", 1<<20)
-		const lines = 3 * bufferedLines
+		const lines = 3 * maxBufferedLines
 		for range lines {
 			if n, err := b.Write([]byte("line\n")); n != 5 || err != nil {
 				t.Fatalf("%d, %v", n, err)
@@ -39,9 +39,9 @@
 		synctest.Wait()
 		_, _ = b.Write([]byte("line\n"))
 		b.Close()
-		text := out.got.String()
+		text := out.written.String()
 		written := strings.Count(text, "line\n")
-		if written+int(b.Dropped()) != lines+1 || written < bufferedLines {
+		if written+int(b.Dropped()) != lines+1 || written < maxBufferedLines {
 			t.Errorf("%d written, %d dropped", written, b.Dropped())
 		}
 		if !strings.Contains(text, "msg=log_lines_dropped process=\"p\" lines=") {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -12,13 +12,13 @@
 
 // New returns a logger that writes to w and names the process on each line.
 func New(w io.Writer, process string) logr.Logger {
-	handler := slog.NewTextHandler(w, &slog.HandlerOptions{Level: slog.LevelInfo, ReplaceAttr: plainErrors})
+	handler := slog.NewTextHandler(w, &slog.HandlerOptions{Level: slog.LevelInfo, ReplaceAttr: errorAsText})
 	return logr.FromSlogHandler(handler).WithValues("process", process)
 }
 
 // plainErrors writes an error as its message: the long form would put a stack
 // trace into the line.
-func plainErrors(_ []string, a slog.Attr) slog.Attr {
+func errorAsText(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
 	}
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -18,7 +18,7 @@
 )
 
 // maxLine is the longest log line that is read; longer ones are no lines of ours.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Reasons for an answer that was late, by what took the most time of it.
 const (
@@ -61,10 +61,10 @@
 }
 
 // sent is what a request's sends were expected to take.
-type sent struct {
-	wait, read, fetch, kept time.Duration
-	shared, held, fetched   int
-	sends                   int
+type sendEstimate struct {
+	engineWait, prefill, fetch, entryWait     time.Duration
+	sharedTokens, cachedTokens, fetchedTokens int
+	sends                                     int
 }
 
 // Read makes the table of the logs, in the order of time and routes.
@@ -73,9 +73,9 @@
 	if err != nil || len(lines) == 0 {
 		return nil, err
 	}
-	table := &table{options: o, start: lines[0].Time, sends: map[string]*sent{}, rows: map[key]*Row{}}
+	table := &table{options: o, start: lines[0].Time, sends: map[string]*sendEstimate{}, rows: map[rowKey]*Row{}}
 	for i := range lines {
-		table.take(&lines[i])
+		table.add(&lines[i])
 	}
 	return table.sorted(), nil
 }
@@ -84,7 +84,7 @@
 	var lines []explain.Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			l, ok := explain.Parse(scanner.Text())
 			if ok && (l.Event == "request_sent" || l.Event == "request_done") {
@@ -99,7 +99,7 @@
 	return lines, nil
 }
 
-type key struct {
+type rowKey struct {
 	route  string
 	window int
 }
@@ -107,48 +107,48 @@
 type table struct {
 	options Options
 	start   time.Time
-	sends   map[string]*sent
-	rows    map[key]*Row
+	sends   map[string]*sendEstimate
+	rows    map[rowKey]*Row
 }
 
-func (t *table) take(l *explain.Line) {
+func (t *table) add(l *explain.Line) {
 	id := l.Process + "\x00" + l.Get("request_id")
 	if l.Event == "request_sent" {
-		s := &sent{
-			wait: duration(l, "wait"), read: duration(l, "read"), fetch: duration(l, "fetch"), kept: duration(l, "kept"),
-			shared: number(l, "shared"), held: number(l, "held"), fetched: number(l, "fetched"), sends: number(l, "send"),
+		s := &sendEstimate{
+			engineWait: durationField(l, "wait"), prefill: durationField(l, "read"), fetch: durationField(l, "fetch"), entryWait: durationField(l, "kept"),
+			sharedTokens: intField(l, "shared"), cachedTokens: intField(l, "held"), fetchedTokens: intField(l, "fetched"), sends: intField(l, "send"),
 		}
 		t.sends[id] = s
 		return
 	}
-	t.done(l, t.sends[id])
+	t.countDone(l, t.sends[id])
 	delete(t.sends, id)
 }
 
 // done counts a request that has ended; s is nil for one that was never sent.
-func (t *table) done(l *explain.Line, s *sent) {
-	row := t.row(l)
+func (t *table) countDone(l *explain.Line, s *sendEstimate) {
+	row := t.rowFor(l)
 	row.Requests++
 	if s != nil {
-		row.SharedTokens += s.shared
-		row.CachedTokens += s.held
-		row.FetchedTokens += s.fetched
+		row.SharedTokens += s.sharedTokens
+		row.CachedTokens += s.cachedTokens
+		row.FetchedTokens += s.fetchedTokens
 	}
 	switch outcome := l.Get("outcome"); {
 	case outcome == "cancelled":
 		row.Cancelled++
 	case outcome != "answered":
 		row.Reasons[outcome]++
-	case duration(l, "first") <= t.aim(row.Route):
+	case durationField(l, "first") <= t.objective(row.Route):
 		row.InTime++
 	default:
 		row.Late++
-		row.Reasons["late: "+reason(duration(l, "first"), s)]++
+		row.Reasons["late: "+lateReason(durationField(l, "first"), s)]++
 	}
 }
 
 // reason names what took the most of the time until the first event.
-func reason(first time.Duration, s *sent) string {
+func lateReason(first time.Duration, s *sendEstimate) string {
 	if s == nil {
 		return ReasonUnexpected
 	}
@@ -156,15 +156,15 @@
 		return ReasonResend
 	}
 	parts := map[string]time.Duration{
-		ReasonEntryWait: s.kept, ReasonEngineWait: s.wait, ReasonPrefill: s.read, ReasonFetch: s.fetch,
-		ReasonUnexpected: first - s.kept - s.wait - s.read - s.fetch,
+		ReasonEntryWait: s.entryWait, ReasonEngineWait: s.engineWait, ReasonPrefill: s.prefill, ReasonFetch: s.fetch,
+		ReasonUnexpected: first - s.entryWait - s.engineWait - s.prefill - s.fetch,
 	}
 	names := slices.Sorted(maps.Keys(parts))
 	return slices.MaxFunc(names, func(a, b string) int { return cmp.Compare(parts[a], parts[b]) })
 }
 
-func (t *table) row(l *explain.Line) *Row {
-	k := key{route: l.Get("route"), window: int(l.Time.Sub(t.start) / t.options.Window)}
+func (t *table) rowFor(l *explain.Line) *Row {
+	k := rowKey{route: l.Get("route"), window: int(l.Time.Sub(t.start) / t.options.Window)}
 	row := t.rows[k]
 	if row == nil {
 		row = &Row{Route: k.route, Start: (time.Duration(k.window) * t.options.Window).Seconds(), Reasons: map[string]int{}}
@@ -173,7 +173,7 @@
 	return row
 }
 
-func (t *table) aim(route string) time.Duration {
+func (t *table) objective(route string) time.Duration {
 	if aim, ok := t.options.Objectives[route]; ok {
 		return aim
 	}
@@ -191,7 +191,7 @@
 
 // duration reads a field of a line; one that is missing or no duration counts as none,
 // as for requests without a prompt.
-func duration(l *explain.Line, field string) time.Duration {
+func durationField(l *explain.Line, field string) time.Duration {
 	d, err := time.ParseDuration(l.Get(field))
 	if err != nil {
 		return 0
@@ -200,7 +200,7 @@
 }
 
 // number reads a field of a line; one that is missing or no number counts as none.
-func number(l *explain.Line, field string) int {
+func intField(l *explain.Line, field string) int {
 	n, err := strconv.Atoi(l.Get(field))
 	if err != nil {
 		return 0
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,30 +12,30 @@
 	// Registry gathers them.
 	Registry *prometheus.Registry
 
-	requests       *prometheus.CounterVec
-	refusals       *prometheus.CounterVec
-	ttft           *prometheus.HistogramVec
-	promptTokens   *prometheus.CounterVec
-	cachedTokens   *prometheus.CounterVec
-	wastedTokens   *prometheus.CounterVec
-	retries        *prometheus.CounterVec
-	resumes        prometheus.Counter
-	probes         prometheus.Counter
-	queueWaiting   prometheus.Gauge
-	queueRunning   prometheus.Gauge
-	indexBlocks    prometheus.Gauge
-	eventGaps      prometheus.Gauge
-	configVersion  prometheus.Gauge
-	logErrors      *prometheus.CounterVec
-	controlSeconds prometheus.Counter
-	connections    prometheus.Counter
-	refusedTargets prometheus.Counter
-	storeCalls     *prometheus.HistogramVec
-	orders         *prometheus.CounterVec
-	waits          *prometheus.HistogramVec
-	blamed         *prometheus.CounterVec
-	evicted        prometheus.Counter
-	rateLimits     *prometheus.CounterVec
+	requests           *prometheus.CounterVec
+	refusals           *prometheus.CounterVec
+	ttft               *prometheus.HistogramVec
+	promptTokens       *prometheus.CounterVec
+	cachedTokens       *prometheus.CounterVec
+	recomputedTokens   *prometheus.CounterVec
+	retries            *prometheus.CounterVec
+	resumes            prometheus.Counter
+	probes             prometheus.Counter
+	queueWaiting       prometheus.Gauge
+	queueRunning       prometheus.Gauge
+	indexBlocks        prometheus.Gauge
+	eventGaps          prometheus.Gauge
+	configVersion      prometheus.Gauge
+	logErrors          *prometheus.CounterVec
+	controlSeconds     prometheus.Counter
+	connections        prometheus.Counter
+	refusedEntries     prometheus.Counter
+	storeCalls         *prometheus.HistogramVec
+	weightsOrders      *prometheus.CounterVec
+	placementWait      *prometheus.HistogramVec
+	attributedCrashes  *prometheus.CounterVec
+	evictedSuspects    prometheus.Counter
+	rateLimitDecisions *prometheus.CounterVec
 }
 
 var ttftBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.62, 1, 2, 4, 8, 16, 32}
@@ -50,14 +50,14 @@
 		return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "toucanwell", Name: name, Help: help})
 	}
 	m := &Metrics{
-		Registry:     prometheus.NewRegistry(),
-		requests:     counter("requests_total", "Requests taken.", labels...),
-		refusals:     counter("refusals_total", "Requests refused, by kind.", "service", "class", "kind"),
-		promptTokens: counter("prompt_tokens_total", "Prompt tokens of finished requests.", labels...),
-		cachedTokens: counter("cached_tokens_total", "Prompt tokens that the engine had cached.", labels...),
-		wastedTokens: counter("recomputed_tokens_total", "Prompt tokens of shared levels that an engine computed although another target held them when asked.", labels...),
-		retries:      counter("retries_total", "Tries after the first, by cause.", "cause"),
-		logErrors:    counter("log_errors_total", "Failed calls of the platform's log.", "call"),
+		Registry:         prometheus.NewRegistry(),
+		requests:         counter("requests_total", "Requests taken.", labels...),
+		refusals:         counter("refusals_total", "Requests refused, by kind.", "service", "class", "kind"),
+		promptTokens:     counter("prompt_tokens_total", "Prompt tokens of finished requests.", labels...),
+		cachedTokens:     counter("cached_tokens_total", "Prompt tokens that the engine had cached.", labels...),
+		recomputedTokens: counter("recomputed_tokens_total", "Prompt tokens of shared levels that an engine computed although another target held them when asked.", labels...),
+		retries:          counter("retries_total", "Tries after the first, by cause.", "cause"),
+		logErrors:        counter("log_errors_total", "Failed calls of the platform's log.", "call"),
 		ttft: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "toucanwell", Name: "ttft_seconds", Help: "Time to first token.", Buckets: ttftBuckets,
 		}, labels),
@@ -65,26 +65,26 @@
 		probes:         prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "probes_total", Help: "Probes sent to sidecars."}),
 		controlSeconds: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "control_seconds_total", Help: "Time spent on the control thread."}),
 		connections:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "target_connections_total", Help: "Connections opened to targets."}),
-		refusedTargets: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "target_entries_refused_total", Help: "Entries of the platform's list that name no target."}),
+		refusedEntries: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "target_entries_refused_total", Help: "Entries of the platform's list that name no target."}),
 		storeCalls: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "toucanwell", Name: "store_call_seconds", Help: "Calls of the platform's store, by topic and result.", Buckets: ttftBuckets,
 		}, []string{"topic", "result"}),
-		waits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		placementWait: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "toucanwell", Name: "placement_wait_seconds", Help: "Time between a request's arrival and its first send.", Buckets: ttftBuckets,
 		}, labels),
-		blamed:        counter("blamed_requests_total", "Ends of targets held against a request, by whose word: own or told.", "word"),
-		evicted:       prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "suspects_evicted_total", Help: "Records of suspects dropped for want of room."}),
-		rateLimits:    counter("rate_limit_decisions_total", "Requests of workspaces with a rate limit, by who decided and what.", "source", "outcome"),
-		orders:        counter("weights_orders_total", "Orders to load weights, by outcome.", "outcome"),
-		queueWaiting:  gauge("queue_waiting", "Requests that wait at this sidecar."),
-		queueRunning:  gauge("queue_running", "Requests that run at this sidecar's target."),
-		indexBlocks:   gauge("index_blocks", "Blocks in the prefix index."),
-		eventGaps:     gauge("event_gaps", "Losses found in the engine's event stream."),
-		configVersion: gauge("config_version", "Version of the configuration in force."),
+		attributedCrashes:  counter("blamed_requests_total", "Ends of targets held against a request, by whose word: own or told.", "word"),
+		evictedSuspects:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "suspects_evicted_total", Help: "Records of suspects dropped for want of room."}),
+		rateLimitDecisions: counter("rate_limit_decisions_total", "Requests of workspaces with a rate limit, by who decided and what.", "source", "outcome"),
+		weightsOrders:      counter("weights_orders_total", "Orders to load weights, by outcome.", "outcome"),
+		queueWaiting:       gauge("queue_waiting", "Requests that wait at this sidecar."),
+		queueRunning:       gauge("queue_running", "Requests that run at this sidecar's target."),
+		indexBlocks:        gauge("index_blocks", "Blocks in the prefix index."),
+		eventGaps:          gauge("event_gaps", "Losses found in the engine's event stream."),
+		configVersion:      gauge("config_version", "Version of the configuration in force."),
 	}
-	m.Registry.MustRegister(m.requests, m.refusals, m.ttft, m.promptTokens, m.cachedTokens, m.wastedTokens,
+	m.Registry.MustRegister(m.requests, m.refusals, m.ttft, m.promptTokens, m.cachedTokens, m.recomputedTokens,
 		m.retries, m.resumes, m.probes, m.queueWaiting, m.queueRunning, m.indexBlocks, m.eventGaps,
-		m.configVersion, m.logErrors, m.controlSeconds, m.connections, m.refusedTargets, m.storeCalls, m.orders, m.waits, m.blamed, m.evicted, m.rateLimits)
+		m.configVersion, m.logErrors, m.controlSeconds, m.connections, m.refusedEntries, m.storeCalls, m.weightsOrders, m.placementWait, m.attributedCrashes, m.evictedSuspects, m.rateLimitDecisions)
 	return m
 }
 
@@ -103,7 +103,7 @@
 
 // Waited records how long a request was kept before its first send.
 func (m *Metrics) PlacementWait(service, class string, d time.Duration) {
-	m.waits.WithLabelValues(service, class).Observe(d.Seconds())
+	m.placementWait.WithLabelValues(service, class).Observe(d.Seconds())
 }
 
 // Gauge registers a gauge that is read when metrics are gathered.
@@ -116,7 +116,7 @@
 func (m *Metrics) Tokens(service, class string, prompt, cached, wasted int) {
 	m.promptTokens.WithLabelValues(service, class).Add(float64(prompt))
 	m.cachedTokens.WithLabelValues(service, class).Add(float64(cached))
-	m.wastedTokens.WithLabelValues(service, class).Add(float64(wasted))
+	m.recomputedTokens.WithLabelValues(service, class).Add(float64(wasted))
 }
 
 // Retry counts a try after the first.
@@ -128,7 +128,7 @@
 	if admitted {
 		outcome = "admitted"
 	}
-	m.rateLimits.WithLabelValues(source, outcome).Inc()
+	m.rateLimitDecisions.WithLabelValues(source, outcome).Inc()
 }
 
 // Resume counts a stream that was continued.
@@ -162,7 +162,7 @@
 func (m *Metrics) Connection() { m.connections.Inc() }
 
 // TargetRefused counts an entry of the platform's list that names no target.
-func (m *Metrics) TargetEntryRefused() { m.refusedTargets.Inc() }
+func (m *Metrics) TargetEntryRefused() { m.refusedEntries.Inc() }
 
 // StoreCall records a call of the platform's store.
 func (m *Metrics) StoreCall(topic string, took time.Duration, err error) {
@@ -174,7 +174,7 @@
 }
 
 // Order counts an order to load weights.
-func (m *Metrics) WeightsOrder(outcome string) { m.orders.WithLabelValues(outcome).Inc() }
+func (m *Metrics) WeightsOrder(outcome string) { m.weightsOrders.WithLabelValues(outcome).Inc() }
 
 // Blamed counts an end of a target that is held against a request, by this process's own
 // word or as another one told it.
@@ -183,8 +183,8 @@
 	if told {
 		word = "told"
 	}
-	m.blamed.WithLabelValues(word).Inc()
+	m.attributedCrashes.WithLabelValues(word).Inc()
 }
 
 // SuspectEvicted counts a record that was dropped for want of room.
-func (m *Metrics) SuspectEvicted() { m.evicted.Inc() }
+func (m *Metrics) SuspectEvicted() { m.evictedSuspects.Inc() }
--- a/internal/replay/calibrate.go
+++ b/internal/replay/calibrate.go
@@ -10,7 +10,7 @@
 	calibrationEngines = 18
 	calibrationLength  = 30 * time.Second
 	calibrationSteps   = 9
-	highestRate        = 100.0
+	maxCalibrationRate = 100.0
 )
 
 // CapacityRate returns the requests a second and engine at which the oracle
@@ -18,7 +18,7 @@
 // engines' mean utilization reaches 1 when extrapolated from 0.7.
 func CapacityRate(shape trace.Shape, costs Costs, seed uint64) float64 {
 	const reference = 0.7
-	low, high := 0.0, highestRate
+	low, high := 0.0, maxCalibrationRate
 	for range calibrationSteps {
 		rate := (low + high) / 2
 		if utilizationAt(shape, costs, rate, seed) > reference {
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -21,12 +21,12 @@
 	waiting []*job
 	running map[*job]struct{}
 	// freeAt is when the prefill that is under way ends.
-	freeAt    time.Duration
-	busy      time.Duration
-	held      time.Duration
-	life      int
-	nextEvent uint64
-	dead      bool
+	freeAt      time.Duration
+	prefillBusy time.Duration
+	batchBusy   time.Duration
+	incarnation int
+	nextEvent   uint64
+	dead        bool
 }
 
 func newEngine(r *Replay, index int) *engine {
@@ -38,7 +38,7 @@
 
 // settle starts the requests that the gate has let through and ends those it
 // has refused.
-func (e *engine) settle() {
+func (e *engine) applyDecisions() {
 	kept := e.waiting[:0]
 	var started, refused []*job
 	var kinds []errkind.Kind
@@ -60,7 +60,7 @@
 		e.start(j)
 	}
 	for i, j := range refused {
-		e.replay.again(j, kinds[i])
+		e.replay.retry(j, kinds[i])
 	}
 }
 
@@ -68,15 +68,15 @@
 func (e *engine) start(j *job) {
 	r := e.replay
 	e.running[j] = struct{}{}
-	life := e.life
+	life := e.incarnation
 	begin := max(r.now, e.freeAt)
 	cached := min(e.cache.Match(j.record.HashIDs)*j.record.BlockTokens, j.record.InputLength)
 	missing := j.record.InputLength - cached
 	took := time.Duration(float64(missing) / r.setup.Costs.PrefillTokensPerSecond * float64(time.Second))
 	e.freeAt = begin + took + r.setup.Costs.DecodeStep
-	e.busy += took + r.setup.Costs.DecodeStep
+	e.prefillBusy += took + r.setup.Costs.DecodeStep
 	r.at(e.freeAt, func() {
-		if e.life == life {
+		if e.incarnation == life {
 			e.firstToken(j, cached)
 		}
 	})
@@ -84,28 +84,28 @@
 
 func (e *engine) firstToken(j *job, cached int) {
 	r := e.replay
-	r.result.firstToken(r, j, cached)
+	r.result.recordFirstToken(r, j, cached)
 	stored, removed := e.cache.Use(j.record.HashIDs)
 	e.publish(external.EventStored, stored)
 	e.publish(external.EventRemoved, removed)
-	j.pass.FirstToken(strconv.Itoa(e.life), cached)
-	life := e.life
+	j.pass.FirstToken(strconv.Itoa(e.incarnation), cached)
+	life := e.incarnation
 	tokens := time.Duration(j.record.OutputLength)
 	step := r.setup.Costs.DecodeStep + time.Duration(len(e.running)-1)*r.setup.Costs.DecodePerPeer
-	e.held += tokens * step
+	e.batchBusy += tokens * step
 	r.after(tokens*step, func() {
-		if e.life == life {
+		if e.incarnation == life {
 			e.finish(j)
 		}
 	})
-	e.settle()
+	e.applyDecisions()
 }
 
 func (e *engine) finish(j *job) {
 	delete(e.running, j)
 	j.pass.Leave(breaker.Success)
-	e.replay.open--
-	e.settle()
+	e.replay.openRequests--
+	e.applyDecisions()
 }
 
 // publish sends a cache event, late and not always.
@@ -119,10 +119,10 @@
 	if r.random.Float64() < r.setup.EventLoss {
 		return
 	}
-	life := e.life
+	life := e.incarnation
 	page := &external.EventPage{Incarnation: strconv.Itoa(life), First: 1, Events: []external.CacheEvent{event}}
 	r.after(r.setup.ReportLag, func() {
-		if e.life == life {
+		if e.incarnation == life {
 			e.gate.ApplyEvents(page)
 		}
 	})
@@ -131,7 +131,7 @@
 // crash ends all requests and empties the cache; the requests run again.
 func (e *engine) crash() {
 	r := e.replay
-	e.life++
+	e.incarnation++
 	e.nextEvent = 1
 	e.cache.Clear()
 	e.freeAt = r.now
@@ -141,18 +141,18 @@
 	}
 	sortJobs(lost)
 	clear(e.running)
-	e.gate.ApplyEvents(&external.EventPage{Incarnation: strconv.Itoa(e.life), First: 1})
+	e.gate.ApplyEvents(&external.EventPage{Incarnation: strconv.Itoa(e.incarnation), First: 1})
 	for _, j := range lost {
 		j.pass.Leave(breaker.Neutral)
-		r.again(j, errkind.TargetFailed)
+		r.retry(j, errkind.TargetFailed)
 	}
 	if e.dead {
 		for _, j := range e.waiting {
 			j.pass.Abandon()
-			r.again(j, errkind.TargetFailed)
+			r.retry(j, errkind.TargetFailed)
 		}
 		e.waiting = nil
 		return
 	}
-	e.settle()
+	e.applyDecisions()
 }
--- a/internal/replay/policies.go
+++ b/internal/replay/policies.go
@@ -30,14 +30,14 @@
 var OraclePolicy = routing.DefaultPolicy
 
 // usable reports whether a policy may still choose an engine.
-func (r *Replay) usable(j *job, i int) bool {
-	return r.targets[i].State != routing.Leaving && !j.avoid[i]
+func (r *Replay) isUsable(j *job, i int) bool {
+	return r.targets[i].State != routing.Leaving && !j.excluded[i]
 }
 
 // loads are the requests at each engine, as reported a lag ago.
-type loads struct{ reported []int }
+type reportedLoads struct{ reported []int }
 
-func (l *loads) start(r *Replay) {
+func (l *reportedLoads) startReporting(r *Replay) {
 	l.reported = make([]int, r.setup.Engines)
 	var report func()
 	report = func() {
@@ -45,7 +45,7 @@
 			counts := e.gate.Counts()
 			l.reported[i] = counts.Running + counts.Waiting
 		}
-		if r.open > 0 || len(r.events) > 1 {
+		if r.openRequests > 0 || len(r.events) > 1 {
 			r.after(max(r.setup.ReportLag, time.Millisecond), report)
 		}
 	}
@@ -68,7 +68,7 @@
 
 func nextUsable(r *Replay, j *job, from int) int {
 	for i := range r.setup.Engines {
-		if at := (from + i) % r.setup.Engines; r.usable(j, at) {
+		if at := (from + i) % r.setup.Engines; r.isUsable(j, at) {
 			return at
 		}
 	}
@@ -96,13 +96,13 @@
 }
 
 // LeastReported chooses the engine with the least reported load.
-type LeastReported struct{ loads }
+type LeastReported struct{ reportedLoads }
 
 // Name implements Policy.
 func (*LeastReported) Name() string { return "least reported load" }
 
 // Start implements Policy.
-func (p *LeastReported) Start(r *Replay) { p.start(r) }
+func (p *LeastReported) Start(r *Replay) { p.startReporting(r) }
 
 // Choose implements Policy.
 func (p *LeastReported) Choose(r *Replay, j *job, chosen func(int)) {
@@ -110,7 +110,7 @@
 	from := r.random.IntN(r.setup.Engines)
 	for k := range r.setup.Engines {
 		i := (from + k) % r.setup.Engines
-		if r.usable(j, i) && (best < 0 || p.reported[i] < p.reported[best]) {
+		if r.isUsable(j, i) && (best < 0 || p.reported[i] < p.reported[best]) {
 			best = i
 		}
 	}
@@ -118,13 +118,13 @@
 }
 
 // TwoChoices chooses the less loaded of two random engines.
-type TwoChoices struct{ loads }
+type TwoChoices struct{ reportedLoads }
 
 // Name implements Policy.
 func (*TwoChoices) Name() string { return "power of two choices" }
 
 // Start implements Policy.
-func (p *TwoChoices) Start(r *Replay) { p.start(r) }
+func (p *TwoChoices) Start(r *Replay) { p.startReporting(r) }
 
 // Choose implements Policy.
 func (p *TwoChoices) Choose(r *Replay, j *job, chosen func(int)) {
@@ -137,7 +137,7 @@
 }
 
 // ranked orders engines by rendezvous hashing on a key.
-func ranked(r *Replay, key uint64) []int {
+func rankEngines(r *Replay, key uint64) []int {
 	order := make([]int, r.setup.Engines)
 	for i := range order {
 		order[i] = i
@@ -157,8 +157,8 @@
 
 // Choose implements Policy.
 func (*HashFirst) Choose(r *Replay, j *job, chosen func(int)) {
-	for _, i := range ranked(r, j.levels[0]) {
-		if r.usable(j, i) {
+	for _, i := range rankEngines(r, j.levels[0]) {
+		if r.isUsable(j, i) {
 			chosen(i)
 			return
 		}
@@ -168,15 +168,15 @@
 
 // HashBounded chooses by the middle level among engines whose reported load is
 // not far above the mean.
-type HashBounded struct{ loads }
+type HashBounded struct{ reportedLoads }
 
-const boundFactor = 1.25
+const loadBoundFactor = 1.25
 
 // Name implements Policy.
 func (*HashBounded) Name() string { return "hash, bounded load" }
 
 // Start implements Policy.
-func (p *HashBounded) Start(r *Replay) { p.start(r) }
+func (p *HashBounded) Start(r *Replay) { p.startReporting(r) }
 
 // Choose implements Policy.
 func (p *HashBounded) Choose(r *Replay, j *job, chosen func(int)) {
@@ -184,10 +184,10 @@
 	for _, n := range p.reported {
 		sum += n
 	}
-	bound := boundFactor*float64(sum)/float64(r.setup.Engines) + 1
+	bound := loadBoundFactor*float64(sum)/float64(r.setup.Engines) + 1
 	first := -1
-	for _, i := range ranked(r, j.levels[len(j.levels)/2]) {
-		if !r.usable(j, i) {
+	for _, i := range rankEngines(r, j.levels[len(j.levels)/2]) {
+		if !r.isUsable(j, i) {
 			continue
 		}
 		if float64(p.reported[i]) <= bound {
@@ -215,31 +215,31 @@
 
 // Choose implements Policy.
 func (p *Probing) Choose(r *Replay, j *job, chosen func(int)) {
-	ranking := routing.Rank(r.targets, r.places[j.entry], j.levels)
-	p.round(r, j, &ranking, 0, nil, chosen)
+	ranking := routing.Rank(r.targets, r.locations[j.entry], j.levels)
+	p.probeRound(r, j, &ranking, 0, nil, chosen)
 }
 
 // round asks the targets of one round; its answers come back after two hops.
-func (p *Probing) round(r *Replay, j *job, ranking *routing.Ranking, n int, quotes []routing.Estimate, chosen func(int)) {
+func (p *Probing) probeRound(r *Replay, j *job, ranking *routing.Ranking, n int, quotes []routing.Estimate, chosen func(int)) {
 	from := 0
 	if n > 0 {
 		from = min(p.Policy.Rounds[n-1], ranking.Len())
 	}
 	to := min(p.Policy.Rounds[n], ranking.Len())
-	r.after(hop, func() {
+	r.after(networkDelay, func() {
 		for k := from; k < to; k++ {
 			i := ranking.At(k)
-			if j.avoid[i] || r.engines[i].dead {
+			if j.excluded[i] || r.engines[i].dead {
 				continue
 			}
-			quotes = append(quotes, r.quote(j, i))
-			if r.result.counts(j) {
+			quotes = append(quotes, r.estimate(j, i))
+			if r.result.isMeasured(j) {
 				r.result.probes++
 			}
 		}
-		r.after(hop, func() {
+		r.after(networkDelay, func() {
 			if n+1 < len(p.Policy.Rounds) && to < ranking.Len() && !p.Policy.Satisfied(j.class, quotes) {
-				p.round(r, j, ranking, n+1, quotes, chosen)
+				p.probeRound(r, j, ranking, n+1, quotes, chosen)
 				return
 			}
 			chosen(cheapest(&p.Policy, j, quotes))
@@ -257,8 +257,8 @@
 }
 
 // quote asks the real gate.
-func (r *Replay) quote(j *job, i int) routing.Estimate {
-	q, refusal := r.engines[i].gate.Quote(r.question(j))
+func (r *Replay) estimate(j *job, i int) routing.Estimate {
+	q, refusal := r.engines[i].gate.Quote(r.probeInput(j))
 	return routing.Estimate{Index: i, Wait: q.Wait, Prefill: q.Prefill, Busy: q.Busy, Refused: refusal != nil}
 }
 
@@ -278,10 +278,10 @@
 func (p *Oracle) Choose(r *Replay, j *job, chosen func(int)) {
 	quotes := make([]routing.Estimate, 0, r.setup.Engines)
 	for i, e := range r.engines {
-		if !r.usable(j, i) || e.dead {
+		if !r.isUsable(j, i) || e.dead {
 			continue
 		}
-		q := r.quote(j, i)
+		q := r.estimate(j, i)
 		cached := e.cache.Match(j.record.HashIDs) * j.record.BlockTokens
 		for other := range e.running {
 			cached = max(cached, sharedTokens(other, j))
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -73,39 +73,39 @@
 }
 
 const (
-	hop          = 500 * time.Microsecond
-	expireEvery  = 20 * time.Millisecond
-	maxTries     = 4
-	maxQueued    = 512
-	retryShare   = 0.1
-	maxSaved     = 10.0
-	deadNoticing = time.Second
+	networkDelay          = 500 * time.Microsecond
+	expireInterval        = 20 * time.Millisecond
+	maxAttempts           = 4
+	maxQueued             = 512
+	retryBudgetRatio      = 0.1
+	maxRetryBudget        = 10.0
+	failureDetectionDelay = time.Second
 )
 
 type eventFunc func()
 
-type scheduled struct {
-	at    time.Duration
-	order uint64
-	run   eventFunc
+type event struct {
+	at  time.Duration
+	seq uint64
+	run eventFunc
 }
 
-type schedule []scheduled
+type eventQueue []event
 
-func (s schedule) Len() int { return len(s) }
-func (s schedule) Less(i, j int) bool {
+func (s eventQueue) Len() int { return len(s) }
+func (s eventQueue) Less(i, j int) bool {
 	if s[i].at != s[j].at {
 		return s[i].at < s[j].at
 	}
-	return s[i].order < s[j].order
+	return s[i].seq < s[j].seq
 }
-func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s eventQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
 // Push implements heap.Interface.
-func (s *schedule) Push(x any) { *s = append(*s, x.(scheduled)) }
+func (s *eventQueue) Push(x any) { *s = append(*s, x.(event)) }
 
 // Pop implements heap.Interface.
-func (s *schedule) Pop() any {
+func (s *eventQueue) Pop() any {
 	old := *s
 	last := old[len(old)-1]
 	*s = old[:len(old)-1]
@@ -114,33 +114,33 @@
 
 // Replay is one running replay.
 type Replay struct {
-	setup   Setup
-	now     time.Duration
-	order   uint64
-	events  schedule
-	engines []*engine
-	targets []routing.Target
-	places  []routing.Location
-	random  *rand.Rand
-	seen    map[uint64]struct{}
-	result  *Result
-	budget  float64
-	open    int
+	setup          Setup
+	now            time.Duration
+	nextSeq        uint64
+	events         eventQueue
+	engines        []*engine
+	targets        []routing.Target
+	locations      []routing.Location
+	random         *rand.Rand
+	computedBlocks map[uint64]struct{}
+	result         *Result
+	retryBudget    float64
+	openRequests   int
 }
 
 // job is one request on its way.
 type job struct {
-	record  trace.Record
-	entry   int
-	arrived time.Duration
-	class   config.Class
-	levels  []uint64
-	tries   int
-	avoid   map[int]bool
-	engine  int
-	pass    *sidecar.Pass
+	record   trace.Record
+	entry    int
+	arrived  time.Duration
+	class    config.Class
+	levels   []uint64
+	attempts int
+	excluded map[int]bool
+	engine   int
+	pass     *sidecar.Pass
 	// answered is set with the first token.
-	answered bool
+	gotFirstToken bool
 }
 
 // Run replays a trace.
@@ -148,24 +148,24 @@
 	r := newReplay(setup)
 	next, stop := iter.Pull(records)
 	defer stop()
-	r.feed(next)
+	r.scheduleArrivals(next)
 	for _, f := range setup.Faults {
-		r.at(f.At, func() { r.fail(f) })
+		r.at(f.At, func() { r.injectFault(f) })
 	}
-	r.at(expireEvery, r.expire)
+	r.at(expireInterval, r.expire)
 	for len(r.events) > 0 {
-		e := heap.Pop(&r.events).(scheduled)
+		e := heap.Pop(&r.events).(event)
 		r.now = e.at
 		e.run()
 	}
-	r.result.finish(r)
+	r.result.computeUtilization(r)
 	return r.result
 }
 
 func newReplay(setup Setup) *Replay {
 	r := &Replay{
-		setup: setup, random: rand.New(rand.NewPCG(setup.Seed, 11)), seen: map[uint64]struct{}{},
-		result: newResult(setup), budget: maxSaved,
+		setup: setup, random: rand.New(rand.NewPCG(setup.Seed, 11)), computedBlocks: map[uint64]struct{}{},
+		result: newResult(setup), retryBudget: maxRetryBudget,
 	}
 	for i := range setup.Engines {
 		r.engines = append(r.engines, newEngine(r, i))
@@ -173,7 +173,7 @@
 		r.targets = append(r.targets, routing.NewTarget("engine", engineName(i), "", zone, "region"))
 	}
 	for i := range setup.Entries {
-		r.places = append(r.places, routing.Location{Zone: zoneName(i % setup.Zones), Region: "region"})
+		r.locations = append(r.locations, routing.Location{Zone: zoneName(i % setup.Zones), Region: "region"})
 	}
 	setup.Policy.Start(r)
 	return r
@@ -185,44 +185,44 @@
 }
 
 func (r *Replay) at(t time.Duration, run eventFunc) {
-	r.order++
-	heap.Push(&r.events, scheduled{max(t, r.now), r.order, run})
+	r.nextSeq++
+	heap.Push(&r.events, event{max(t, r.now), r.nextSeq, run})
 }
 
 func (r *Replay) after(d time.Duration, run eventFunc) { r.at(r.now+d, run) }
 
 // feed schedules the next request of the trace.
-func (r *Replay) feed(next func() (trace.Record, bool)) {
+func (r *Replay) scheduleArrivals(next func() (trace.Record, bool)) {
 	record, ok := next()
 	if !ok {
 		return
 	}
 	r.at(time.Duration(record.Timestamp)*time.Millisecond, func() {
 		r.arrive(record)
-		r.feed(next)
+		r.scheduleArrivals(next)
 	})
 }
 
 func (r *Replay) arrive(record trace.Record) {
 	class, _ := config.ParseClass(record.Class)
-	j := &job{record: record, arrived: r.now, class: class, entry: r.random.IntN(r.setup.Entries), avoid: map[int]bool{}}
+	j := &job{record: record, arrived: r.now, class: class, entry: r.random.IntN(r.setup.Entries), excluded: map[int]bool{}}
 	j.levels = record.LevelKeys(nil)
-	r.open++
-	r.budget = min(r.budget+retryShare, maxSaved*float64(r.setup.Entries))
-	r.result.arrived(r, j)
+	r.openRequests++
+	r.retryBudget = min(r.retryBudget+retryBudgetRatio, maxRetryBudget*float64(r.setup.Entries))
+	r.result.recordArrival(r, j)
 	r.dispatch(j)
 }
 
 // dispatch asks the policy and sends the request on its way.
 func (r *Replay) dispatch(j *job) {
-	j.tries++
+	j.attempts++
 	r.setup.Policy.Choose(r, j, func(engine int) {
 		if engine < 0 {
-			r.give(j, errkind.NoTarget)
+			r.refuse(j, errkind.NoTarget)
 			return
 		}
 		j.engine = engine
-		r.after(hop, func() { r.enter(j) })
+		r.after(networkDelay, func() { r.enter(j) })
 	})
 }
 
@@ -235,7 +235,7 @@
 	}
 }
 
-func (r *Replay) question(j *job) sidecar.Question {
+func (r *Replay) probeInput(j *job) sidecar.Question {
 	return sidecar.Question{
 		Workspace: probe.WorkspaceHash(j.record.Workspace), Class: j.class, PromptTokens: j.record.InputLength,
 		Points: prefix.PointsAt(j.record.HashIDs, j.record.PrefixLevels, j.record.BlockTokens),
@@ -245,59 +245,59 @@
 func (r *Replay) enter(j *job) {
 	e := r.engines[j.engine]
 	if e.dead {
-		r.again(j, errkind.TargetFailed)
+		r.retry(j, errkind.TargetFailed)
 		return
 	}
 	pass, refusal := e.gate.Enter(r.work(j))
 	if refusal != nil {
-		r.again(j, refusal.Kind)
+		r.retry(j, refusal.Kind)
 		return
 	}
 	j.pass = pass
 	e.waiting = append(e.waiting, j)
-	e.settle()
+	e.applyDecisions()
 }
 
 // again tries elsewhere within the retry budget.
-func (r *Replay) again(j *job, kind errkind.Kind) {
-	j.avoid[j.engine] = true
-	if j.tries >= maxTries || r.budget < 1 || !kind.Spec().Failover {
-		r.give(j, kind)
+func (r *Replay) retry(j *job, kind errkind.Kind) {
+	j.excluded[j.engine] = true
+	if j.attempts >= maxAttempts || r.retryBudget < 1 || !kind.Spec().Failover {
+		r.refuse(j, kind)
 		return
 	}
-	r.budget--
-	if r.result.counts(j) {
+	r.retryBudget--
+	if r.result.isMeasured(j) {
 		r.result.retries++
 	}
-	r.after(hop, func() { r.dispatch(j) })
+	r.after(networkDelay, func() { r.dispatch(j) })
 }
 
 // give ends a request without an answer.
-func (r *Replay) give(j *job, kind errkind.Kind) {
-	r.open--
-	r.result.refused(r, j, kind)
+func (r *Replay) refuse(j *job, kind errkind.Kind) {
+	r.openRequests--
+	r.result.recordRefusal(r, j, kind)
 }
 
 func (r *Replay) expire() {
 	for _, e := range r.engines {
 		if len(e.waiting) > 0 {
 			e.gate.Expire()
-			e.settle()
+			e.applyDecisions()
 		}
 	}
-	if r.open > 0 || len(r.events) > 0 {
-		r.after(expireEvery, r.expire)
+	if r.openRequests > 0 || len(r.events) > 0 {
+		r.after(expireInterval, r.expire)
 	}
 }
 
-func (r *Replay) fail(f Fault) {
+func (r *Replay) injectFault(f Fault) {
 	for _, i := range f.Crash {
 		r.engines[i].crash()
 	}
 	for _, i := range f.Kill {
 		r.engines[i].dead = true
 		r.engines[i].crash()
-		r.after(deadNoticing, func() { r.targets[i].State = routing.Leaving })
+		r.after(failureDetectionDelay, func() { r.targets[i].State = routing.Leaving })
 	}
 }
 
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -58,11 +58,11 @@
 	return res
 }
 
-func (res *Result) counts(j *job) bool { return j.arrived >= res.warmup }
+func (res *Result) isMeasured(j *job) bool { return j.arrived >= res.warmup }
 
-func (res *Result) arrived(_ *Replay, j *job) {
+func (res *Result) recordArrival(_ *Replay, j *job) {
 	res.lastArrival = j.arrived
-	if res.counts(j) {
+	if res.isMeasured(j) {
 		res.Requests++
 		res.Requested[j.record.Workspace] += float64(j.record.InputLength + j.record.OutputLength)
 	}
@@ -76,26 +76,26 @@
 	return &res.Seconds[i]
 }
 
-func (res *Result) firstToken(r *Replay, j *job, cached int) {
-	recomputed := r.recomputed(j, cached)
+func (res *Result) recordFirstToken(r *Replay, j *job, cached int) {
+	recomputed := r.countRecomputed(j, cached)
 	ttft := r.now - j.arrived
 	s := res.second(j.arrived)
 	s.Prompt += int64(j.record.InputLength)
 	s.Cached += int64(cached)
 	s.Answered++
 	s.TTFT += ttft
-	if !res.counts(j) {
+	if !res.isMeasured(j) {
 		return
 	}
 	res.PromptTokens += int64(j.record.InputLength)
 	res.CachedTokens += int64(cached)
 	res.RecomputedTokens += int64(recomputed)
-	if j.answered {
+	if j.gotFirstToken {
 		// The engine crashed and the rest runs elsewhere: the caller has had
 		// the first token.
 		return
 	}
-	j.answered = true
+	j.gotFirstToken = true
 	_ = res.TTFT[j.class].RecordValue(min(ttft.Microseconds(), maxMicros))
 	res.Answered++
 	if ttft <= time.Duration(j.record.DeadlineMs)*time.Millisecond {
@@ -106,29 +106,29 @@
 
 // recomputed counts the tokens that a prefill computes although some engine
 // has computed them before.
-func (r *Replay) recomputed(j *job, cached int) int {
+func (r *Replay) countRecomputed(j *job, cached int) int {
 	n := 0
 	for _, b := range j.record.HashIDs[cached/j.record.BlockTokens:] {
-		if _, ok := r.seen[b]; ok {
+		if _, ok := r.computedBlocks[b]; ok {
 			n += j.record.BlockTokens
 			continue
 		}
-		r.seen[b] = struct{}{}
+		r.computedBlocks[b] = struct{}{}
 	}
 	return n
 }
 
-func (res *Result) refused(_ *Replay, j *job, kind errkind.Kind) {
-	if res.counts(j) {
+func (res *Result) recordRefusal(_ *Replay, j *job, kind errkind.Kind) {
+	if res.isMeasured(j) {
 		res.Refusals[kind]++
 	}
 }
 
-func (res *Result) finish(r *Replay) {
+func (res *Result) computeUtilization(r *Replay) {
 	var busy, held time.Duration
 	for _, e := range r.engines {
-		busy += e.busy
-		held += e.held
+		busy += e.prefillBusy
+		held += e.batchBusy
 	}
 	whole := res.lastArrival.Seconds() * float64(len(r.engines))
 	if whole == 0 {
--- a/internal/replay/table.go
+++ b/internal/replay/table.go
@@ -22,7 +22,7 @@
 			r.Refused(), r.RetryShare(), r.ProbesPerRequest(), max(r.Utilization, r.BatchUtilization))
 		for c := range config.Classes {
 			for _, q := range []float64{0.5, 0.95, 0.99} {
-				fmt.Fprintf(w, "%s\t", short(r.Quantile(config.Class(c), q)))
+				fmt.Fprintf(w, "%s\t", formatDuration(r.Quantile(config.Class(c), q)))
 			}
 		}
 		fmt.Fprintf(w, "%.2f\t\n", r.ShareError())
@@ -30,7 +30,7 @@
 	return w.Flush()
 }
 
-func short(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	switch {
 	case d == 0:
 		return "-"
--- a/internal/standin/blockcache.go
+++ b/internal/standin/blockcache.go
@@ -7,18 +7,18 @@
 type BlockCache struct {
 	capacity int
 	order    *list.List
-	places   map[uint64]*list.Element
+	entries  map[uint64]*list.Element
 }
 
 // NewBlockCache returns an empty cache of a number of blocks.
 func NewBlockCache(capacity int) *BlockCache {
-	return &BlockCache{capacity: capacity, order: list.New(), places: make(map[uint64]*list.Element)}
+	return &BlockCache{capacity: capacity, order: list.New(), entries: make(map[uint64]*list.Element)}
 }
 
 // Match returns how many leading blocks are cached.
 func (c *BlockCache) Match(blocks []uint64) int {
 	for i, b := range blocks {
-		if _, ok := c.places[b]; !ok {
+		if _, ok := c.entries[b]; !ok {
 			return i
 		}
 	}
@@ -31,17 +31,17 @@
 func (c *BlockCache) Use(blocks []uint64) (stored, removed []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
-		if place, ok := c.places[b]; ok {
+		if place, ok := c.entries[b]; ok {
 			c.order.MoveToFront(place)
 			continue
 		}
-		c.places[b] = c.order.PushFront(b)
+		c.entries[b] = c.order.PushFront(b)
 		stored = append(stored, b)
 	}
 	for c.order.Len() > c.capacity {
 		last := c.order.Back()
 		b := c.order.Remove(last).(uint64)
-		delete(c.places, b)
+		delete(c.entries, b)
 		removed = append(removed, b)
 	}
 	return stored, removed
@@ -50,7 +50,7 @@
 // Clear empties the cache.
 func (c *BlockCache) Clear() {
 	c.order.Init()
-	clear(c.places)
+	clear(c.entries)
 }
 
 // Len is the number of blocks held.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -50,7 +50,7 @@
 	Stall time.Duration
 }
 
-const keepStreams = 10 * time.Second
+const streamRetention = 10 * time.Second
 
 // Engine is a model engine whose answers are a function of the prompt.
 type Engine struct {
@@ -202,7 +202,7 @@
 		s = e.start(req)
 	}
 	e.mu.Unlock()
-	e.follow(w, r, s, req.From)
+	e.streamTokens(w, r, s, req.From)
 }
 
 // start begins a run that goes on without its reader. The caller holds mu.
@@ -217,7 +217,7 @@
 }
 
 func (e *Engine) run(ctx context.Context, req *external.GenerateRequest, s *engineStream, incarnation string, prefill, batch chan struct{}) {
-	if !enter(ctx, batch) {
+	if !acquireSlot(ctx, batch) {
 		e.finish(s, req, incarnation, false)
 		return
 	}
@@ -238,7 +238,7 @@
 	e.finish(s, req, incarnation, true)
 }
 
-func enter(ctx context.Context, slots chan struct{}) bool {
+func acquireSlot(ctx context.Context, slots chan struct{}) bool {
 	select {
 	case slots <- struct{}{}:
 		return true
@@ -248,7 +248,7 @@
 }
 
 func (e *Engine) runPrefill(ctx context.Context, req *external.GenerateRequest, prefill chan struct{}) (cached int, ok bool) {
-	if !enter(ctx, prefill) {
+	if !acquireSlot(ctx, prefill) {
 		return 0, false
 	}
 	defer func() { <-prefill }()
@@ -318,7 +318,7 @@
 	} else {
 		e.stats.Cancelled++
 	}
-	time.AfterFunc(keepStreams, func() {
+	time.AfterFunc(streamRetention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.streams[req.RequestID] == s {
@@ -328,7 +328,7 @@
 }
 
 // follow sends a stream's tokens from a sequence number on.
-func (e *Engine) follow(w http.ResponseWriter, r *http.Request, s *engineStream, from uint64) {
+func (e *Engine) streamTokens(w http.ResponseWriter, r *http.Request, s *engineStream, from uint64) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	sent := 0
@@ -389,7 +389,7 @@
 		http.Error(w, "unknown stream", http.StatusNotFound)
 		return
 	}
-	e.follow(w, r, s, from)
+	e.streamTokens(w, r, s, from)
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -110,7 +110,7 @@
 }
 
 // refuse applies the delay and reports whether the call was refused.
-func (l *Log) refuse(w http.ResponseWriter) bool {
+func (l *Log) failIfDown(w http.ResponseWriter) bool {
 	f := l.currentFaults()
 	time.Sleep(f.Delay)
 	if f.Down {
@@ -125,7 +125,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if l.refuse(w) {
+	if l.failIfDown(w) {
 		return
 	}
 	offset := l.AppendRecord(r.PathValue("stream"), data)
@@ -136,7 +136,7 @@
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
-	if l.refuse(w) {
+	if l.failIfDown(w) {
 		return
 	}
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -6,19 +6,21 @@
 )
 
 // slowdown is how much longer a fetch takes when the store bears too many.
-const slowdown = 4
+const overloadSlowdown = 4
 
 // WeightStore is a store of weights that bears a number of fetches at once.
 type WeightStore struct {
-	mu     sync.Mutex
-	bears  int
-	active int
-	peak   int
-	total  int
+	mu            sync.Mutex
+	maxConcurrent int
+	active        int
+	peak          int
+	total         int
 }
 
 // NewWeightStore returns a store that bears a number of fetches at once.
-func NewWeightStore(bears int) *WeightStore { return &WeightStore{bears: bears} }
+func NewWeightStore(maxConcurrent int) *WeightStore {
+	return &WeightStore{maxConcurrent: maxConcurrent}
+}
 
 // Fetch takes a time, and longer when too many fetch at once.
 func (s *WeightStore) Fetch(d time.Duration) {
@@ -26,8 +28,8 @@
 	s.active++
 	s.total++
 	s.peak = max(s.peak, s.active)
-	if s.active > s.bears {
-		d *= slowdown
+	if s.active > s.maxConcurrent {
+		d *= overloadSlowdown
 	}
 	s.mu.Unlock()
 	time.Sleep(d)
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -121,13 +121,13 @@
 	places *rand.Zipf
 }
 
-const burstPart = 0.2
+const burstFraction = 0.2
 
 // factor is the rate at a time against the mean rate.
 func (g *generator) factor(at float64) float64 {
 	period := g.shape.BurstEvery.Seconds()
-	quiet := (1 - burstPart*g.shape.BurstFactor) / (1 - burstPart)
-	if math.Mod(at, period) < burstPart*period {
+	quiet := (1 - burstFraction*g.shape.BurstFactor) / (1 - burstFraction)
+	if math.Mod(at, period) < burstFraction*period {
 		return g.shape.BurstFactor
 	}
 	return quiet
@@ -135,11 +135,11 @@
 
 func (g *generator) record(at float64, n uint64) Record {
 	s := &g.shape
-	workspace := pick(g.random, s.Workspaces, func(w WorkspaceShare) float64 { return w.Share })
-	kind := pick(g.random, s.Kinds, func(k Kind) float64 { return k.Share })
+	workspace := pickByShare(g.random, s.Workspaces, func(w WorkspaceShare) float64 { return w.Share })
+	kind := pickByShare(g.random, s.Kinds, func(k Kind) float64 { return k.Share })
 	epoch := uint64(at / s.ShiftEvery.Seconds())
 	rulebook := g.random.Uint64N(uint64(s.Rulebooks))
-	place := g.hotPlace(epoch, rulebook)
+	place := g.drawPlace(epoch, rulebook)
 	cse := g.random.Uint64N(uint64(s.Cases))
 	r := Record{
 		Timestamp:    int64(at * 1000),
@@ -155,11 +155,11 @@
 	// Kinds whose innermost level differs in length have texts of their own.
 	own := cse ^ uint64(kind.LevelTokens[2])<<32
 	for level, name := range []uint64{rulebook, place, own} {
-		id = chain(id, name+1)
+		id = chainHash(id, name+1)
 		id = r.appendBlocks(id, kind.LevelTokens[level])
 		r.PrefixLevels = append(r.PrefixLevels, len(r.HashIDs))
 	}
-	r.appendBlocks(chain(id, n^0xABCDEF), kind.SuffixTokens)
+	r.appendBlocks(chainHash(id, n^0xABCDEF), kind.SuffixTokens)
 	r.InputLength = len(r.HashIDs) * s.BlockTokens
 	return r
 }
@@ -167,7 +167,7 @@
 // appendBlocks adds the blocks of one part and returns the last one's id.
 func (r *Record) appendBlocks(id uint64, tokens int) uint64 {
 	for range tokens / r.BlockTokens {
-		id = chain(id, 1)
+		id = chainHash(id, 1)
 		r.HashIDs = append(r.HashIDs, id)
 	}
 	return id
@@ -175,14 +175,14 @@
 
 // hotPlace draws a place by Zipf's law; which places are hot changes with the
 // epoch, without warning.
-func (g *generator) hotPlace(epoch, rulebook uint64) uint64 {
+func (g *generator) drawPlace(epoch, rulebook uint64) uint64 {
 	rank := g.places.Uint64()
-	offset := chain(epoch, rulebook) % uint64(g.shape.Places)
+	offset := chainHash(epoch, rulebook) % uint64(g.shape.Places)
 	return (rank + offset) % uint64(g.shape.Places)
 }
 
 // pick draws an item by its share; the shares add up to 1.
-func pick[T any](random *rand.Rand, items []T, share func(T) float64) T {
+func pickByShare[T any](random *rand.Rand, items []T, share func(T) float64) T {
 	x := random.Float64()
 	for _, item := range items {
 		if x -= share(item); x < 0 {
@@ -192,7 +192,7 @@
 	return items[0]
 }
 
-func chain(prev, next uint64) uint64 {
+func chainHash(prev, next uint64) uint64 {
 	x := prev ^ next*0x9E3779B97F4A7C15
 	x ^= x >> 30
 	x *= 0xBF58476D1CE4E5B9
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -38,7 +38,7 @@
 	DeadlineMs int64 `json:"deadline_ms"`
 }
 
-const maxLine = 4 << 20
+const maxLineBytes = 4 << 20
 
 // Check reports what is wrong with a record.
 func (r *Record) Validate() error {
@@ -83,7 +83,7 @@
 func Read(in io.Reader) iter.Seq2[Record, error] {
 	return func(yield func(Record, error) bool) {
 		lines := bufio.NewScanner(in)
-		lines.Buffer(make([]byte, 0, 64<<10), maxLine)
+		lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 		for n := 1; lines.Scan(); n++ {
 			if len(lines.Bytes()) == 0 {
 				continue
