--- a/cmd/toucanwell/admin.go
+++ b/cmd/toucanwell/admin.go
@@ -35,14 +35,14 @@
 	return client, errors.Wrap(err, address)
 }
 
-// answer is what one process said.
+// response is what one process said.
 type response[T any] struct {
 	address string
 	value   T
 	err     error
 }
 
-// askAll asks all processes at once and keeps their order.
+// queryAll asks all processes at once and keeps their order.
 func queryAll[T any](ctx context.Context, addresses []string, ask func(context.Context, *oas.Client) (T, error)) []response[T] {
 	answers := make([]response[T], len(addresses))
 	var wg sync.WaitGroup
@@ -161,7 +161,7 @@
 	}
 }
 
-// withEach runs an action against one process named after the other.
+// forEachProcess runs an action against one process named after the other.
 func forEachProcess(action func(context.Context, *oas.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		for _, address := range c.StringSlice("admin") {
@@ -177,7 +177,7 @@
 	}
 }
 
-// withFirst runs an action against the first process named.
+// withFirstProcess runs an action against the first process named.
 func withFirstProcess(action func(context.Context, *oas.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		client, err := adminClient(c.StringSlice("admin")[0])
--- a/cmd/toucanwell/explain.go
+++ b/cmd/toucanwell/explain.go
@@ -12,7 +12,7 @@
 	"github.com/toucanwell/toucanwell/internal/explain"
 )
 
-// exitNoLines tells that no log line tells of the request.
+// exitRequestNotFound tells that no log line tells of the request.
 const exitRequestNotFound = 4
 
 func explainCommand() *cli.Command {
--- a/cmd/toucanwell/losses.go
+++ b/cmd/toucanwell/losses.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// defaultAim judges routes of which no aim is named.
+// defaultObjective judges routes of which no aim is named.
 const defaultObjective = 500 * time.Millisecond
 
 func lossesOptions(window time.Duration, aims []string) (losses.Options, error) {
@@ -82,7 +82,7 @@
 	return losses.Read(o, logs...)
 }
 
-// shownReasons is how many reasons a row names, the most frequent first.
+// maxReasons is how many reasons a row names, the most frequent first.
 const maxReasons = 3
 
 func printLosses(w io.Writer, rows []losses.Row) error {
@@ -95,7 +95,7 @@
 	return t.Flush()
 }
 
-// shareOf is a share as a row shows it; a dash where there is nothing to share.
+// formatShare is a share as a row shows it; a dash where there is nothing to share.
 func formatShare(part, whole int) string {
 	if whole == 0 {
 		return "-"
--- a/cmd/toucanwell/quarantine.go
+++ b/cmd/toucanwell/quarantine.go
@@ -67,7 +67,7 @@
 	return w.Flush()
 }
 
-// inMs is a time in milliseconds, rounded for people.
+// roundedMillis is a time in milliseconds, rounded for people.
 func roundedMillis(ms int64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second)
 }
--- a/cmd/toucanwell/replay.go
+++ b/cmd/toucanwell/replay.go
@@ -94,7 +94,7 @@
 
 const zones = 3
 
-// faultsOf returns the fault that the flag names.
+// parseFaults returns the fault that the flag names.
 func parseFaults(c *cli.Command) ([]replay.Fault, error) {
 	f := replay.Fault{At: c.Duration("length") / 2}
 	var part []int
@@ -114,7 +114,7 @@
 	return []replay.Fault{f}, nil
 }
 
-// policiesOf returns the wanted policies and the variants.
+// selectPolicies returns the wanted policies and the variants.
 func selectPolicies(c *cli.Command) ([]replay.Policy, error) {
 	var policies []replay.Policy
 	for _, policy := range replay.Policies() {
@@ -132,7 +132,7 @@
 	return policies, nil
 }
 
-// variant builds a policy from a text like "waste=2/4/8;content=50ms".
+// parseVariant builds a policy from a text like "waste=2/4/8;content=50ms".
 func parseVariant(text string) (replay.Policy, error) {
 	weighing := routing.DefaultPolicy
 	oracle := false
@@ -193,7 +193,7 @@
 	return rounds, nil
 }
 
-// recordsOf returns the records of the trace file or of the generator.
+// openRecords returns the records of the trace file or of the generator.
 func openRecords(c *cli.Command, shape trace.Shape, rate float64) (iter.Seq[trace.Record], func() error, error) {
 	path := c.String("trace")
 	if path == "" {
--- a/cmd/toucanwell/report.go
+++ b/cmd/toucanwell/report.go
@@ -81,7 +81,7 @@
 	return r, nil
 }
 
-// toldGoals are the goals of the first process that tells its own.
+// reportedGoals are the goals of the first process that tells its own.
 func reportedGoals(answers []response[*oas.Burn]) []burn.Goal {
 	for _, a := range answers {
 		if a.err != nil || len(a.value.Goals) == 0 {
@@ -142,7 +142,7 @@
 	plotHeight = 420
 	plotTop    = 50
 	plotLeft   = 160
-	// leastBurnShown keeps the line of an even burn, 1, inside the picture.
+	// minPlottedBurn keeps the line of an even burn, 1, inside the picture.
 	minPlottedBurn = 2.0
 )
 
--- a/cmd/toucanwell/standin.go
+++ b/cmd/toucanwell/standin.go
@@ -15,7 +15,7 @@
 	"github.com/toucanwell/toucanwell/internal/trace"
 )
 
-// storeBears is how many fetches the store behind one engine bears.
+// storeConcurrency is how many fetches the store behind one engine bears.
 const storeConcurrency = 2
 
 func standinCommand() *cli.Command {
--- a/cmd/toucanwelld/gateway.go
+++ b/cmd/toucanwelld/gateway.go
@@ -15,7 +15,7 @@
 	"github.com/toucanwell/toucanwell/platform"
 )
 
-// memoryShare is the part of a process's memory at which the garbage collector
+// memoryLimitRatio is the part of a process's memory at which the garbage collector
 // works harder; the rest is for stacks and what it has not yet returned.
 const memoryLimitRatio = 0.7
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// changedAt is when the settings file was written last; the zero time when it
+// modTime is when the settings file was written last; the zero time when it
 // cannot be looked at, which the next reload tells.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -132,7 +132,7 @@
 	return s.Placement(ctx, params)
 }
 
-// errNoRecords is what processes answer that keep no records of requests.
+// errNoQuarantine is what processes answer that keep no records of requests.
 var errNoQuarantine = errkind.New(errkind.UnknownRoute, "this process keeps no records of requests; ask an entry of a gateway")
 
 // GetQuarantine implements oas.Handler.
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -1,9 +1,7 @@
-// Package errkind holds the closed list of error kinds and the table that
-// turns a kind into the answer a caller gets.
+// Package errkind defines the closed set of error kinds and how each is reported to callers.
 //
-// Every refusal in the system is an [Error] with a [Kind] of this list. A new
-// way to fail needs a new row here, so that its answer, its meaning for a
-// retry and its place in the documentation are decided once.
+// Every refusal is an [Error] with one of these kinds. A new kind of failure needs an entry in
+// the table, which determines its HTTP response and whether it may be retried.
 package errkind
 
 import (
@@ -14,8 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is one kind of error. Its number goes over the wire and never changes
-// its meaning.
+// Kind is a kind of error. Its number is sent on the wire and must not be reused.
 type Kind uint32
 
 // The kinds.
@@ -57,21 +54,20 @@
 	RateLimited
 )
 
-// Row is the answer to one kind.
+// Spec describes how a kind is reported and retried.
 type Spec struct {
-	// Name is the last part of the problem type.
+	// Name is the last component of the problem type URN.
 	Name string
-	// Title is the sentence that the caller reads.
+	// Title is the summary that the caller receives.
 	Title string
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int
-	// Elsewhere is true when the entry may try another target: this try has
-	// not started at the target that refused.
+	// Failover is set when the entry may try another target.
 	Failover bool
 }
 
-// table has a row for each kind. For a call that runs at most once the entry
-// passes on NotRun only from the record of claims; see package once.
+// table maps each kind to its specification. For at-most-once calls the entry reports NotRun
+// only if the claim ledger says so; see package once.
 var table = map[Kind]Spec{
 	BadRequest:           {"bad_request", "The request is malformed.", http.StatusBadRequest, false},
 	BodyTooLarge:         {"body_too_large", "The request body is too large.", http.StatusRequestEntityTooLarge, false},
@@ -109,16 +105,16 @@
 	RateLimited:          {"rate_limited", "The workspace has used up its rate limit for now.", http.StatusTooManyRequests, false},
 }
 
-// Row returns the answer to k; an unknown number reads as Internal.
+// Spec returns the specification of k. An unknown kind is treated as Internal.
 func (k Kind) Spec() Spec {
-	row, ok := table[k]
+	spec, ok := table[k]
 	if !ok {
 		return table[Internal]
 	}
-	return row
+	return spec
 }
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	if k == None {
 		return "none"
@@ -126,7 +122,7 @@
 	return k.Spec().Name
 }
 
-// All returns every kind but None, in the order of their numbers.
+// All returns all kinds except None, in numerical order.
 func All() []Kind {
 	kinds := make([]Kind, 0, len(table))
 	for k := BadRequest; k <= RateLimited; k++ {
@@ -135,13 +131,13 @@
 	return kinds
 }
 
-// Error is a refusal.
+// Error is an error that is reported to the caller.
 type Error struct {
 	Kind Kind
-	// RetryAfter is a lower bound of when a return helps; zero means that
-	// none does, or that it is not known.
+	// RetryAfter is the minimum delay after which a retry may succeed; zero if unknown or if a
+	// retry doesn't help.
 	RetryAfter time.Duration
-	// Detail says what was found and what is allowed.
+	// Detail describes the specific cause, such as the value found and the values allowed.
 	Detail string
 }
 
@@ -153,19 +149,19 @@
 	return e.Kind.String() + ": " + e.Detail
 }
 
-// New returns an Error whose detail is formatted like fmt.Sprintf.
+// New returns an Error with a detail formatted as by fmt.Sprintf.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns an Error with a time to come back.
+// NewRetryAfter returns an Error that asks the caller to retry after a delay.
 func NewRetryAfter(kind Kind, retryAfter time.Duration, format string, args ...any) *Error {
 	e := New(kind, format, args...)
 	e.RetryAfter = retryAfter
 	return e
 }
 
-// From returns the Error in err's chain. An error without one is Internal.
+// From returns the Error in err's chain, or an Internal one if there is none.
 func From(err error) *Error {
 	if err == nil {
 		return nil
--- a/internal/errkind/errkind_test.go
+++ b/internal/errkind/errkind_test.go
@@ -7,28 +7,28 @@
 	"testing"
 )
 
-// Each kind has one answer, and the operators' page says the same.
-func TestEveryKindHasItsAnswerAndItsPage(t *testing.T) {
+// Every kind must have a unique name and a documented status.
+func TestEveryKindIsSpecifiedAndDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	names := map[string]bool{}
 	for _, kind := range All() {
-		row, ok := table[kind]
+		spec, ok := table[kind]
 		if !ok {
-			t.Errorf("kind %d has no row", kind)
+			t.Errorf("kind %d is missing from the table", kind)
 			continue
 		}
-		if names[row.Name] {
-			t.Errorf("the name %q stands twice", row.Name)
+		if names[spec.Name] {
+			t.Errorf("the name %q is used twice", spec.Name)
 		}
-		names[row.Name] = true
-		if want := fmt.Sprintf("| `%s` | %d |", row.Name, row.Status); !strings.Contains(string(page), want) {
+		names[spec.Name] = true
+		if want := fmt.Sprintf("| `%s` | %d |", spec.Name, spec.Status); !strings.Contains(string(page), want) {
 			t.Errorf("docs/OPERATIONS.md lacks %q", want)
 		}
 	}
 	if len(names) != len(table) {
-		t.Errorf("%d kinds, %d rows", len(names), len(table))
+		t.Errorf("%d kinds, %d table entries", len(names), len(table))
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -9,31 +9,29 @@
 	"github.com/toucanwell/toucanwell/internal/logging"
 )
 
-// What the product's logger writes is read back, quotes and all, also behind the
-// prefix of whoever collected it.
-func TestLinesOfTheLoggerAreReadBack(t *testing.T) {
+// Lines written by package logging must parse, with quoted values and a collector's prefix.
+func TestParseReadsLoggerOutput(t *testing.T) {
 	var out strings.Builder
 	logging.New(&out, "entry-1").Info("request_done", "request_id", "r1", "detail", `dial "x": no way`, "empty", "", "n", 3)
 	l, ok := Parse("   7.5 entry-1 " + out.String())
 	if !ok || l.Event != "request_done" || l.Process != "entry-1" || l.Time.IsZero() {
-		t.Fatalf("%v %+v", ok, l)
+		t.Fatalf("Parse = %+v, %v", l, ok)
 	}
 	for key, want := range map[string]string{"request_id": "r1", "detail": `dial "x": no way`, "empty": "", "n": "3"} {
 		if got := l.Get(key); got != want {
-			t.Errorf("%s is %q, want %q", key, got, want)
+			t.Errorf("field %s is %q, want %q", key, got, want)
 		}
 	}
 	for _, text := range []string{"", "no line of ours", `time=2026-01-01T00:00:00Z msg="open`, "time=now msg=x", "time=2026-01-01T00:00:00Z level=INFO"} {
 		if l, ok := Parse(text); ok {
-			t.Errorf("%q reads as %+v", text, l)
+			t.Errorf("Parse(%q) = %+v, want a rejection", text, l)
 		}
 	}
 }
 
-// A request is sent to an engine of which the list has just said that it leaves,
-// and fails. The story has both, in order, and nothing of other targets, other
-// processes or other requests.
-func TestStoryHasWhatDecided(t *testing.T) {
+// A story must contain the state changes that explain a failed send, and nothing about other
+// targets, processes or requests.
+func TestStoryIncludesOnlyRelevantStateChanges(t *testing.T) {
 	var one, two strings.Builder
 	entry, other := logging.New(&one, "entry-1"), logging.New(&two, "entry-2")
 	logBoth := func(event string, kv ...any) {
@@ -56,17 +54,16 @@
 		t.Errorf("lines %+v", s.Lines)
 	}
 	if len(s.StateChanges) != 3 || s.StateChanges[0].Get("target") != "i-1" || s.StateChanges[1].Get("outcome") != "in_doubt" || s.StateChanges[2].Event != "store_lost" {
-		t.Errorf("beliefs %+v", s.StateChanges)
+		t.Errorf("state changes %+v", s.StateChanges)
 	}
-	var told strings.Builder
-	if err := s.Print(&told); err != nil || !strings.Contains(told.String(), "outcome=target_failed") {
-		t.Errorf("%v: %s", err, told.String())
+	var printed strings.Builder
+	if err := s.Print(&printed); err != nil || !strings.Contains(printed.String(), "outcome=target_failed") {
+		t.Errorf("%v: %s", err, printed.String())
 	}
 }
 
-// Lines were dropped while the request was under way, and the story says so. A
-// request of which no line is left is told apart from one that went well.
-func TestStoryAdmitsGaps(t *testing.T) {
+// A story must say that log lines were dropped, and that a request has no lines at all.
+func TestStoryReportsDroppedAndMissingLines(t *testing.T) {
 	log := "time=2026-01-01T00:00:01Z level=INFO msg=request_sent process=e request_id=r1\n" +
 		"time=2026-01-01T00:00:02Z level=WARN msg=log_lines_dropped process=e lines=7\n" +
 		"time=2026-01-01T00:00:03Z level=INFO msg=request_done process=e request_id=r1\n"
@@ -75,16 +72,15 @@
 		t.Errorf("%v %+v", err, s)
 	}
 	none, err := Read("r9", strings.NewReader(log))
-	var told strings.Builder
-	if err != nil || none.Print(&told) != nil || !strings.Contains(told.String(), "no line tells") {
-		t.Errorf("%v: %s", err, told.String())
+	var printed strings.Builder
+	if err != nil || none.Print(&printed) != nil || !strings.Contains(printed.String(), "no log line mentions request r9") {
+		t.Errorf("%v: %s", err, printed.String())
 	}
 }
 
-// A caller comes three times, at two entries, and is refused at last. The story of the
-// last try tells the ends under the earlier ones; asked for by what the tries have in
-// common, it tells all of them.
-func TestStoryTellsWhatIsHeldAgainstARequest(t *testing.T) {
+// The story of an attempt must include the quarantine events that earlier attempts caused at
+// other entries. The story of a fingerprint must include all its attempts.
+func TestStoryIncludesQuarantineEvents(t *testing.T) {
 	var one, two strings.Builder
 	entry, other := logging.New(&one, "entry-1"), logging.New(&two, "entry-2")
 	other.Info("request_sent", "request_id", "r1", "print", "p", "target", "i-1")
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,6 +1,5 @@
-// Package explain tells one request's story from the log lines of any number of
-// processes: what was decided about it, and what the process that took it had
-// learned shortly before.
+// Package explain reconstructs the handling of one request from the logs of several
+// processes: the decisions about it, and the state changes that preceded them.
 package explain
 
 import (
@@ -9,23 +8,23 @@
 	"time"
 )
 
-// Field is one key with its value.
+// Field is a key-value pair of a log line.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// Line is one log line of a process.
+// Line is a parsed log line.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Process string    `json:"process"`
-	// Event is what happened: the line's message.
+	// Event is the line's message, which names the logged event.
 	Event string `json:"event"`
-	// Fields are the rest, in their order.
+	// Fields holds the remaining pairs in the order of the line.
 	Fields []Field `json:"fields"`
 }
 
-// Get returns a field's value, or nothing.
+// Get returns the value of a field, or an empty string if the line lacks it.
 func (l *Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -35,16 +34,15 @@
 	return ""
 }
 
-// Parse reads a line of key=value pairs. What stands before "time=", such as a
-// collector's own prefix, is passed over. It reports whether the line is one of
-// ours.
+// Parse parses a line of key=value pairs. It skips everything before "time=", such as a log
+// collector's prefix, and reports whether the line has the format of package logging.
 func Parse(text string) (Line, bool) {
-	at := strings.Index(text, "time=")
-	if at < 0 {
+	start := strings.Index(text, "time=")
+	if start < 0 {
 		return Line{}, false
 	}
 	var l Line
-	rest := text[at:]
+	rest := text[start:]
 	for rest != "" {
 		var f Field
 		var ok bool
@@ -58,6 +56,7 @@
 	return l, l.Event != ""
 }
 
+// setField stores a pair and reports whether its value is valid.
 func (l *Line) setField(f Field) bool {
 	var err error
 	switch f.Key {
@@ -74,7 +73,7 @@
 	return err == nil
 }
 
-// next cuts the first pair off a line.
+// cutField splits the first pair off text and returns the remainder.
 func cutField(text string) (Field, string, bool) {
 	key, rest, ok := strings.Cut(text, "=")
 	if !ok {
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// requestField names the request on its lines, and printField what its caller's other
-	// tries have in common with it.
+	// requestField holds the ID of one attempt; fingerprintField identifies the request across
+	// its caller's retries.
 	requestField     = "request_id"
 	fingerprintField = "print"
-	// maxLine is the longest line that is read; longer ones are no lines of ours.
+	// maxLineBytes bounds the length of a log line.
 	maxLineBytes = 1 << 20
-	// Before is how long before a request's first line beliefs are told.
+	// Lookback is how long before a request's first line state changes are included.
 	Lookback = 5 * time.Second
 )
 
-// beliefEvents are the lines that tell of a changed belief or dependency.
+// stateChangeEvents are the events that record a change in what a process knows of targets,
+// or in the availability of a dependency.
 var stateChangeEvents = []string{
 	"estate_in_force", "weights_wanted", "target_listed", "target_unlisted", "target_gone", "engine_told", "engine_told_silent", "target_rested",
 	"store_lost", "store_regained", "list_regained", "feed_trimmed", "fetch_failed", "peer_heard", "peer_silent", "host_woke", "declaration_refused",
@@ -30,29 +31,27 @@
 	"cache_told", "cache_feed_lost", "cache_feed_regained", "cache_feed_broken", "cache_listed", "store_followed", "store_left",
 }
 
-// suspectEvents are the lines that tell what is held against a request. They may be older
-// than the try that is asked for, and concern all tries of it.
+// quarantineEvents are the events that record a request's quarantine status. They concern all
+// attempts with the same fingerprint, so they may precede the attempt in question.
 var quarantineEvents = []string{"request_blamed", "request_blame_told", "request_held", "request_quarantined", "request_not_quarantined", "request_cleared", "request_released", "quarantine_kept"}
 
-// Story is what the logs tell of one request.
+// Story is what the logs contain about one request.
 type Story struct {
-	// ID is that of one try, or the print of all tries of the request.
+	// ID is the ID of one attempt, or the fingerprint that all attempts share.
 	ID string `json:"id"`
-	// Lines are the request's own, in the order of time.
+	// Lines are the request's own lines, ordered by time.
 	Lines []Line `json:"lines"`
-	// Beliefs are what the processes that had the request learned in the time
-	// before it and while it lasted, of the targets it met and of what they
-	// depend on.
+	// StateChanges are the relevant state changes in the processes that handled the request,
+	// from Lookback before its first line until its last one.
 	StateChanges []Line `json:"beliefs"`
-	// Dropped is set when one of the processes dropped log lines meanwhile: the
-	// story may have gaps.
+	// Dropped is set when one of the processes dropped log lines during that time.
 	Dropped bool `json:"dropped"`
 }
 
-// Read gathers a request's story from logs.
+// Read collects a request's story from logs.
 func Read(id string, logs ...io.Reader) (*Story, error) {
 	s := &Story{ID: id, Lines: []Line{}, StateChanges: []Line{}}
-	var beliefs, held []Line
+	var stateChanges, quarantineLines []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
 		scanner.Buffer(nil, maxLineBytes)
@@ -63,9 +62,9 @@
 			case l.Get(requestField) == id || l.Get(requestField) != "" && l.Get(fingerprintField) == id:
 				s.Lines = append(s.Lines, l)
 			case slices.Contains(quarantineEvents, l.Event):
-				held = append(held, l)
+				quarantineLines = append(quarantineLines, l)
 			case slices.Contains(stateChangeEvents, l.Event):
-				beliefs = append(beliefs, l)
+				stateChanges = append(stateChanges, l)
 			}
 		}
 		if err := scanner.Err(); err != nil {
@@ -73,13 +72,13 @@
 		}
 	}
 	sortByTime(s.Lines)
-	sortByTime(beliefs)
-	for _, l := range held {
+	sortByTime(stateChanges)
+	for _, l := range quarantineLines {
 		if s.containsLine(func(own *Line) bool { return own.Get(fingerprintField) == l.Get(fingerprintField) }) {
 			s.StateChanges = append(s.StateChanges, l)
 		}
 	}
-	for _, l := range beliefs {
+	for _, l := range stateChanges {
 		if s.isRelevant(&l) {
 			s.StateChanges = append(s.StateChanges, l)
 			s.Dropped = s.Dropped || l.Event == "log_lines_dropped"
@@ -93,21 +92,22 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// concerns reports whether a belief may have decided something about the request.
-func (s *Story) isRelevant(l *Line) bool {
+// isRelevant reports whether a state change may have influenced the request's handling.
+func (s *Story) isRelevant(change *Line) bool {
 	if len(s.Lines) == 0 {
 		return false
 	}
 	from, to := s.Lines[0].Time.Add(-Lookback), s.Lines[len(s.Lines)-1].Time
-	if l.Time.Before(from) || l.Time.After(to) {
+	if change.Time.Before(from) || change.Time.After(to) {
 		return false
 	}
 	return s.containsLine(func(own *Line) bool {
-		return own.Process == l.Process && (targetOf(l) == "" || targetOf(l) == own.Get("target") || targetOf(l) == own.Get("address"))
+		return own.Process == change.Process && (targetOf(change) == "" || targetOf(change) == own.Get("target") || targetOf(change) == own.Get("address"))
 	})
 }
 
-// target is the target that a belief is about, by its instance or its address.
+// targetOf returns the instance or address of the target that a state change is about, or an
+// empty string if it is not about one target.
 func targetOf(l *Line) string {
 	if t := l.Get("target"); t != "" {
 		return t
@@ -122,30 +122,29 @@
 	return slices.ContainsFunc(s.Lines, func(l Line) bool { return match(&l) })
 }
 
-// Print writes the story for a person. Times are relative to the request's first
-// line.
+// Print writes the story as text, with times relative to the request's first line.
 func (s *Story) Print(out io.Writer) error {
 	if len(s.Lines) == 0 {
-		_, err := fmt.Fprintf(out, "no line tells of request %s\n", s.ID)
+		_, err := fmt.Fprintf(out, "no log line mentions request %s\n", s.ID)
 		return err
 	}
 	begin := s.Lines[0].Time
 	if _, err := fmt.Fprintf(out, "request %s, first line at %s\n", s.ID, begin.Format(time.RFC3339Nano)); err != nil {
 		return err
 	}
-	for _, part := range []struct {
+	for _, section := range []struct {
 		title string
 		lines []Line
-	}{{"what was learned before and meanwhile", s.StateChanges}, {"what became of it", s.Lines}} {
-		if len(part.lines) == 0 {
+	}{{"state changes before and during the request", s.StateChanges}, {"the request", s.Lines}} {
+		if len(section.lines) == 0 {
 			continue
 		}
-		if err := printLines(out, part.title, part.lines, begin); err != nil {
+		if err := printLines(out, section.title, section.lines, begin); err != nil {
 			return err
 		}
 	}
 	if s.Dropped {
-		_, err := fmt.Fprintln(out, "\nlog lines were dropped meanwhile: the story may have gaps")
+		_, err := fmt.Fprintln(out, "\nlog lines were dropped during this time; the account may be incomplete")
 		return err
 	}
 	return nil
@@ -161,7 +160,7 @@
 	return w.Flush()
 }
 
-// told joins the fields that say something.
+// formatFields joins the fields whose values are not empty.
 func formatFields(l *Line) string {
 	var b strings.Builder
 	for _, f := range l.Fields {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -38,10 +38,10 @@
 	Class string
 	// TTFT is the time to the first piece of text.
 	TTFT time.Duration
-	// Whole is set when the answer equals the transcript.
+	// Correct is set when the answer equals the transcript.
 	Correct        bool
 	Prompt, Cached int
-	// Problem says what went wrong, like "429 overloaded".
+	// Failure says what went wrong, like "429 overloaded".
 	Failure string
 }
 
@@ -151,7 +151,7 @@
 
 var errTruncatedStream = errors.New("stream without its end mark")
 
-// readStream reads the events up to the end mark and compares the text.
+// checkStream reads the events up to the end mark and compares the text.
 func (out *Outcome) checkStream(body io.Reader, start time.Time, want string) {
 	var text strings.Builder
 	dec := newEventReader(body)
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -7,14 +7,12 @@
 	"time"
 )
 
-// Bounded is a writer of log lines that never blocks who logs. Lines go through
-// a buffer to the output. Those beyond the rate, and those that come while the
-// buffer is full because the output's reader is stuck, are dropped; how many is
-// written when lines get through again.
+// Bounded is a log writer that never blocks its caller. It buffers lines and drops those
+// that exceed the rate limit or find the buffer full because the output is blocked. The
+// number of dropped lines is logged with the next line that is written.
 //
-// Ordinary lines, of requests that went well, have a part of the rate only. The
-// failure guarded against is a flood of them that leaves no room for the line of
-// the one request that failed.
+// Routine lines, such as those of successful requests, may use only a part of the rate, so
+// that a flood of them doesn't displace the lines of failures.
 type Bounded struct {
 	out     io.Writer
 	process string
@@ -24,33 +22,33 @@
 	done    chan struct{}
 	mu      sync.Mutex
 	second  int64
-	// inSec and ordinary count the second's lines, all and ordinary ones.
+	// linesInSecond counts the lines accepted in the current second, routineInSecond the
+	// routine ones among them.
 	linesInSecond, routineInSecond int
 	closed                         bool
 }
 
 const (
-	// bufferedLines bounds the memory that a stuck reader costs: 1,024 lines of
-	// some 300 bytes.
+	// maxBufferedLines bounds the memory in use while the output is blocked.
 	maxBufferedLines = 1024
-	// ordinaryShare is the part of the rate that ordinary lines may take.
+	// routineShare is the share of the rate that routine lines may use.
 	routineShare = 0.7
-	// closeTimeout bounds the wait for a stuck reader at the end.
+	// closeTimeout bounds how long Close waits for a blocked output.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// NewBounded returns a writer of at most perSecond lines a second to out, for the
-// process of a name.
+// NewBounded returns a writer that writes at most perSecond lines per second to out. The name
+// of the process appears in its reports of dropped lines.
 func NewBounded(out io.Writer, process string, perSecond int) *Bounded {
 	b := &Bounded{out: out, process: process, limit: perSecond, lines: make(chan []byte, maxBufferedLines), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write implements io.Writer; each call is one line. It never fails.
+// Write implements io.Writer. Each call writes one line; it never fails.
 func (b *Bounded) Write(line []byte) (int, error) { return b.write(line, false), nil }
 
-// Ordinary returns the writer of ordinary lines.
+// Routine returns a writer for routine lines.
 func (b *Bounded) Routine() io.Writer { return routineWriter{b} }
 
 type routineWriter struct{ *Bounded }
@@ -58,10 +56,10 @@
 // Write implements io.Writer.
 func (o routineWriter) Write(line []byte) (int, error) { return o.write(line, true), nil }
 
-func (b *Bounded) write(line []byte, ordinary bool) int {
+func (b *Bounded) write(line []byte, routine bool) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.closed || !b.allow(time.Now().Unix(), ordinary) {
+	if b.closed || !b.allow(time.Now().Unix(), routine) {
 		b.dropped.Add(1)
 		return len(line)
 	}
@@ -73,37 +71,37 @@
 	return len(line)
 }
 
-// allowed counts a line against the second's budget. The caller holds mu.
-func (b *Bounded) allow(second int64, ordinary bool) bool {
+// allow reports whether the rate limit admits a line, and counts it. The caller holds mu.
+func (b *Bounded) allow(second int64, routine bool) bool {
 	if second != b.second {
 		b.second, b.linesInSecond, b.routineInSecond = second, 0, 0
 	}
-	if ordinary && b.routineInSecond >= int(routineShare*float64(b.limit)) || b.linesInSecond >= b.limit {
+	if routine && b.routineInSecond >= int(routineShare*float64(b.limit)) || b.linesInSecond >= b.limit {
 		return false
 	}
 	b.linesInSecond++
-	if ordinary {
+	if routine {
 		b.routineInSecond++
 	}
 	return true
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
 
 func (b *Bounded) run() {
 	defer close(b.done)
-	var told uint64
+	var reported uint64
 	for line := range b.lines {
-		if dropped := b.dropped.Load(); dropped > told {
-			_, _ = io.WriteString(b.out, droppedLine(b.process, dropped-told))
-			told = dropped
+		if dropped := b.dropped.Load(); dropped > reported {
+			_, _ = io.WriteString(b.out, droppedLine(b.process, dropped-reported))
+			reported = dropped
 		}
-		_, _ = b.out.Write(line) // there is nobody left to tell
+		_, _ = b.out.Write(line) // a failing log output can't be reported
 	}
 }
 
-// Close writes what is buffered, unless the output's reader is stuck.
+// Close flushes the buffer, unless the output is blocked.
 func (b *Bounded) Close() {
 	b.mu.Lock()
 	if !b.closed {
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// stuck is an output whose reader has stopped reading until it is released.
+// blockedWriter blocks writes until it is released.
 type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -23,16 +23,16 @@
 	return s.written.Write(p)
 }
 
-// Whoever reads the log is stuck. Requests go on: lines are dropped, and the
-// log says how many when it gets through again.
-func TestStuckReaderCostsLinesNotRequests(t *testing.T) {
+// A blocked log output must not block logging. Lines are dropped and their number is logged
+// once the output accepts lines again.
+func TestBlockedOutputDropsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockedWriter{release: make(chan struct{})}
 		b := NewBounded(out, "p", 1<<20)
 		const lines = 3 * maxBufferedLines
 		for range lines {
 			if n, err := b.Write([]byte("line\n")); n != 5 || err != nil {
-				t.Fatalf("%d, %v", n, err)
+				t.Fatalf("Write = %d, %v", n, err)
 			}
 		}
 		close(out.release)
@@ -45,12 +45,12 @@
 			t.Errorf("%d written, %d dropped", written, b.Dropped())
 		}
 		if !strings.Contains(text, "msg=log_lines_dropped process=\"p\" lines=") {
-			t.Error("what was dropped is not said")
+			t.Error("the number of dropped lines is not logged")
 		}
 	})
 }
 
-// A flood of lines stays within the rate, second by second.
+// The number of lines written in each second must not exceed the rate.
 func TestRateBoundsTheVolume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -68,20 +68,19 @@
 	})
 }
 
-// Thousands of requests go well in a second and one fails. The line of the one
-// that failed is written.
-func TestOrdinaryLinesLeaveRoomForFailures(t *testing.T) {
+// A flood of routine lines must not cause the line of a failed request to be dropped.
+func TestRoutineLinesLeaveCapacityForFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		b := NewBounded(&out, "p", 10)
 		for range 100 {
-			_, _ = b.Routine().Write([]byte("ordinary\n"))
+			_, _ = b.Routine().Write([]byte("routine\n"))
 		}
 		_, _ = b.Write([]byte("failed\n"))
 		b.Close()
 		text := out.String()
-		if n := strings.Count(text, "ordinary\n"); n != 7 || strings.Count(text, "failed\n") != 1 {
-			t.Errorf("%d ordinary lines; in all: %s", n, text)
+		if n := strings.Count(text, "routine\n"); n != 7 || strings.Count(text, "failed\n") != 1 {
+			t.Errorf("%d routine lines in the output: %s", n, text)
 		}
 	})
 }
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,8 +1,8 @@
-// Package losses tells from the logs of entries which requests were not served in time,
-// when, and for what reason.
+// Package losses computes from the logs of entries how many requests missed their latency
+// objective, when, and why.
 //
-// It goes by what an entry knew: what it expected of a send, and what came. What other
-// processes did to a request shows as "beyond what was expected".
+// It compares an entry's estimate for a send with the outcome, so delays in other processes
+// are reported as unexpected.
 package losses
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/toucanwell/toucanwell/internal/explain"
 )
 
-// maxLine is the longest log line that is read; longer ones are no lines of ours.
+// maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// Reasons for an answer that was late, by what took the most time of it.
+// Reasons for a late response: the largest component of its time to first event.
 const (
 	ReasonEntryWait  = "kept before the send"
 	ReasonEngineWait = "expected wait at the engine"
@@ -30,44 +30,45 @@
 	ReasonResend     = "another send"
 )
 
-// Row counts the requests of one route in one window of time.
+// Row counts the requests of one route in one time window.
 type Row struct {
 	Route string `json:"route"`
-	// From is when the window begins, in seconds from the first line.
+	// Start is the start of the window, in seconds since the first log line.
 	Start float64 `json:"from_s"`
-	// Requests are all that ended in the window; InTime those whose first event came
-	// within the route's aim, Late those after it, Gone those whose callers left.
+	// Requests counts the requests that ended in the window. InTime counts those whose first
+	// event met the route's objective, Late those that missed it, and Cancelled those whose
+	// callers disconnected.
 	Requests  int `json:"requests"`
 	InTime    int `json:"in_time"`
 	Late      int `json:"late"`
 	Cancelled int `json:"gone"`
-	// Shared, Held and Fetched are tokens of the shared parts of prompts: in all, those
-	// that the engine was expected to hold, and to fetch.
+	// SharedTokens counts the tokens of prompts' shared parts, CachedTokens those expected to
+	// be cached at the engine, and FetchedTokens those that it was expected to fetch.
 	SharedTokens  int `json:"shared_tokens"`
 	CachedTokens  int `json:"held_tokens"`
 	FetchedTokens int `json:"fetched_tokens"`
-	// Reasons are why requests were late, refused or failed, with how many.
+	// Reasons counts the late, refused and failed requests by reason.
 	Reasons map[string]int `json:"reasons"`
 }
 
-// Options say how requests are judged.
+// Options configures the evaluation.
 type Options struct {
-	// Window is the length of a row's time.
+	// Window is the length of the time window of a row.
 	Window time.Duration
-	// Aim is the time within which the first event of a route is of full use, by the
-	// route's name. Routes that are not named have DefaultAim.
+	// Objectives maps a route's name to its objective for the time to first event. Other
+	// routes have DefaultObjective.
 	Objectives       map[string]time.Duration
 	DefaultObjective time.Duration
 }
 
-// sent is what a request's sends were expected to take.
+// sendEstimate is the entry's estimate for the latest send of a request.
 type sendEstimate struct {
 	engineWait, prefill, fetch, entryWait     time.Duration
 	sharedTokens, cachedTokens, fetchedTokens int
 	sends                                     int
 }
 
-// Read makes the table of the logs, in the order of time and routes.
+// Read computes the rows of the logs, ordered by route and time.
 func Read(o Options, logs ...io.Reader) ([]Row, error) {
 	lines, err := readLines(logs)
 	if err != nil || len(lines) == 0 {
@@ -125,7 +126,7 @@
 	delete(t.sends, id)
 }
 
-// done counts a request that has ended; s is nil for one that was never sent.
+// countDone counts a completed request; s is nil if it was never sent.
 func (t *table) countDone(l *explain.Line, s *sendEstimate) {
 	row := t.rowFor(l)
 	row.Requests++
@@ -147,7 +148,7 @@
 	}
 }
 
-// reason names what took the most of the time until the first event.
+// lateReason returns the largest component of the time to first event.
 func lateReason(first time.Duration, s *sendEstimate) string {
 	if s == nil {
 		return ReasonUnexpected
@@ -155,12 +156,12 @@
 	if s.sends > 1 {
 		return ReasonResend
 	}
-	parts := map[string]time.Duration{
+	components := map[string]time.Duration{
 		ReasonEntryWait: s.entryWait, ReasonEngineWait: s.engineWait, ReasonPrefill: s.prefill, ReasonFetch: s.fetch,
 		ReasonUnexpected: first - s.entryWait - s.engineWait - s.prefill - s.fetch,
 	}
-	names := slices.Sorted(maps.Keys(parts))
-	return slices.MaxFunc(names, func(a, b string) int { return cmp.Compare(parts[a], parts[b]) })
+	names := slices.Sorted(maps.Keys(components))
+	return slices.MaxFunc(names, func(a, b string) int { return cmp.Compare(components[a], components[b]) })
 }
 
 func (t *table) rowFor(l *explain.Line) *Row {
@@ -174,8 +175,8 @@
 }
 
 func (t *table) objective(route string) time.Duration {
-	if aim, ok := t.options.Objectives[route]; ok {
-		return aim
+	if objective, ok := t.options.Objectives[route]; ok {
+		return objective
 	}
 	return t.options.DefaultObjective
 }
@@ -189,8 +190,8 @@
 	return all
 }
 
-// duration reads a field of a line; one that is missing or no duration counts as none,
-// as for requests without a prompt.
+// durationField returns a field's duration, or 0 if the field is missing or invalid, as for
+// requests without a prompt.
 func durationField(l *explain.Line, field string) time.Duration {
 	d, err := time.ParseDuration(l.Get(field))
 	if err != nil {
@@ -199,7 +200,7 @@
 	return d
 }
 
-// number reads a field of a line; one that is missing or no number counts as none.
+// intField returns a field's number, or 0 if the field is missing or invalid.
 func intField(l *explain.Line, field string) int {
 	n, err := strconv.Atoi(l.Get(field))
 	if err != nil {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -8,10 +8,8 @@
 	"github.com/toucanwell/toucanwell/internal/logging"
 )
 
-// Of five prompts of one route one is in time, one waits at its engine, one takes longer
-// than was expected, one is refused unsent and one caller leaves. Each is counted once,
-// with what took the most time.
-func TestRequestsAreCountedWithTheirReasons(t *testing.T) {
+// Each request must be counted once: in time, late with its main reason, refused or cancelled.
+func TestReadCountsRequestsByReason(t *testing.T) {
 	var out strings.Builder
 	log := logging.New(&out, "entry-1")
 	send := func(id, wait, read string) {
@@ -41,12 +39,12 @@
 	}
 	for reason, want := range map[string]int{"late: " + ReasonEngineWait: 1, "late: " + ReasonUnexpected: 1, "deadline_unmeetable": 1} {
 		if r.Reasons[reason] != want {
-			t.Errorf("%s: %d, want %d; all are %v", reason, r.Reasons[reason], want, r.Reasons)
+			t.Errorf("reason %q: %d, want %d; all reasons: %v", reason, r.Reasons[reason], want, r.Reasons)
 		}
 	}
 }
 
-func TestLogsWithoutRequestsMakeAnEmptyTable(t *testing.T) {
+func TestReadWithoutRequestsReturnsNoRows(t *testing.T) {
 	rows, err := Read(Options{Window: time.Second}, strings.NewReader("nothing\n"))
 	if err != nil || len(rows) != 0 {
 		t.Errorf("%v, %v", rows, err)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics holds the measures that a process exposes to Prometheus.
+// Package metrics defines the metrics that a process exposes to Prometheus.
 package metrics
 
 import (
@@ -7,9 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the collectors of one process.
+// Metrics holds the collectors of one process.
 type Metrics struct {
-	// Registry gathers them.
 	Registry *prometheus.Registry
 
 	requests           *prometheus.CounterVec
@@ -40,7 +39,7 @@
 
 var ttftBuckets = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.62, 1, 2, 4, 8, 16, 32}
 
-// New returns registered collectors.
+// New returns the collectors, registered with a new registry.
 func New() *Metrics {
 	labels := []string{"service", "class"}
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
@@ -51,36 +50,36 @@
 	}
 	m := &Metrics{
 		Registry:         prometheus.NewRegistry(),
-		requests:         counter("requests_total", "Requests taken.", labels...),
+		requests:         counter("requests_total", "Requests received.", labels...),
 		refusals:         counter("refusals_total", "Requests refused, by kind.", "service", "class", "kind"),
 		promptTokens:     counter("prompt_tokens_total", "Prompt tokens of finished requests.", labels...),
 		cachedTokens:     counter("cached_tokens_total", "Prompt tokens that the engine had cached.", labels...),
-		recomputedTokens: counter("recomputed_tokens_total", "Prompt tokens of shared levels that an engine computed although another target held them when asked.", labels...),
-		retries:          counter("retries_total", "Tries after the first, by cause.", "cause"),
-		logErrors:        counter("log_errors_total", "Failed calls of the platform's log.", "call"),
+		recomputedTokens: counter("recomputed_tokens_total", "Prompt tokens of shared levels that an engine computed although another probed target had them cached.", labels...),
+		retries:          counter("retries_total", "Retries, by cause.", "cause"),
+		logErrors:        counter("log_errors_total", "Failed calls to the platform's log.", "call"),
 		ttft: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "toucanwell", Name: "ttft_seconds", Help: "Time to first token.", Buckets: ttftBuckets,
 		}, labels),
-		resumes:        prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "stream_resumes_total", Help: "Streams continued after a cut."}),
+		resumes:        prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "stream_resumes_total", Help: "Streams resumed after an interruption."}),
 		probes:         prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "probes_total", Help: "Probes sent to sidecars."}),
 		controlSeconds: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "control_seconds_total", Help: "Time spent on the control thread."}),
 		connections:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "target_connections_total", Help: "Connections opened to targets."}),
-		refusedEntries: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "target_entries_refused_total", Help: "Entries of the platform's list that name no target."}),
+		refusedEntries: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "target_entries_refused_total", Help: "Invalid entries in the platform's target list."}),
 		storeCalls: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: "toucanwell", Name: "store_call_seconds", Help: "Calls of the platform's store, by topic and result.", Buckets: ttftBuckets,
+			Namespace: "toucanwell", Name: "store_call_seconds", Help: "Duration of calls to the platform's store, by topic and result.", Buckets: ttftBuckets,
 		}, []string{"topic", "result"}),
 		placementWait: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: "toucanwell", Name: "placement_wait_seconds", Help: "Time between a request's arrival and its first send.", Buckets: ttftBuckets,
+			Namespace: "toucanwell", Name: "placement_wait_seconds", Help: "Time from a request's arrival to its first send.", Buckets: ttftBuckets,
 		}, labels),
-		attributedCrashes:  counter("blamed_requests_total", "Ends of targets held against a request, by whose word: own or told.", "word"),
-		evictedSuspects:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "suspects_evicted_total", Help: "Records of suspects dropped for want of room."}),
-		rateLimitDecisions: counter("rate_limit_decisions_total", "Requests of workspaces with a rate limit, by who decided and what.", "source", "outcome"),
+		attributedCrashes:  counter("blamed_requests_total", "Target crashes attributed to a request, by source: this process (own) or a peer (told).", "word"),
+		evictedSuspects:    prometheus.NewCounter(prometheus.CounterOpts{Namespace: "toucanwell", Name: "suspects_evicted_total", Help: "Quarantine records evicted because the registry was full."}),
+		rateLimitDecisions: counter("rate_limit_decisions_total", "Rate limit decisions, by source and outcome.", "source", "outcome"),
 		weightsOrders:      counter("weights_orders_total", "Orders to load weights, by outcome.", "outcome"),
-		queueWaiting:       gauge("queue_waiting", "Requests that wait at this sidecar."),
-		queueRunning:       gauge("queue_running", "Requests that run at this sidecar's target."),
+		queueWaiting:       gauge("queue_waiting", "Requests waiting at this sidecar."),
+		queueRunning:       gauge("queue_running", "Requests running at this sidecar's target."),
 		indexBlocks:        gauge("index_blocks", "Blocks in the prefix index."),
-		eventGaps:          gauge("event_gaps", "Losses found in the engine's event stream."),
-		configVersion:      gauge("config_version", "Version of the configuration in force."),
+		eventGaps:          gauge("event_gaps", "Gaps detected in the engine's event stream."),
+		configVersion:      gauge("config_version", "Version of the active configuration."),
 	}
 	m.Registry.MustRegister(m.requests, m.refusals, m.ttft, m.promptTokens, m.cachedTokens, m.recomputedTokens,
 		m.retries, m.resumes, m.probes, m.queueWaiting, m.queueRunning, m.indexBlocks, m.eventGaps,
@@ -88,10 +87,10 @@
 	return m
 }
 
-// Request counts a request taken.
+// Request counts a received request.
 func (m *Metrics) Request(service, class string) { m.requests.WithLabelValues(service, class).Inc() }
 
-// Refusal counts a refusal.
+// Refusal counts a refused request.
 func (m *Metrics) Refusal(service, class, kind string) {
 	m.refusals.WithLabelValues(service, class, kind).Inc()
 }
@@ -101,28 +100,28 @@
 	m.ttft.WithLabelValues(service, class).Observe(d.Seconds())
 }
 
-// Waited records how long a request was kept before its first send.
+// PlacementWait records the time from a request's arrival to its first send.
 func (m *Metrics) PlacementWait(service, class string, d time.Duration) {
 	m.placementWait.WithLabelValues(service, class).Observe(d.Seconds())
 }
 
-// Gauge registers a gauge that is read when metrics are gathered.
+// RegisterGauge registers a gauge whose value is read at collection time.
 func (m *Metrics) RegisterGauge(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "toucanwell", Name: name, Help: help}, read))
 }
 
-// Tokens counts the prompt tokens of a finished request; wasted are those
-// computed although another target held them.
-func (m *Metrics) Tokens(service, class string, prompt, cached, wasted int) {
+// Tokens counts the prompt tokens of a completed request. The recomputed tokens are those that
+// the engine computed although another target had them cached.
+func (m *Metrics) Tokens(service, class string, prompt, cached, recomputed int) {
 	m.promptTokens.WithLabelValues(service, class).Add(float64(prompt))
 	m.cachedTokens.WithLabelValues(service, class).Add(float64(cached))
-	m.recomputedTokens.WithLabelValues(service, class).Add(float64(wasted))
+	m.recomputedTokens.WithLabelValues(service, class).Add(float64(recomputed))
 }
 
-// Retry counts a try after the first.
+// Retry counts a retry.
 func (m *Metrics) Retry(cause string) { m.retries.WithLabelValues(cause).Inc() }
 
-// RateLimit counts a decision on a workspace's rate limit.
+// RateLimitDecision counts the decision on a request of a rate-limited workspace.
 func (m *Metrics) RateLimitDecision(source string, admitted bool) {
 	outcome := "refused"
 	if admitted {
@@ -131,40 +130,40 @@
 	m.rateLimitDecisions.WithLabelValues(source, outcome).Inc()
 }
 
-// Resume counts a stream that was continued.
+// Resume counts a resumed stream.
 func (m *Metrics) Resume() { m.resumes.Inc() }
 
-// Probes counts probes sent.
+// Probes counts sent probes.
 func (m *Metrics) Probes(n int) { m.probes.Add(float64(n)) }
 
-// Queue sets the queue's gauges.
+// Queue sets the gauges of a sidecar's queue.
 func (m *Metrics) Queue(waiting, running int) {
 	m.queueWaiting.Set(float64(waiting))
 	m.queueRunning.Set(float64(running))
 }
 
-// Index sets the prefix index's gauges.
+// Index sets the gauges of the prefix index.
 func (m *Metrics) Index(blocks int, gaps uint64) {
 	m.indexBlocks.Set(float64(blocks))
 	m.eventGaps.Set(float64(gaps))
 }
 
-// ConfigVersion sets the version in force.
+// ConfigVersion sets the version of the active configuration.
 func (m *Metrics) ConfigVersion(v uint64) { m.configVersion.Set(float64(v)) }
 
-// LogError counts a failed call of the log.
+// LogError counts a failed call to the platform's log.
 func (m *Metrics) LogError(call string) { m.logErrors.WithLabelValues(call).Inc() }
 
-// Control counts time spent on the control thread.
+// ControlTime adds time spent on the control thread.
 func (m *Metrics) ControlTime(d time.Duration) { m.controlSeconds.Add(d.Seconds()) }
 
 // Connection counts a connection opened to a target.
 func (m *Metrics) Connection() { m.connections.Inc() }
 
-// TargetRefused counts an entry of the platform's list that names no target.
+// TargetEntryRefused counts an invalid entry in the platform's target list.
 func (m *Metrics) TargetEntryRefused() { m.refusedEntries.Inc() }
 
-// StoreCall records a call of the platform's store.
+// StoreCall records a call to the platform's store.
 func (m *Metrics) StoreCall(topic string, took time.Duration, err error) {
 	result := "ok"
 	if err != nil {
@@ -173,18 +172,18 @@
 	m.storeCalls.WithLabelValues(topic, result).Observe(took.Seconds())
 }
 
-// Order counts an order to load weights.
+// WeightsOrder counts an order to load weights, by its outcome.
 func (m *Metrics) WeightsOrder(outcome string) { m.weightsOrders.WithLabelValues(outcome).Inc() }
 
-// Blamed counts an end of a target that is held against a request, by this process's own
-// word or as another one told it.
-func (m *Metrics) CrashAttributed(told bool) {
-	word := "own"
-	if told {
-		word = "told"
+// CrashAttributed counts a target crash that was attributed to a request, either by this
+// process or as announced by a peer.
+func (m *Metrics) CrashAttributed(announced bool) {
+	source := "own"
+	if announced {
+		source = "told"
 	}
-	m.attributedCrashes.WithLabelValues(word).Inc()
+	m.attributedCrashes.WithLabelValues(source).Inc()
 }
 
-// SuspectEvicted counts a record that was dropped for want of room.
+// SuspectEvicted counts a quarantine record that was evicted because the registry was full.
 func (m *Metrics) SuspectEvicted() { m.evictedSuspects.Inc() }
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -36,7 +36,7 @@
 	return e
 }
 
-// settle starts the requests that the gate has let through and ends those it
+// applyDecisions starts the requests that the gate has let through and ends those it
 // has refused.
 func (e *engine) applyDecisions() {
 	kept := e.waiting[:0]
--- a/internal/replay/policies.go
+++ b/internal/replay/policies.go
@@ -29,12 +29,12 @@
 // one is best; see docs/MEASUREMENTS.md.
 var OraclePolicy = routing.DefaultPolicy
 
-// usable reports whether a policy may still choose an engine.
+// isUsable reports whether a policy may still choose an engine.
 func (r *Replay) isUsable(j *job, i int) bool {
 	return r.targets[i].State != routing.Leaving && !j.excluded[i]
 }
 
-// loads are the requests at each engine, as reported a lag ago.
+// reportedLoads are the requests at each engine, as reported a lag ago.
 type reportedLoads struct{ reported []int }
 
 func (l *reportedLoads) startReporting(r *Replay) {
@@ -136,7 +136,7 @@
 	chosen(a)
 }
 
-// ranked orders engines by rendezvous hashing on a key.
+// rankEngines orders engines by rendezvous hashing on a key.
 func rankEngines(r *Replay, key uint64) []int {
 	order := make([]int, r.setup.Engines)
 	for i := range order {
@@ -219,7 +219,7 @@
 	p.probeRound(r, j, &ranking, 0, nil, chosen)
 }
 
-// round asks the targets of one round; its answers come back after two hops.
+// probeRound asks the targets of one round; its answers come back after two hops.
 func (p *Probing) probeRound(r *Replay, j *job, ranking *routing.Ranking, n int, quotes []routing.Estimate, chosen func(int)) {
 	from := 0
 	if n > 0 {
@@ -256,7 +256,7 @@
 	return quotes[best].Index
 }
 
-// quote asks the real gate.
+// estimate asks the real gate.
 func (r *Replay) estimate(j *job, i int) routing.Estimate {
 	q, refusal := r.engines[i].gate.Quote(r.probeInput(j))
 	return routing.Estimate{Index: i, Wait: q.Wait, Prefill: q.Prefill, Busy: q.Busy, Refused: refusal != nil}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -139,7 +139,7 @@
 	excluded map[int]bool
 	engine   int
 	pass     *sidecar.Pass
-	// answered is set with the first token.
+	// gotFirstToken is set with the first token.
 	gotFirstToken bool
 }
 
@@ -191,7 +191,7 @@
 
 func (r *Replay) after(d time.Duration, run eventFunc) { r.at(r.now+d, run) }
 
-// feed schedules the next request of the trace.
+// scheduleArrivals schedules the next request of the trace.
 func (r *Replay) scheduleArrivals(next func() (trace.Record, bool)) {
 	record, ok := next()
 	if !ok {
@@ -258,7 +258,7 @@
 	e.applyDecisions()
 }
 
-// again tries elsewhere within the retry budget.
+// retry tries elsewhere within the retry budget.
 func (r *Replay) retry(j *job, kind errkind.Kind) {
 	j.excluded[j.engine] = true
 	if j.attempts >= maxAttempts || r.retryBudget < 1 || !kind.Spec().Failover {
@@ -272,7 +272,7 @@
 	r.after(networkDelay, func() { r.dispatch(j) })
 }
 
-// give ends a request without an answer.
+// refuse ends a request without an answer.
 func (r *Replay) refuse(j *job, kind errkind.Kind) {
 	r.openRequests--
 	r.result.recordRefusal(r, j, kind)
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -29,7 +29,7 @@
 	Served, Requested map[string]float64
 	// Utilization is the mean share of time that engines prefilled.
 	Utilization float64
-	// BatchUse is the mean share of batch places that were taken.
+	// BatchUtilization is the mean share of batch places that were taken.
 	BatchUtilization float64
 	// Seconds holds the figures of each second, for recoveries.
 	Seconds []Second
@@ -104,7 +104,7 @@
 	res.Served[j.record.Workspace] += float64(j.record.InputLength + j.record.OutputLength)
 }
 
-// recomputed counts the tokens that a prefill computes although some engine
+// countRecomputed counts the tokens that a prefill computes although some engine
 // has computed them before.
 func (r *Replay) countRecomputed(j *job, cached int) int {
 	n := 0
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -327,7 +327,7 @@
 	})
 }
 
-// follow sends a stream's tokens from a sequence number on.
+// streamTokens sends a stream's tokens from a sequence number on.
 func (e *Engine) streamTokens(w http.ResponseWriter, r *http.Request, s *engineStream, from uint64) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -70,7 +70,7 @@
 	return s
 }
 
-// AppendNow appends without the network.
+// AppendRecord appends without the network.
 func (l *Log) AppendRecord(stream string, data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	return offset
 }
 
-// ReadNow reads without the network.
+// ReadPage reads without the network.
 func (l *Log) ReadPage(stream string, from uint64) *external.Page {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +109,7 @@
 	return l.faults
 }
 
-// refuse applies the delay and reports whether the call was refused.
+// failIfDown applies the delay and reports whether the call was refused.
 func (l *Log) failIfDown(w http.ResponseWriter) bool {
 	f := l.currentFaults()
 	time.Sleep(f.Delay)
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// slowdown is how much longer a fetch takes when the store bears too many.
+// overloadSlowdown is how much longer a fetch takes when the store bears too many.
 const overloadSlowdown = 4
 
 // WeightStore is a store of weights that bears a number of fetches at once.
@@ -38,7 +38,7 @@
 	s.active--
 }
 
-// Peak is the most fetches that ran at once, and Total how many there were.
+// FetchCounts is the most fetches that ran at once, and Total how many there were.
 func (s *WeightStore) FetchCounts() (peak, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -18,7 +18,7 @@
 	Share float64
 	// LevelTokens are the lengths of the nested levels, outermost first.
 	LevelTokens [3]int
-	// QuestionTokens is the length of the caller's own part.
+	// SuffixTokens is the length of the caller's own part.
 	SuffixTokens int
 	OutputTokens int
 	Deadline     time.Duration
@@ -173,7 +173,7 @@
 	return id
 }
 
-// hotPlace draws a place by Zipf's law; which places are hot changes with the
+// drawPlace draws a place by Zipf's law; which places are hot changes with the
 // epoch, without warning.
 func (g *generator) drawPlace(epoch, rulebook uint64) uint64 {
 	rank := g.places.Uint64()
@@ -181,7 +181,7 @@
 	return (rank + offset) % uint64(g.shape.Places)
 }
 
-// pick draws an item by its share; the shares add up to 1.
+// pickByShare draws an item by its share; the shares add up to 1.
 func pickByShare[T any](random *rand.Rand, items []T, share func(T) float64) T {
 	x := random.Float64()
 	for _, item := range items {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -40,7 +40,7 @@
 
 const maxLineBytes = 4 << 20
 
-// Check reports what is wrong with a record.
+// Validate reports what is wrong with a record.
 func (r *Record) Validate() error {
 	switch {
 	case r.Timestamp < 0:
