--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the administration address of a process: metrics,
-// liveness, readiness and the administration API.
+// Package admin serves the administration address of a process: metrics, liveness, readiness
+// and the administration API.
 package admin
 
 import (
@@ -20,41 +20,41 @@
 	"github.com/toucanwell/toucanwell/internal/errkind"
 )
 
-// Process is what the administration API shows.
+// Process provides the data that the administration API serves.
 type Process struct {
 	Name, Role, Zone string
-	// TokenSHA256 is the hex digest of the administration token; without one no
-	// token opens the API.
+	// TokenSHA256 is the hex digest of the administration token. If it is empty, the API
+	// rejects all requests.
 	TokenSHA256 string
-	// StartedMs is Unix time in milliseconds.
+	// StartedMs is the start time in Unix milliseconds.
 	StartedMs int64
 	Registry  *prometheus.Registry
-	// Config returns the version and the text of the configuration in force.
+	// Config returns the version and text of the active configuration.
 	Config func() (version int64, text string, ok bool)
-	// Targets returns the targets as the process sees them.
+	// Targets returns the targets known to the process.
 	Targets func() []oas.Target
-	// Goals are the objectives, where no configuration states them; may be nil.
+	// Goals returns the objectives if the configuration doesn't define them; may be nil.
 	Goals func() []burn.Goal
-	// Placement says where a request would go; nil for processes that place none.
+	// Placement returns where a request would be sent; nil for processes that don't route.
 	Placement func(context.Context, oas.GetPlacementParams) (*oas.Placement, error)
-	// Quarantine lists the requests under which targets ended, and Release lets one go; it
-	// reports whether anything was held against it. Both are nil for processes that keep no
-	// records of requests.
+	// Quarantine lists the requests that targets crashed on. Release removes one from
+	// quarantine and reports whether it was listed. Both are nil for processes without a
+	// quarantine.
 	Quarantine func() []oas.QuarantinedRequest
-	Release    func(print string) bool
-	// Limits lists the workspaces that have a rate limit; nil for processes that keep none.
+	Release    func(fingerprint string) bool
+	// Limits lists the workspaces with a rate limit; nil for processes that don't enforce any.
 	Limits func() []oas.WorkspaceLimit
-	// Ready tells whether the process can serve.
+	// Ready reports whether the process can serve requests.
 	Ready func() bool
-	// Burn may be nil.
+	// Burn counts the error budget burn; may be nil.
 	Burn *burn.Counter
-	// InFlight is the number of requests being served.
+	// InFlight returns the number of requests being served.
 	InFlight func() int
-	// Draining is set when a planned stop has begun.
+	// Draining reports whether a graceful shutdown has begun.
 	Draining func() bool
 }
 
-// Handler serves the administration address.
+// Handler returns the HTTP handler for the administration address.
 func Handler(p *Process) (http.Handler, error) {
 	api, err := oas.NewServer(&server{p}, &security{p}, oas.WithErrorHandler(serveError))
 	if err != nil {
@@ -127,13 +127,13 @@
 // GetPlacement implements oas.Handler.
 func (s *server) GetPlacement(ctx context.Context, params oas.GetPlacementParams) (*oas.Placement, error) {
 	if s.Placement == nil {
-		return nil, errkind.New(errkind.UnknownRoute, "this process places no requests; ask an entry of a gateway")
+		return nil, errkind.New(errkind.UnknownRoute, "this process doesn't route requests; query a gateway entry")
 	}
 	return s.Placement(ctx, params)
 }
 
-// errNoQuarantine is what processes answer that keep no records of requests.
-var errNoQuarantine = errkind.New(errkind.UnknownRoute, "this process keeps no records of requests; ask an entry of a gateway")
+// errNoQuarantine is returned by processes without a quarantine.
+var errNoQuarantine = errkind.New(errkind.UnknownRoute, "this process has no quarantine; query a gateway entry")
 
 // GetQuarantine implements oas.Handler.
 func (s *server) GetQuarantine(context.Context) (*oas.Quarantine, error) {
@@ -149,7 +149,7 @@
 		return errNoQuarantine
 	}
 	if !s.Release(params.Print) {
-		return errkind.New(errkind.UnknownRun, "nothing is held against request %s", params.Print)
+		return errkind.New(errkind.UnknownRun, "request %s is not in quarantine", params.Print)
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 // GetLimits implements oas.Handler.
 func (s *server) GetLimits(context.Context) (*oas.Limits, error) {
 	if s.Limits == nil {
-		return nil, errkind.New(errkind.UnknownRoute, "this process keeps no rate limits; ask an entry of a gateway")
+		return nil, errkind.New(errkind.UnknownRoute, "this process doesn't enforce rate limits; query a gateway entry")
 	}
 	return &oas.Limits{Workspaces: append([]oas.WorkspaceLimit{}, s.Limits()...)}, nil
 }
@@ -165,18 +165,19 @@
 // NewError implements oas.Handler.
 func (s *server) NewError(_ context.Context, err error) *oas.ProblemStatusCode { return problem(err) }
 
+// problem converts an error to its problem details response.
 func problem(err error) *oas.ProblemStatusCode {
 	e := errkind.From(err)
 	var sec *ogenerrors.SecurityError
 	if errors.As(err, &sec) {
-		e = errkind.New(errkind.Unauthenticated, "send Authorization: Bearer TOKEN of the administration")
+		e = errkind.New(errkind.Unauthenticated, "send Authorization: Bearer TOKEN with the administration token")
 	}
-	row := e.Kind.Spec()
-	p := oas.Problem{Type: "urn:toucanwell:error:" + row.Name, Title: row.Title, Status: row.Status}
+	spec := e.Kind.Spec()
+	p := oas.Problem{Type: "urn:toucanwell:error:" + spec.Name, Title: spec.Title, Status: spec.Status}
 	if e.Detail != "" {
 		p.Detail = oas.NewOptString(e.Detail)
 	}
-	return &oas.ProblemStatusCode{StatusCode: row.Status, Response: p}
+	return &oas.ProblemStatusCode{StatusCode: spec.Status, Response: p}
 }
 
 func serveError(_ context.Context, w http.ResponseWriter, _ *http.Request, err error) {
@@ -189,8 +190,8 @@
 
 type security struct{ *Process }
 
-// HandleAdminToken implements oas.SecurityHandler. Without a configured digest
-// no token opens the API.
+// HandleAdminToken implements oas.SecurityHandler. It rejects every token if no digest is
+// configured.
 func (s *security) HandleAdminToken(ctx context.Context, _ oas.OperationName, t oas.AdminToken) (context.Context, error) {
 	sum := sha256.Sum256([]byte(t.Token))
 	want := strings.ToLower(s.TokenSHA256)
--- a/internal/load/events.go
+++ b/internal/load/events.go
@@ -6,9 +6,10 @@
 	"strings"
 )
 
+// maxEventBytes bounds the length of an event line.
 const maxEventBytes = 1 << 20
 
-// eventReader yields the data of server-sent events.
+// eventReader reads the data of server-sent events.
 type eventReader struct{ lines *bufio.Scanner }
 
 func newEventReader(in io.Reader) *eventReader {
@@ -17,6 +18,7 @@
 	return &eventReader{lines}
 }
 
+// next returns the data of the next event.
 func (r *eventReader) next() (string, error) {
 	for r.lines.Scan() {
 		if data, ok := strings.CutPrefix(r.lines.Text(), "data: "); ok {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends a trace's requests to entries in real time and compares
-// each answer with the engine stand-in's own transcript.
+// Package load sends the requests of a trace to entries in real time and checks each response
+// against the transcript expected from the engine stand-in.
 package load
 
 import (
@@ -22,30 +22,30 @@
 	"github.com/toucanwell/toucanwell/internal/trace"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// Entries are the base URLs, used in turn.
+	// Entries are the base URLs of the entries, used round robin.
 	Entries []string
 	Model   string
-	// Token returns the token of a workspace.
+	// Token returns the API token of a workspace.
 	Token func(workspace string) string
-	// MaxOpen bounds the requests in flight.
+	// MaxOpen is the maximum number of requests in flight.
 	MaxOpen int
 }
 
-// Outcome of one request.
+// Outcome is the result of one request.
 type Outcome struct {
 	Class string
-	// TTFT is the time to the first piece of text.
+	// TTFT is the time to the first event.
 	TTFT time.Duration
-	// Correct is set when the answer equals the transcript.
+	// Correct is set when the response equals the expected transcript.
 	Correct        bool
 	Prompt, Cached int
-	// Failure says what went wrong, like "429 overloaded".
+	// Failure describes why the request failed, such as "429 overloaded".
 	Failure string
 }
 
-// Run sends the requests at their times and returns when all have ended.
+// Run sends each request at its timestamp and returns once all have completed.
 func Run(ctx context.Context, o Options, records iter.Seq[trace.Record]) []Outcome {
 	var mu sync.Mutex
 	var outcomes []Outcome
@@ -79,8 +79,8 @@
 	Content string `json:"content"`
 }
 
-// Messages makes a text of the right length for each part of a record, so that
-// two records share a text exactly where they share ids.
+// Messages generates a prompt for a record. Prompts of two records share text exactly where
+// the records share block IDs.
 func Messages(r *trace.Record) []message {
 	var messages []message
 	from := 0
@@ -91,8 +91,8 @@
 		}
 		var text strings.Builder
 		for _, id := range r.HashIDs[from:to] {
-			word := fmt.Sprintf("%016x ", id)
-			text.WriteString(strings.Repeat(word, r.BlockTokens*prefix.BytesPerToken/len(word)+1)[:r.BlockTokens*prefix.BytesPerToken])
+			pattern := fmt.Sprintf("%016x ", id)
+			text.WriteString(strings.Repeat(pattern, r.BlockTokens*prefix.BytesPerToken/len(pattern)+1)[:r.BlockTokens*prefix.BytesPerToken])
 		}
 		messages = append(messages, message{role, text.String()})
 		from = to
@@ -100,6 +100,7 @@
 	return messages
 }
 
+// promptText returns the prompt as the engine receives it.
 func promptText(messages []message) string {
 	var text strings.Builder
 	for _, m := range messages {
@@ -149,9 +150,9 @@
 	}
 }
 
-var errTruncatedStream = errors.New("stream without its end mark")
+var errTruncatedStream = errors.New("stream ended without its end marker")
 
-// checkStream reads the events up to the end mark and compares the text.
+// checkStream reads the events up to the end marker and compares the text with the expected one.
 func (out *Outcome) checkStream(body io.Reader, start time.Time, want string) {
 	var text strings.Builder
 	dec := newEventReader(body)
@@ -179,6 +180,6 @@
 	}
 	out.Correct = text.String() == want
 	if !out.Correct {
-		out.Failure = "the answer differs from the transcript"
+		out.Failure = "the response differs from the expected transcript"
 	}
 }
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -11,14 +11,14 @@
 	"github.com/toucanwell/toucanwell/internal/config"
 )
 
-// Kind of request that a shape mixes in.
+// Kind is a kind of request in a shape's traffic mix.
 type Kind struct {
 	Class string
-	// Share of the requests.
+	// Share is the fraction of requests of this kind.
 	Share float64
-	// LevelTokens are the lengths of the nested levels, outermost first.
+	// LevelTokens are the lengths of the nested shared levels, outermost first.
 	LevelTokens [3]int
-	// SuffixTokens is the length of the caller's own part.
+	// SuffixTokens is the length of the prompt's unshared suffix.
 	SuffixTokens int
 	OutputTokens int
 	Deadline     time.Duration
@@ -28,24 +28,24 @@
 type Shape struct {
 	Name    string
 	Service string
-	// Workspaces with their share of the traffic.
+	// Workspaces lists the workspaces with their shares of the traffic.
 	Workspaces []WorkspaceShare
-	// Rulebooks, Places and Cases are how many names each level has: rulebooks
-	// in a workspace, places under a rulebook, cases under a place.
+	// Rulebooks, Places and Cases are the numbers of distinct texts at each level: rulebooks
+	// per workspace, places per rulebook and cases per place.
 	Rulebooks, Places, Cases int
-	// Skew is the exponent of the Zipf law by which places are chosen.
+	// Skew is the exponent of the Zipf distribution of places.
 	Skew  float64
 	Kinds []Kind
-	// ShiftEvery is the time after which other places are hot.
+	// ShiftEvery is the interval at which the set of popular places changes.
 	ShiftEvery time.Duration
-	// BurstEvery and BurstFactor shape the rate: for a fifth of each period it
-	// is so much higher.
+	// BurstEvery is the period of bursts. For the first fifth of each period, the rate is the
+	// mean rate times BurstFactor.
 	BurstEvery  time.Duration
 	BurstFactor float64
 	BlockTokens int
 }
 
-// WorkspaceShare is a workspace's part of the traffic, and its weight.
+// WorkspaceShare is a workspace's share of the traffic and its scheduling weight.
 type WorkspaceShare struct {
 	Name   string
 	Share  float64
@@ -57,8 +57,8 @@
 	{"w5", 0.08, 1}, {"w6", 0.06, 1}, {"w7", 0.06, 0.5}, {"w8", 0.04, 0.5},
 }
 
-// Marktlizenz is a licence office on market day: long reviews under shared
-// rulebooks, and short checks.
+// Marktlizenz returns the traffic of a licence office: interactive checks and long batch
+// reviews that share rulebooks.
 func Marktlizenz() Shape {
 	return Shape{
 		Name: "marktlizenz", Service: "pruefer", Workspaces: eightWorkspaces,
@@ -71,8 +71,8 @@
 	}
 }
 
-// Olaje is a surf forecaster at dawn: alerts and lookups that must be fast,
-// questions all day, long briefings that can wait.
+// Olaje returns the traffic of a surf forecaster: latency-critical alerts, interactive
+// questions and long batch briefings.
 func Olaje() Shape {
 	return Shape{
 		Name: "olaje", Service: "oleaje-llm", Workspaces: eightWorkspaces,
@@ -86,8 +86,8 @@
 	}
 }
 
-// Contended is a shape in which every workspace sends as much as the others, so
-// that under overload each wants more than its weight gives it.
+// Contended returns a copy of a shape in which all workspaces send equal traffic, so that
+// under overload the demand of each exceeds its weighted share.
 func Contended(s Shape) Shape {
 	workspaces := append([]WorkspaceShare(nil), s.Workspaces...)
 	for i := range workspaces {
@@ -97,7 +97,8 @@
 	return s
 }
 
-// Generate yields the requests of a shape at a mean rate, from a seed.
+// Generate yields the requests of a shape at a mean rate in requests per second. The same
+// seed yields the same requests.
 func Generate(s Shape, rate float64, length time.Duration, seed uint64) iter.Seq[Record] {
 	return func(yield func(Record) bool) {
 		g := &generator{shape: s, random: rand.New(rand.NewPCG(seed, 7))}
@@ -121,9 +122,10 @@
 	places *rand.Zipf
 }
 
+// burstFraction is the fraction of each period that a burst lasts.
 const burstFraction = 0.2
 
-// factor is the rate at a time against the mean rate.
+// factor returns the ratio of the rate at a time to the mean rate.
 func (g *generator) factor(at float64) float64 {
 	period := g.shape.BurstEvery.Seconds()
 	quiet := (1 - burstFraction*g.shape.BurstFactor) / (1 - burstFraction)
@@ -140,7 +142,7 @@
 	epoch := uint64(at / s.ShiftEvery.Seconds())
 	rulebook := g.random.Uint64N(uint64(s.Rulebooks))
 	place := g.drawPlace(epoch, rulebook)
-	cse := g.random.Uint64N(uint64(s.Cases))
+	caseIndex := g.random.Uint64N(uint64(s.Cases))
 	r := Record{
 		Timestamp:    int64(at * 1000),
 		OutputLength: kind.OutputTokens,
@@ -152,9 +154,9 @@
 		DeadlineMs:   kind.Deadline.Milliseconds(),
 	}
 	id := xxhash.Sum64String(workspace.Name)
-	// Kinds whose innermost level differs in length have texts of their own.
-	own := cse ^ uint64(kind.LevelTokens[2])<<32
-	for level, name := range []uint64{rulebook, place, own} {
+	// Kinds with different lengths of the innermost level don't share its text.
+	innermost := caseIndex ^ uint64(kind.LevelTokens[2])<<32
+	for level, name := range []uint64{rulebook, place, innermost} {
 		id = chainHash(id, name+1)
 		id = r.appendBlocks(id, kind.LevelTokens[level])
 		r.PrefixLevels = append(r.PrefixLevels, len(r.HashIDs))
@@ -164,7 +166,7 @@
 	return r
 }
 
-// appendBlocks adds the blocks of one part and returns the last one's id.
+// appendBlocks appends the blocks of one part and returns the ID of the last one.
 func (r *Record) appendBlocks(id uint64, tokens int) uint64 {
 	for range tokens / r.BlockTokens {
 		id = chainHash(id, 1)
@@ -173,15 +175,15 @@
 	return id
 }
 
-// drawPlace draws a place by Zipf's law; which places are hot changes with the
-// epoch, without warning.
+// drawPlace draws a place from a Zipf distribution. The popularity ranking of places changes
+// with the epoch.
 func (g *generator) drawPlace(epoch, rulebook uint64) uint64 {
 	rank := g.places.Uint64()
 	offset := chainHash(epoch, rulebook) % uint64(g.shape.Places)
 	return (rank + offset) % uint64(g.shape.Places)
 }
 
-// pickByShare draws an item by its share; the shares add up to 1.
+// pickByShare draws an item with the probability of its share. The shares sum to 1.
 func pickByShare[T any](random *rand.Rand, items []T, share func(T) float64) T {
 	x := random.Float64()
 	for _, item := range items {
@@ -192,6 +194,7 @@
 	return items[0]
 }
 
+// chainHash combines a block's hash with that of its predecessor.
 func chainHash(prev, next uint64) uint64 {
 	x := prev ^ next*0x9E3779B97F4A7C15
 	x ^= x >> 30
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,7 @@
-// Package trace reads, writes and generates traces of requests.
+// Package trace reads, writes and generates request traces.
 //
-// A trace is JSON lines. timestamp, input_length, output_length and hash_ids
-// are those of the published Mooncake format; the other fields are additions.
+// A trace consists of JSON lines. The fields timestamp, input_length, output_length and
+// hash_ids follow the published Mooncake format; the others are extensions.
 package trace
 
 import (
@@ -15,32 +15,32 @@
 	"github.com/toucanwell/toucanwell/internal/config"
 )
 
-// Record is one request.
+// Record is one request of a trace.
 type Record struct {
-	// Timestamp is milliseconds since the start of the trace.
+	// Timestamp is in milliseconds since the start of the trace.
 	Timestamp int64 `json:"timestamp"`
 	// InputLength and OutputLength are in tokens.
 	InputLength  int `json:"input_length"`
 	OutputLength int `json:"output_length"`
-	// HashIDs name the whole blocks of the prompt by chained hashes, so that
-	// two prompts share an id only when they share all blocks up to it.
+	// HashIDs identify the prompt's full blocks by chained hashes: two prompts share an ID only
+	// if they share all blocks up to it.
 	HashIDs []uint64 `json:"hash_ids"`
-	// BlockTokens is the size of a block.
+	// BlockTokens is the size of a block in tokens.
 	BlockTokens int `json:"block_tokens"`
-	// PrefixLevels are the lengths in blocks of the nested shared prefixes,
-	// outermost first.
+	// PrefixLevels are the lengths of the nested shared prefixes in blocks, outermost first.
 	PrefixLevels []int  `json:"prefix_levels"`
 	Service      string `json:"service"`
 	Workspace    string `json:"workspace"`
 	Class        string `json:"class"`
 	Idempotent   bool   `json:"idempotent"`
-	// DeadlineMs bounds the time to first token.
+	// DeadlineMs is the deadline for the first token.
 	DeadlineMs int64 `json:"deadline_ms"`
 }
 
+// maxLineBytes bounds the length of a trace line.
 const maxLineBytes = 4 << 20
 
-// Validate reports what is wrong with a record.
+// Validate returns an error if a field of the record is invalid.
 func (r *Record) Validate() error {
 	switch {
 	case r.Timestamp < 0:
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// LevelKeys returns the name of each nested prefix: the id of its last block.
+// LevelKeys returns the key of each nested prefix, which is the ID of its last block. It
+// reuses the storage of keys.
 func (r *Record) LevelKeys(keys []uint64) []uint64 {
 	keys = keys[:0]
 	for _, level := range r.PrefixLevels {
@@ -78,8 +79,8 @@
 	return keys
 }
 
-// Read yields the records of a trace. It stops at the first bad line and
-// yields the error with the line's number.
+// Read yields the records of a trace. At the first invalid line it yields an error with the
+// line number and stops.
 func Read(in io.Reader) iter.Seq2[Record, error] {
 	return func(yield func(Record, error) bool) {
 		lines := bufio.NewScanner(in)
