--- a/internal/replay/calibrate.go
+++ b/internal/replay/calibrate.go
@@ -13,9 +13,8 @@
 	maxCalibrationRate = 100.0
 )
 
-// CapacityRate returns the requests a second and engine at which the oracle
-// keeps the busier of prefill and batch just full: the rate at which its
-// engines' mean utilization reaches 1 when extrapolated from 0.7.
+// CapacityRate returns the rate, in requests per second and engine, that saturates the engines
+// under the oracle policy. It searches for the rate with a utilization of 0.7 and extrapolates.
 func CapacityRate(shape trace.Shape, costs Costs, seed uint64) float64 {
 	const reference = 0.7
 	low, high := 0.0, maxCalibrationRate
@@ -30,6 +29,7 @@
 	return (low + high) / 2 / reference
 }
 
+// utilizationAt returns the higher of the prefill and batch utilization at a rate.
 func utilizationAt(shape trace.Shape, costs Costs, rate float64, seed uint64) float64 {
 	setup := Setup{
 		Engines: calibrationEngines, Entries: 1, Zones: 1, Costs: costs, Policy: &Oracle{Policy: OraclePolicy},
@@ -42,7 +42,7 @@
 	return max(res.Utilization, res.BatchUtilization)
 }
 
-// Weights returns the weights of a shape's workspaces.
+// Weights returns the workspaces' weights in a shape.
 func Weights(shape trace.Shape) map[string]float64 {
 	weights := map[string]float64{}
 	for _, w := range shape.Workspaces {
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -11,16 +11,16 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// engine is an engine's time costs with its real gate.
+// engine models an engine's execution times behind the sidecar's real gate.
 type engine struct {
 	replay *Replay
 	index  int
 	gate   *sidecar.Gate
 	cache  *standin.BlockCache
-	// waiting are requests that the gate has not decided.
+	// waiting holds the requests that wait for the gate's decision.
 	waiting []*job
 	running map[*job]struct{}
-	// freeAt is when the prefill that is under way ends.
+	// freeAt is when the last scheduled prefill ends.
 	freeAt      time.Duration
 	prefillBusy time.Duration
 	batchBusy   time.Duration
@@ -36,10 +36,10 @@
 	return e
 }
 
-// applyDecisions starts the requests that the gate has let through and ends those it
-// has refused.
+// applyDecisions starts the requests that the gate has admitted and retries those that it has
+// refused.
 func (e *engine) applyDecisions() {
-	kept := e.waiting[:0]
+	undecided := e.waiting[:0]
 	var started, refused []*job
 	var kinds []errkind.Kind
 	for _, j := range e.waiting {
@@ -52,10 +52,10 @@
 			refused = append(refused, j)
 			kinds = append(kinds, refusal.Kind)
 		default:
-			kept = append(kept, j)
+			undecided = append(undecided, j)
 		}
 	}
-	e.waiting = kept
+	e.waiting = undecided
 	for _, j := range started {
 		e.start(j)
 	}
@@ -64,24 +64,25 @@
 	}
 }
 
-// start runs a request: its prefill after those before it, then its tokens.
+// start schedules a request's prefill after those already scheduled.
 func (e *engine) start(j *job) {
 	r := e.replay
 	e.running[j] = struct{}{}
-	life := e.incarnation
+	incarnation := e.incarnation
 	begin := max(r.now, e.freeAt)
 	cached := min(e.cache.Match(j.record.HashIDs)*j.record.BlockTokens, j.record.InputLength)
 	missing := j.record.InputLength - cached
-	took := time.Duration(float64(missing) / r.setup.Costs.PrefillTokensPerSecond * float64(time.Second))
-	e.freeAt = begin + took + r.setup.Costs.DecodeStep
-	e.prefillBusy += took + r.setup.Costs.DecodeStep
+	duration := time.Duration(float64(missing) / r.setup.Costs.PrefillTokensPerSecond * float64(time.Second))
+	e.freeAt = begin + duration + r.setup.Costs.DecodeStep
+	e.prefillBusy += duration + r.setup.Costs.DecodeStep
 	r.at(e.freeAt, func() {
-		if e.incarnation == life {
+		if e.incarnation == incarnation {
 			e.firstToken(j, cached)
 		}
 	})
 }
 
+// firstToken ends a request's prefill and schedules the end of its decoding.
 func (e *engine) firstToken(j *job, cached int) {
 	r := e.replay
 	r.result.recordFirstToken(r, j, cached)
@@ -89,12 +90,12 @@
 	e.publish(external.EventStored, stored)
 	e.publish(external.EventRemoved, removed)
 	j.pass.FirstToken(strconv.Itoa(e.incarnation), cached)
-	life := e.incarnation
+	incarnation := e.incarnation
 	tokens := time.Duration(j.record.OutputLength)
 	step := r.setup.Costs.DecodeStep + time.Duration(len(e.running)-1)*r.setup.Costs.DecodePerPeer
 	e.batchBusy += tokens * step
 	r.after(tokens*step, func() {
-		if e.incarnation == life {
+		if e.incarnation == incarnation {
 			e.finish(j)
 		}
 	})
@@ -108,7 +109,7 @@
 	e.applyDecisions()
 }
 
-// publish sends a cache event, late and not always.
+// publish delivers a cache event to the gate after the report lag, unless it is lost.
 func (e *engine) publish(kind external.EventKind, blocks []uint64) {
 	if len(blocks) == 0 {
 		return
@@ -119,16 +120,16 @@
 	if r.random.Float64() < r.setup.EventLoss {
 		return
 	}
-	life := e.incarnation
-	page := &external.EventPage{Incarnation: strconv.Itoa(life), First: 1, Events: []external.CacheEvent{event}}
+	incarnation := e.incarnation
+	page := &external.EventPage{Incarnation: strconv.Itoa(incarnation), First: 1, Events: []external.CacheEvent{event}}
 	r.after(r.setup.ReportLag, func() {
-		if e.incarnation == life {
+		if e.incarnation == incarnation {
 			e.gate.ApplyEvents(page)
 		}
 	})
 }
 
-// crash ends all requests and empties the cache; the requests run again.
+// crash ends all running requests, which are retried, and clears the cache.
 func (e *engine) crash() {
 	r := e.replay
 	e.incarnation++
--- a/internal/replay/policies.go
+++ b/internal/replay/policies.go
@@ -9,15 +9,15 @@
 	"github.com/toucanwell/toucanwell/internal/routing"
 )
 
-// Policy chooses the engine of a request. Choose calls its function once, now
-// or at a later virtual time, with an index or -1.
+// Policy chooses the engine for a request. Choose calls its callback exactly once, immediately
+// or at a later virtual time, with the engine's index or -1 if there is none.
 type Policy interface {
 	Name() string
 	Start(r *Replay)
 	Choose(r *Replay, j *job, chosen func(engine int))
 }
 
-// Policies returns one of each kind, ours and the oracle last.
+// Policies returns one instance of each policy.
 func Policies() []Policy {
 	return []Policy{
 		&Random{}, &RoundRobin{}, &LeastReported{}, &TwoChoices{}, &HashFirst{}, &HashBounded{},
@@ -25,16 +25,15 @@
 	}
 }
 
-// OraclePolicy weighs the oracle's quotes. Of the weighings tried for it, this
-// one is best; see docs/MEASUREMENTS.md.
+// OraclePolicy is the routing policy that the oracle applies to its exact estimates.
 var OraclePolicy = routing.DefaultPolicy
 
-// isUsable reports whether a policy may still choose an engine.
+// isUsable reports whether a policy may choose an engine for a request.
 func (r *Replay) isUsable(j *job, i int) bool {
 	return r.targets[i].State != routing.Leaving && !j.excluded[i]
 }
 
-// reportedLoads are the requests at each engine, as reported a lag ago.
+// reportedLoads holds the number of requests at each engine as of its last report.
 type reportedLoads struct{ reported []int }
 
 func (l *reportedLoads) startReporting(r *Replay) {
@@ -52,7 +51,7 @@
 	r.at(0, report)
 }
 
-// Random chooses any engine.
+// Random chooses a random engine.
 type Random struct{}
 
 // Name implements Policy.
@@ -66,16 +65,17 @@
 	chosen(nextUsable(r, j, r.random.IntN(r.setup.Engines)))
 }
 
+// nextUsable returns the first usable engine from an index on, or -1.
 func nextUsable(r *Replay, j *job, from int) int {
 	for i := range r.setup.Engines {
-		if at := (from + i) % r.setup.Engines; r.isUsable(j, at) {
-			return at
+		if candidate := (from + i) % r.setup.Engines; r.isUsable(j, candidate) {
+			return candidate
 		}
 	}
 	return -1
 }
 
-// RoundRobin chooses engines in turn, each entry by itself.
+// RoundRobin chooses engines in round-robin order, independently at each entry.
 type RoundRobin struct{ next []int }
 
 // Name implements Policy.
@@ -95,7 +95,7 @@
 	chosen(nextUsable(r, j, p.next[j.entry]%r.setup.Engines))
 }
 
-// LeastReported chooses the engine with the least reported load.
+// LeastReported chooses the engine with the lowest reported load.
 type LeastReported struct{ reportedLoads }
 
 // Name implements Policy.
@@ -117,7 +117,7 @@
 	chosen(best)
 }
 
-// TwoChoices chooses the less loaded of two random engines.
+// TwoChoices chooses the engine with the lower reported load of two random ones.
 type TwoChoices struct{ reportedLoads }
 
 // Name implements Policy.
@@ -136,7 +136,7 @@
 	chosen(a)
 }
 
-// rankEngines orders engines by rendezvous hashing on a key.
+// rankEngines orders the engines by rendezvous hashing of a key.
 func rankEngines(r *Replay, key uint64) []int {
 	order := make([]int, r.setup.Engines)
 	for i := range order {
@@ -146,7 +146,7 @@
 	return order
 }
 
-// HashFirst chooses by the outermost level alone.
+// HashFirst chooses by rendezvous hashing of the outermost prefix level.
 type HashFirst struct{}
 
 // Name implements Policy.
@@ -166,10 +166,11 @@
 	chosen(-1)
 }
 
-// HashBounded chooses by the middle level among engines whose reported load is
-// not far above the mean.
+// HashBounded chooses by rendezvous hashing of the middle prefix level among engines whose
+// reported load is within a bound.
 type HashBounded struct{ reportedLoads }
 
+// loadBoundFactor is the load bound as a multiple of the mean load.
 const loadBoundFactor = 1.25
 
 // Name implements Policy.
@@ -201,7 +202,8 @@
 	chosen(first)
 }
 
-// Probing is the entry's own way: rank, ask in widening rounds, pick.
+// Probing is the entry's own policy: it ranks the targets, probes them in widening rounds and
+// chooses the one with the lowest cost.
 type Probing struct {
 	Policy routing.Policy
 	Label  string
@@ -219,8 +221,8 @@
 	p.probeRound(r, j, &ranking, 0, nil, chosen)
 }
 
-// probeRound asks the targets of one round; its answers come back after two hops.
-func (p *Probing) probeRound(r *Replay, j *job, ranking *routing.Ranking, n int, quotes []routing.Estimate, chosen func(int)) {
+// probeRound probes the targets of one round. Responses arrive after twice the network delay.
+func (p *Probing) probeRound(r *Replay, j *job, ranking *routing.Ranking, n int, estimates []routing.Estimate, chosen func(int)) {
 	from := 0
 	if n > 0 {
 		from = min(p.Policy.Rounds[n-1], ranking.Len())
@@ -232,37 +234,37 @@
 			if j.excluded[i] || r.engines[i].dead {
 				continue
 			}
-			quotes = append(quotes, r.estimate(j, i))
+			estimates = append(estimates, r.estimate(j, i))
 			if r.result.isMeasured(j) {
 				r.result.probes++
 			}
 		}
 		r.after(networkDelay, func() {
-			if n+1 < len(p.Policy.Rounds) && to < ranking.Len() && !p.Policy.Satisfied(j.class, quotes) {
-				p.probeRound(r, j, ranking, n+1, quotes, chosen)
+			if n+1 < len(p.Policy.Rounds) && to < ranking.Len() && !p.Policy.Satisfied(j.class, estimates) {
+				p.probeRound(r, j, ranking, n+1, estimates, chosen)
 				return
 			}
-			chosen(cheapest(&p.Policy, j, quotes))
+			chosen(cheapest(&p.Policy, j, estimates))
 		})
 	})
 }
 
-// cheapest is the engine of the quote that a weighing picks, or -1.
-func cheapest(policy *routing.Policy, j *job, quotes []routing.Estimate) int {
-	best := policy.Pick(j.class, quotes)
+// cheapest returns the engine with the lowest cost under a policy, or -1.
+func cheapest(policy *routing.Policy, j *job, estimates []routing.Estimate) int {
+	best := policy.Pick(j.class, estimates)
 	if best < 0 {
 		return -1
 	}
-	return quotes[best].Index
+	return estimates[best].Index
 }
 
-// estimate asks the real gate.
+// estimate returns the estimate of an engine's gate for a request.
 func (r *Replay) estimate(j *job, i int) routing.Estimate {
 	q, refusal := r.engines[i].gate.Quote(r.probeInput(j))
 	return routing.Estimate{Index: i, Wait: q.Wait, Prefill: q.Prefill, Busy: q.Busy, Refused: refusal != nil}
 }
 
-// Oracle knows every engine's cache and queue at the moment of choosing.
+// Oracle chooses with exact knowledge of every engine's cache and queue.
 type Oracle struct {
 	Policy routing.Policy
 	Label  string
@@ -276,7 +278,7 @@
 
 // Choose implements Policy.
 func (p *Oracle) Choose(r *Replay, j *job, chosen func(int)) {
-	quotes := make([]routing.Estimate, 0, r.setup.Engines)
+	estimates := make([]routing.Estimate, 0, r.setup.Engines)
 	for i, e := range r.engines {
 		if !r.isUsable(j, i) || e.dead {
 			continue
@@ -291,13 +293,12 @@
 		}
 		missing := max(j.record.InputLength-cached, 0)
 		q.Prefill = time.Duration(float64(missing) / r.setup.Costs.PrefillTokensPerSecond * float64(time.Second))
-		quotes = append(quotes, q)
+		estimates = append(estimates, q)
 	}
-	chosen(cheapest(&p.Policy, j, quotes))
+	chosen(cheapest(&p.Policy, j, estimates))
 }
 
-// sharedTokens is the length of the prefix that two requests share; the later
-// one finds it computed by the earlier.
+// sharedTokens returns the length in tokens of the prefix that two requests share.
 func sharedTokens(a, b *job) int {
 	n := sort.Search(min(len(a.record.HashIDs), len(b.record.HashIDs)), func(i int) bool {
 		return a.record.HashIDs[i] != b.record.HashIDs[i]
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,7 +1,6 @@
-// Package replay drives the real decision code with a trace on a virtual
-// clock: the ranking and the probe rounds of the entry, and the gate of the
-// sidecar with its queue, breaker and index. Only the engine is a model of its
-// time costs. One process, one thread; the same seed gives the same result.
+// Package replay simulates a deployment under a request trace on a virtual clock. It runs the
+// real routing code of the entry and the real gate of the sidecar; only the engines are
+// modelled, by their execution times. Results are deterministic for a seed.
 package replay
 
 import (
@@ -20,17 +19,17 @@
 	"github.com/toucanwell/toucanwell/internal/trace"
 )
 
-// Costs are an engine's time costs.
+// Costs defines an engine's execution times and capacity.
 type Costs struct {
 	PrefillTokensPerSecond float64
 	DecodeStep             time.Duration
 	DecodePerPeer          time.Duration
 	MaxBatch               int
-	// CacheTokens is the size of the block cache.
+	// CacheTokens is the size of the block cache in tokens.
 	CacheTokens int
 }
 
-// DefaultCosts are those of the tables in docs/MEASUREMENTS.md.
+// DefaultCosts are the costs used in docs/MEASUREMENTS.md.
 var DefaultCosts = Costs{
 	PrefillTokensPerSecond: 10_000,
 	DecodeStep:             12 * time.Millisecond,
@@ -39,36 +38,36 @@
 	CacheTokens:            150_000,
 }
 
-// Setup is one replay.
+// Setup configures a replay.
 type Setup struct {
 	Engines int
 	Entries int
 	Zones   int
 	Costs   Costs
 	Policy  Policy
-	// Weights of the workspaces.
+	// Weights maps workspaces to their weights.
 	Weights map[string]float64
-	// ReportLag is the age of reported loads, and the delay of cache events.
+	// ReportLag is the interval of load reports and the delay of cache events.
 	ReportLag time.Duration
-	// EventLoss is the share of cache events that are lost.
+	// EventLoss is the fraction of cache events that are lost.
 	EventLoss float64
-	// MaxPrefilling is how many requests a gate lets into prefill at once.
+	// MaxPrefilling is the maximum number of concurrent prefills that a gate admits.
 	MaxPrefilling int
-	// BlockTokens is the size of the trace's blocks.
+	// BlockTokens is the block size of the trace in tokens.
 	BlockTokens int
 	Seed        uint64
-	// Faults happen at their times.
+	// Faults are injected at their times.
 	Faults []Fault
-	// Warmup is left out of the figures.
+	// Warmup is the initial period that is excluded from the results.
 	Warmup time.Duration
 }
 
-// Fault is something that happens during a replay.
+// Fault is a failure injected during a replay.
 type Fault struct {
 	At time.Duration
-	// Crash empties these engines; their running requests start again.
+	// Crash lists engines that restart with an empty cache.
 	Crash []int
-	// Kill takes these engines away for good.
+	// Kill lists engines that stop permanently.
 	Kill []int
 }
 
@@ -84,12 +83,14 @@
 
 type eventFunc func()
 
+// event is a function to run at a virtual time. Events at the same time run in order of seq.
 type event struct {
 	at  time.Duration
 	seq uint64
 	run eventFunc
 }
 
+// eventQueue is a heap of events ordered by time.
 type eventQueue []event
 
 func (s eventQueue) Len() int { return len(s) }
@@ -112,7 +113,7 @@
 	return last
 }
 
-// Replay is one running replay.
+// Replay is the state of a running replay.
 type Replay struct {
 	setup          Setup
 	now            time.Duration
@@ -128,7 +129,7 @@
 	openRequests   int
 }
 
-// job is one request on its way.
+// job is a request in progress.
 type job struct {
 	record   trace.Record
 	entry    int
@@ -139,7 +140,7 @@
 	excluded map[int]bool
 	engine   int
 	pass     *sidecar.Pass
-	// gotFirstToken is set with the first token.
+	// gotFirstToken is set once the caller has received the first token.
 	gotFirstToken bool
 }
 
@@ -184,6 +185,7 @@
 	return "engine-" + string(rune('0'+i/100)) + string(rune('0'+i/10%10)) + string(rune('0'+i%10))
 }
 
+// at schedules a function at a virtual time, or now if that time has passed.
 func (r *Replay) at(t time.Duration, run eventFunc) {
 	r.nextSeq++
 	heap.Push(&r.events, event{max(t, r.now), r.nextSeq, run})
@@ -191,7 +193,8 @@
 
 func (r *Replay) after(d time.Duration, run eventFunc) { r.at(r.now+d, run) }
 
-// scheduleArrivals schedules the next request of the trace.
+// scheduleArrivals schedules the arrival of the trace's next request, which schedules the one
+// after it.
 func (r *Replay) scheduleArrivals(next func() (trace.Record, bool)) {
 	record, ok := next()
 	if !ok {
@@ -213,7 +216,7 @@
 	r.dispatch(j)
 }
 
-// dispatch asks the policy and sends the request on its way.
+// dispatch sends a request to the engine that the policy chooses.
 func (r *Replay) dispatch(j *job) {
 	j.attempts++
 	r.setup.Policy.Choose(r, j, func(engine int) {
@@ -242,6 +245,7 @@
 	}
 }
 
+// enter submits a request to its engine's gate.
 func (r *Replay) enter(j *job) {
 	e := r.engines[j.engine]
 	if e.dead {
@@ -258,7 +262,7 @@
 	e.applyDecisions()
 }
 
-// retry tries elsewhere within the retry budget.
+// retry dispatches a request to another engine if the retry budget and the error kind permit.
 func (r *Replay) retry(j *job, kind errkind.Kind) {
 	j.excluded[j.engine] = true
 	if j.attempts >= maxAttempts || r.retryBudget < 1 || !kind.Spec().Failover {
@@ -272,12 +276,13 @@
 	r.after(networkDelay, func() { r.dispatch(j) })
 }
 
-// refuse ends a request without an answer.
+// refuse ends a request with an error.
 func (r *Replay) refuse(j *job, kind errkind.Kind) {
 	r.openRequests--
 	r.result.recordRefusal(r, j, kind)
 }
 
+// expire periodically removes expired requests from the gates' queues.
 func (r *Replay) expire() {
 	for _, e := range r.engines {
 		if len(e.waiting) > 0 {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -19,27 +19,27 @@
 	return Run(setup, trace.Generate(shape, rate*9, 30*time.Second, 1))
 }
 
-// The stated outcomes of a recorded trace: near the oracle's hit rate, and
-// better than the simple policies where the users weigh most.
+// The product's policy must come close to the oracle's hit rate, and must beat the simple
+// policies in alert latency and recomputation.
 func TestReplayKeepsNearTheOracle(t *testing.T) {
-	ours := replayWith(&Probing{Policy: routing.DefaultPolicy}, trace.Olaje(), 4)
+	probing := replayWith(&Probing{Policy: routing.DefaultPolicy}, trace.Olaje(), 4)
 	oracle := replayWith(&Oracle{Policy: OraclePolicy}, trace.Olaje(), 4)
 	bounded := replayWith(&HashBounded{}, trace.Olaje(), 4)
 	random := replayWith(&Random{}, trace.Olaje(), 4)
-	if ours.HitRate() < 0.95*oracle.HitRate() {
-		t.Errorf("hit rate %.3f, the oracle's is %.3f", ours.HitRate(), oracle.HitRate())
+	if probing.HitRate() < 0.95*oracle.HitRate() {
+		t.Errorf("hit rate %.3f, oracle %.3f", probing.HitRate(), oracle.HitRate())
 	}
 	alerts := func(r *Result) time.Duration { return r.Quantile(config.ClassAlert, 0.99) }
-	if alerts(ours) >= alerts(bounded) || alerts(ours) >= alerts(random) {
-		t.Errorf("p99 of alerts %v, bounded hashing has %v, random %v", alerts(ours), alerts(bounded), alerts(random))
+	if alerts(probing) >= alerts(bounded) || alerts(probing) >= alerts(random) {
+		t.Errorf("p99 TTFT of alerts %v, bounded hashing %v, random %v", alerts(probing), alerts(bounded), alerts(random))
 	}
-	if ours.Waste() >= random.Waste()/2 {
-		t.Errorf("waste %.3f, random has %.3f", ours.Waste(), random.Waste())
+	if probing.Waste() >= random.Waste()/2 {
+		t.Errorf("waste %.3f, random %.3f", probing.Waste(), random.Waste())
 	}
 }
 
-// A third of the engines crash at once and come back empty. Every request is
-// answered in time all the same, and the hit rate is back within seconds.
+// After a third of the engines crash and lose their caches, every request must complete and
+// the hit rate must recover within ten seconds.
 func TestReplaySurvivesCrashes(t *testing.T) {
 	at := 15 * time.Second
 	r := replayWith(&Probing{Policy: routing.DefaultPolicy}, trace.Marktlizenz(), 1.5, Fault{At: at, Crash: []int{0, 3, 6}})
@@ -55,7 +55,7 @@
 	a := replayWith(&Probing{Policy: routing.DefaultPolicy}, trace.Olaje(), 3)
 	b := replayWith(&Probing{Policy: routing.DefaultPolicy}, trace.Olaje(), 3)
 	if a.HitRate() != b.HitRate() || a.Quantile(config.ClassBatch, 0.9) != b.Quantile(config.ClassBatch, 0.9) || a.probes != b.probes {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 }
 
@@ -86,7 +86,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for r, err := range trace.Read(bytes.NewReader(data)) {
 			if err == nil && r.Validate() != nil {
-				t.Errorf("a bad record passed: %+v", r)
+				t.Errorf("Read yielded an invalid record: %+v", r)
 			}
 		}
 	})
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -11,27 +11,28 @@
 	"github.com/toucanwell/toucanwell/internal/errkind"
 )
 
+// maxMicros is the highest recorded time to first token, in microseconds.
 const maxMicros = int64(30 * time.Minute / time.Microsecond)
 
-// Result holds the figures of one replay.
+// Result holds the measurements of a replay.
 type Result struct {
 	Policy string
-	// TTFT in microseconds, by class.
+	// TTFT holds the times to first token in microseconds, by class.
 	TTFT [config.Classes]*hdrhistogram.Histogram
-	// Requests counted after the warm-up, those that got a first token, and
-	// those of them in time.
+	// Requests counts the requests after the warm-up, Answered those that received a first
+	// token, and InTime those that received it before their deadline.
 	Requests, Answered, InTime int
 	Refusals                   map[errkind.Kind]int
-	// PromptTokens of answered requests; CachedTokens of them were cached;
-	// RecomputedTokens had been computed by some engine before.
+	// PromptTokens counts prompt tokens. CachedTokens of them were cached at the engine;
+	// RecomputedTokens were computed although some engine had computed them before.
 	PromptTokens, CachedTokens, RecomputedTokens int64
-	// Served and Wanted are the tokens served to and asked by each workspace.
+	// Served and Requested count the tokens served to and requested by each workspace.
 	Served, Requested map[string]float64
-	// Utilization is the mean share of time that engines prefilled.
+	// Utilization is the mean fraction of time that engines spent on prefill.
 	Utilization float64
-	// BatchUtilization is the mean share of batch places that were taken.
+	// BatchUtilization is the mean fraction of batch slots in use.
 	BatchUtilization float64
-	// Seconds holds the figures of each second, for recoveries.
+	// Seconds holds the measurements by second of arrival.
 	Seconds []Second
 
 	weights     map[string]float64
@@ -41,11 +42,11 @@
 	retries     int
 }
 
-// Second holds the figures of one second of the trace.
+// Second holds the measurements of the requests that arrived in one second.
 type Second struct {
 	Prompt, Cached int64
 	Answered       int
-	// TTFT is the sum over the answered requests.
+	// TTFT is the sum of the times to first token.
 	TTFT time.Duration
 }
 
@@ -58,6 +59,7 @@
 	return res
 }
 
+// isMeasured reports whether a request arrived after the warm-up.
 func (res *Result) isMeasured(j *job) bool { return j.arrived >= res.warmup }
 
 func (res *Result) recordArrival(_ *Replay, j *job) {
@@ -91,8 +93,7 @@
 	res.CachedTokens += int64(cached)
 	res.RecomputedTokens += int64(recomputed)
 	if j.gotFirstToken {
-		// The engine crashed and the rest runs elsewhere: the caller has had
-		// the first token.
+		// A retry after an engine crash; the caller already has the first token.
 		return
 	}
 	j.gotFirstToken = true
@@ -104,8 +105,8 @@
 	res.Served[j.record.Workspace] += float64(j.record.InputLength + j.record.OutputLength)
 }
 
-// countRecomputed counts the tokens that a prefill computes although some engine
-// has computed them before.
+// countRecomputed returns the number of tokens in a prefill that some engine has computed
+// before, and records the others as computed.
 func (r *Replay) countRecomputed(j *job, cached int) int {
 	n := 0
 	for _, b := range j.record.HashIDs[cached/j.record.BlockTokens:] {
@@ -125,29 +126,29 @@
 }
 
 func (res *Result) computeUtilization(r *Replay) {
-	var busy, held time.Duration
+	var prefillBusy, batchBusy time.Duration
 	for _, e := range r.engines {
-		busy += e.prefillBusy
-		held += e.batchBusy
+		prefillBusy += e.prefillBusy
+		batchBusy += e.batchBusy
 	}
-	whole := res.lastArrival.Seconds() * float64(len(r.engines))
-	if whole == 0 {
+	engineSeconds := res.lastArrival.Seconds() * float64(len(r.engines))
+	if engineSeconds == 0 {
 		return
 	}
-	res.Utilization = busy.Seconds() / whole
-	res.BatchUtilization = held.Seconds() / whole / float64(r.setup.Costs.MaxBatch)
+	res.Utilization = prefillBusy.Seconds() / engineSeconds
+	res.BatchUtilization = batchBusy.Seconds() / engineSeconds / float64(r.setup.Costs.MaxBatch)
 }
 
-// HitRate is the share of prompt tokens that were cached.
+// HitRate returns the fraction of prompt tokens that were cached.
 func (res *Result) HitRate() float64 { return ratio(res.CachedTokens, res.PromptTokens) }
 
-// Waste is the share of prompt tokens that were computed again.
+// Waste returns the fraction of prompt tokens that were recomputed.
 func (res *Result) Waste() float64 { return ratio(res.RecomputedTokens, res.PromptTokens) }
 
-// Goodput is the share of requests with a first token in time.
+// Goodput returns the fraction of requests with a first token before their deadline.
 func (res *Result) Goodput() float64 { return ratio(int64(res.InTime), int64(res.Requests)) }
 
-// Refused is the number of requests without an answer.
+// Refused returns the number of refused requests.
 func (res *Result) Refused() int {
 	n := 0
 	for _, k := range res.Refusals {
@@ -156,13 +157,13 @@
 	return n
 }
 
-// ProbesPerRequest is the number of probes a request took.
+// ProbesPerRequest returns the mean number of probes per request.
 func (res *Result) ProbesPerRequest() float64 { return ratio(int64(res.probes), int64(res.Requests)) }
 
-// RetryShare is the share of requests that were tried again.
+// RetryShare returns the number of retries per request.
 func (res *Result) RetryShare() float64 { return ratio(int64(res.retries), int64(res.Requests)) }
 
-// Quantile is the TTFT of a class at a quantile.
+// Quantile returns a quantile of a class's time to first token.
 func (res *Result) Quantile(class config.Class, q float64) time.Duration {
 	return time.Duration(res.TTFT[class].ValueAtQuantile(q*100)) * time.Microsecond
 }
@@ -174,6 +175,7 @@
 	return float64(a) / float64(b)
 }
 
+// sortJobs orders jobs by arrival, so that map iteration order doesn't affect the result.
 func sortJobs(jobs []*job) {
 	sort.Slice(jobs, func(i, j int) bool {
 		if jobs[i].arrived != jobs[j].arrived {
@@ -183,9 +185,8 @@
 	})
 }
 
-// ShareError is the largest distance of what a workspace was served from its
-// fair share, as a part of the latter. The fair shares are those by weight of
-// all that was served, where nobody gets more than it asked for.
+// ShareError returns the largest relative deviation of a workspace's served tokens from its
+// fair share. Fair shares divide all served tokens by weight, capped by each workspace's demand.
 func (res *Result) ShareError() float64 {
 	fair := res.fairShares()
 	worst := 0.0
@@ -195,55 +196,53 @@
 	return worst
 }
 
-// fairShares fills the workspaces by weight until each is full or nothing is
-// left.
+// fairShares computes the workspaces' weighted max-min fair shares of the served tokens.
 func (res *Result) fairShares() map[string]float64 {
-	left := 0.0
+	remaining := 0.0
 	for _, s := range res.Served {
-		left += s
+		remaining += s
 	}
 	fair := make(map[string]float64, len(res.Requested))
-	open := make(map[string]bool, len(res.Requested))
+	unsatisfied := make(map[string]bool, len(res.Requested))
 	for name := range res.Requested {
-		open[name] = true
+		unsatisfied[name] = true
 	}
-	for len(open) > 0 {
+	for len(unsatisfied) > 0 {
 		weights := 0.0
-		for name := range open {
+		for name := range unsatisfied {
 			weights += res.weights[name]
 		}
-		unit := left / weights
-		full := false
-		for name := range open {
+		unit := remaining / weights
+		satisfied := false
+		for name := range unsatisfied {
 			if res.Requested[name] <= unit*res.weights[name] {
 				fair[name] = res.Requested[name]
-				left -= fair[name]
-				delete(open, name)
-				full = true
+				remaining -= fair[name]
+				delete(unsatisfied, name)
+				satisfied = true
 				break
 			}
 		}
-		if full {
+		if satisfied {
 			continue
 		}
-		for name := range open {
+		for name := range unsatisfied {
 			fair[name] = unit * res.weights[name]
-			delete(open, name)
+			delete(unsatisfied, name)
 		}
 	}
 	return fair
 }
 
 const (
-	// recoveryWindow is the time over which a recovery must hold.
+	// recoveryWindow is the number of seconds over which a recovery is averaged.
 	recoveryWindow = 3
-	// recoveryBand is how near to the steady figure counts as recovered.
+	// recoveryBand is the relative deviation from the steady state that counts as recovered.
 	recoveryBand = 0.1
 )
 
-// Recovery is how many seconds after a time the hit rate and the mean TTFT are
-// back within a tenth of what they were before it; -1 means not within the
-// trace.
+// Recovery returns the number of seconds from a fault until the hit rate and the mean TTFT are
+// back within recoveryBand of their values before it, or -1 if they don't recover.
 func (res *Result) Recovery(at time.Duration) (hit, ttft int) {
 	fault := int(at / time.Second)
 	steady := sumSeconds(res.Seconds[int(res.warmup/time.Second):fault])
--- a/internal/replay/table.go
+++ b/internal/replay/table.go
@@ -9,7 +9,7 @@
 	"github.com/toucanwell/toucanwell/internal/config"
 )
 
-// WriteTable prints results side by side.
+// WriteTable writes a table with one row per result.
 func WriteTable(out io.Writer, results []*Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "policy\thit\twaste\tin time\trefused\tretries\tprobes\tutil\t")
