--- a/internal/standin/blockcache.go
+++ b/internal/standin/blockcache.go
@@ -2,20 +2,19 @@
 
 import "container/list"
 
-// BlockCache is an engine's cache of prompt blocks: bounded, least recently
-// used first out. It is used by one goroutine at a time.
+// BlockCache is an LRU cache of prompt blocks. It is not safe for concurrent use.
 type BlockCache struct {
 	capacity int
 	order    *list.List
 	entries  map[uint64]*list.Element
 }
 
-// NewBlockCache returns an empty cache of a number of blocks.
+// NewBlockCache returns an empty cache with a capacity in blocks.
 func NewBlockCache(capacity int) *BlockCache {
 	return &BlockCache{capacity: capacity, order: list.New(), entries: make(map[uint64]*list.Element)}
 }
 
-// Match returns how many leading blocks are cached.
+// Match returns the number of leading blocks that are cached.
 func (c *BlockCache) Match(blocks []uint64) int {
 	for i, b := range blocks {
 		if _, ok := c.entries[b]; !ok {
@@ -25,14 +24,13 @@
 	return len(blocks)
 }
 
-// Use marks blocks as used, storing those that are missing. It returns the
-// blocks stored and those evicted for them. Leading blocks stay longest, since
-// a block without those before it is of no use.
+// Use marks blocks as used and stores the missing ones. It returns the stored and the evicted
+// blocks. Leading blocks are evicted last, because a block is useless without its predecessors.
 func (c *BlockCache) Use(blocks []uint64) (stored, removed []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
-		if place, ok := c.entries[b]; ok {
-			c.order.MoveToFront(place)
+		if element, ok := c.entries[b]; ok {
+			c.order.MoveToFront(element)
 			continue
 		}
 		c.entries[b] = c.order.PushFront(b)
@@ -53,5 +51,5 @@
 	clear(c.entries)
 }
 
-// Len is the number of blocks held.
+// Len returns the number of cached blocks.
 func (c *BlockCache) Len() int { return c.order.Len() }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,43 +16,43 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-// EngineCosts are the time costs of an engine that matter to a router.
+// EngineCosts defines the execution times and the capacity of an engine.
 type EngineCosts struct {
-	// PrefillTokensPerSecond is the rate of computing uncached prompt tokens;
-	// one prompt at a time.
+	// PrefillTokensPerSecond is the prefill rate. Prefills run one at a time.
 	PrefillTokensPerSecond float64
-	// DecodeStep is the time for one token of one request, and DecodePerPeer
-	// what each other request of the batch adds.
+	// DecodeStep is the time per token of a single request. Each other request in the batch
+	// adds DecodePerPeer.
 	DecodeStep    time.Duration
 	DecodePerPeer time.Duration
-	// MaxBatch is how many requests run at once.
+	// MaxBatch is the maximum number of concurrent requests.
 	MaxBatch int
-	// CacheBlocks is the size of the block cache.
+	// CacheBlocks is the capacity of the block cache.
 	CacheBlocks int
 	// LoadTime is the time to load weights.
 	LoadTime time.Duration
 }
 
-// EngineFaults are the ways an engine misbehaves.
+// EngineFaults are the faults that an engine can simulate.
 type EngineFaults struct {
-	// Fail refuses each generate call with 500.
+	// Fail rejects each generate call with status 500.
 	Fail bool
-	// CutAfter breaks a stream's connection after so many tokens; the stream
-	// itself goes on and can be resumed. 0 means never.
+	// CutAfter closes a stream's connection after this number of tokens; 0 means never. The
+	// stream continues and can be resumed.
 	CutAfter int
 	// Duplicate sends each frame twice.
 	Duplicate bool
-	// LoseEvents drops cache events, so that their numbers show a gap.
+	// LoseEvents drops cache events, which leaves a gap in their sequence numbers.
 	LoseEvents bool
-	// IgnoreFence takes orders with an old fencing number.
+	// IgnoreFence accepts orders with a stale fencing token.
 	IgnoreFence bool
-	// Stall holds generation before the first token.
+	// Stall delays the first token.
 	Stall time.Duration
 }
 
+// streamRetention is how long a finished stream can be resumed.
 const streamRetention = 10 * time.Second
 
-// Engine is a model engine whose answers are a function of the prompt.
+// Engine simulates a model engine whose output is a function of the prompt.
 type Engine struct {
 	costs EngineCosts
 
@@ -74,7 +74,7 @@
 	store       *WeightStore
 }
 
-// EngineStats counts what an engine did.
+// EngineStats counts an engine's work.
 type EngineStats struct {
 	Started       int
 	Finished      int
@@ -83,7 +83,7 @@
 	PrefillTokens int
 	Generated     int
 	Loads         int
-	// LoadsDuringRuns counts the runs that loads have found under way.
+	// LoadsDuringRuns sums the number of running requests at the start of each load.
 	LoadsDuringRuns int
 }
 
@@ -94,8 +94,8 @@
 	ended   bool
 }
 
-// NewEngine returns an engine with weights loaded and an empty cache, which
-// fetches other weights from a store.
+// NewEngine returns an engine with loaded weights and an empty cache. It fetches other weights
+// from the store.
 func NewEngine(costs EngineCosts, weights string, store *WeightStore) *Engine {
 	e := &Engine{costs: costs, weights: weights, store: store, cache: NewBlockCache(costs.CacheBlocks)}
 	e.reset()
@@ -114,7 +114,7 @@
 	e.batch = make(chan struct{}, e.costs.MaxBatch)
 }
 
-// Crash ends all streams and comes back empty under a new incarnation.
+// Crash cancels all streams and restarts the engine empty, as a new incarnation.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,32 +131,31 @@
 	e.faults = f
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// Generated is the number of tokens sent so far.
+// Generated returns the number of tokens generated so far.
 func (e *Engine) Generated() int { return e.Stats().Generated }
 
-// Weights returns the weights loaded.
+// Weights returns the loaded weights.
 func (e *Engine) Weights() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.weights
 }
 
-// TokenText is the text of one token of the answer to a prompt. It depends on
-// the prompt and the number alone, so that any engine continues an answer with
-// the same text.
+// TokenText returns the text of the output token with a sequence number. It depends only on the
+// prompt and the number, so that any engine can resume an output with identical text.
 func TokenText(prompt string, seq uint64) string {
 	h := prefix.Chain(seq, prompt)
 	return fmt.Sprintf("%s%d ", []string{"swell", "permit", "tide", "stall"}[h%4], h%1000)
 }
 
-// Transcript is the whole answer to a prompt.
+// Transcript returns the complete output for a prompt.
 func Transcript(prompt string, maxTokens int) string {
 	var text string
 	for seq := uint64(1); seq <= uint64(maxTokens); seq++ {
@@ -165,7 +164,7 @@
 	return text
 }
 
-// Handler serves the engine over HTTP.
+// Handler returns the HTTP handler of the engine.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.serveGenerate)
@@ -205,7 +204,7 @@
 	e.streamTokens(w, r, s, req.From)
 }
 
-// start begins a run that goes on without its reader. The caller holds mu.
+// start starts a run that is independent of its readers. The caller holds mu.
 func (e *Engine) start(req *external.GenerateRequest) *engineStream {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &engineStream{changed: make(chan struct{}), cancel: cancel}
@@ -216,6 +215,7 @@
 	return s
 }
 
+// run executes a request: it waits for a batch slot, prefills and then decodes.
 func (e *Engine) run(ctx context.Context, req *external.GenerateRequest, s *engineStream, incarnation string, prefill, batch chan struct{}) {
 	if !acquireSlot(ctx, batch) {
 		e.finish(s, req, incarnation, false)
@@ -238,6 +238,7 @@
 	e.finish(s, req, incarnation, true)
 }
 
+// acquireSlot waits for a slot and reports false if the context ended first.
 func acquireSlot(ctx context.Context, slots chan struct{}) bool {
 	select {
 	case slots <- struct{}{}:
@@ -247,6 +248,8 @@
 	}
 }
 
+// runPrefill prefills a request, updates the cache and returns the number of tokens that were
+// cached.
 func (e *Engine) runPrefill(ctx context.Context, req *external.GenerateRequest, prefill chan struct{}) (cached int, ok bool) {
 	if !acquireSlot(ctx, prefill) {
 		return 0, false
@@ -273,7 +276,7 @@
 	return cached, true
 }
 
-// publish records a cache event. The caller holds mu.
+// publish records a cache event, unless events are being dropped. The caller holds mu.
 func (e *Engine) publish(kind external.EventKind, blocks []uint64) {
 	if len(blocks) == 0 && kind != external.EventCleared {
 		return
@@ -286,6 +289,7 @@
 	e.events = append(e.events, event)
 }
 
+// stepTime returns the time per token at the current batch size.
 func (e *Engine) stepTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -302,7 +306,8 @@
 	s.changed = make(chan struct{})
 }
 
-func (e *Engine) finish(s *engineStream, req *external.GenerateRequest, incarnation string, whole bool) {
+// finish ends a run; complete is set if it generated all its tokens.
+func (e *Engine) finish(s *engineStream, req *external.GenerateRequest, incarnation string, complete bool) {
 	s.cancel()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -313,7 +318,7 @@
 		return
 	}
 	e.running = max(e.running-1, 0)
-	if whole {
+	if complete {
 		e.stats.Finished++
 	} else {
 		e.stats.Cancelled++
@@ -327,7 +332,7 @@
 	})
 }
 
-// streamTokens sends a stream's tokens from a sequence number on.
+// streamTokens sends a stream's tokens from a sequence number on and waits for further ones.
 func (e *Engine) streamTokens(w http.ResponseWriter, r *http.Request, s *engineStream, from uint64) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what the platform gives: the log,
-// the host list, engines and plain services. Each serves HTTP as package
-// platform speaks it and can be told to misbehave.
+// Package standin provides in-memory stand-ins for the platform's services: the log, the host
+// list, engines and plain services. Each serves the protocol of package external over HTTP and
+// can simulate faults.
 package standin
 
 import (
@@ -23,11 +23,11 @@
 	faults  LogFaults
 }
 
-// LogFaults are the ways a log misbehaves.
+// LogFaults are the faults that a log can simulate.
 type LogFaults struct {
-	// Down refuses every call with 503 before any effect.
+	// Down rejects every call with status 503 before it takes effect.
 	Down bool
-	// LoseAnswers makes appends take effect and then breaks the connection.
+	// LoseAnswers applies appends and then closes the connection without a response.
 	LoseAnswers bool
 	// Delay is added to every call.
 	Delay time.Duration
@@ -50,7 +50,7 @@
 	l.faults = f
 }
 
-// TrimTo drops the records of a stream below an offset, like retention does.
+// TrimTo removes the records of a stream below an offset, as retention does.
 func (l *Log) TrimTo(stream string, offset uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,7 @@
 	return s
 }
 
-// AppendRecord appends without the network.
+// AppendRecord appends a record directly and returns its offset.
 func (l *Log) AppendRecord(stream string, data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	return offset
 }
 
-// ReadPage reads without the network.
+// ReadPage reads the records from an offset on directly.
 func (l *Log) ReadPage(stream string, from uint64) *external.Page {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +94,7 @@
 	return page
 }
 
-// Handler serves the log over HTTP.
+// Handler returns the HTTP handler of the log.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /streams/{stream}/records", l.serveAppend)
@@ -109,7 +109,7 @@
 	return l.faults
 }
 
-// failIfDown applies the delay and reports whether the call was refused.
+// failIfDown applies the configured delay and reports whether it rejected the call.
 func (l *Log) failIfDown(w http.ResponseWriter) bool {
 	f := l.currentFaults()
 	time.Sleep(f.Delay)
@@ -152,8 +152,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// serveFaults lets a test set faults over HTTP, for stand-ins that run as
-// processes of their own.
+// serveFaults returns a handler that sets faults, for stand-ins in a separate process.
 func serveFaults[T any](set func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f T
@@ -166,7 +165,7 @@
 	}
 }
 
-// Hosts is a host list.
+// Hosts is the platform's list of hosts.
 type Hosts struct {
 	mu    sync.Mutex
 	hosts []external.Host
@@ -183,14 +182,14 @@
 	h.hosts = hosts
 }
 
-// Reads counts how often the list was read.
+// Reads returns how often the list was read.
 func (h *Hosts) Reads() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reads
 }
 
-// Handler serves the list over HTTP.
+// Handler returns the HTTP handler of the list.
 func (h *Hosts) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Plain is a plain service that counts the effects of each key.
+// Plain is a plain HTTP service that counts the runs of each idempotency key.
 type Plain struct {
 	mu     sync.Mutex
 	runs   map[string]int
 	faults PlainFaults
 }
 
-// PlainFaults are the ways a plain service misbehaves.
+// PlainFaults are the faults that a plain service can simulate.
 type PlainFaults struct {
-	// Fail answers 500 without an effect.
+	// Fail responds with status 500 without running the call.
 	Fail bool
-	// LoseAnswers lets the call take effect and then breaks the connection.
+	// LoseAnswers runs the call and then closes the connection without a response.
 	LoseAnswers bool
-	// Delay holds the answer after the effect.
+	// Delay is the time between the run and the response.
 	Delay time.Duration
 }
 
-// NewPlain returns a plain service without runs.
+// NewPlain returns a plain service that has run no calls.
 func NewPlain() *Plain { return &Plain{runs: map[string]int{}} }
 
 // SetFaults replaces the faults.
@@ -34,7 +34,7 @@
 	p.faults = f
 }
 
-// Runs returns how often each key took effect.
+// Runs returns the number of runs by idempotency key.
 func (p *Plain) Runs() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +45,7 @@
 	return runs
 }
 
-// Handler serves the service over HTTP.
+// Handler returns the HTTP handler of the service.
 func (p *Plain) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", serveFaults(p.SetFaults))
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// overloadSlowdown is how much longer a fetch takes when the store bears too many.
+// overloadSlowdown is the factor by which a fetch is slowed down in an overloaded store.
 const overloadSlowdown = 4
 
-// WeightStore is a store of weights that bears a number of fetches at once.
+// WeightStore simulates a store of weights that slows down above a number of concurrent fetches.
 type WeightStore struct {
 	mu            sync.Mutex
 	maxConcurrent int
@@ -17,12 +17,12 @@
 	total         int
 }
 
-// NewWeightStore returns a store that bears a number of fetches at once.
+// NewWeightStore returns a store that serves maxConcurrent fetches at full speed.
 func NewWeightStore(maxConcurrent int) *WeightStore {
 	return &WeightStore{maxConcurrent: maxConcurrent}
 }
 
-// Fetch takes a time, and longer when too many fetch at once.
+// Fetch takes the duration d, or longer if the store is overloaded.
 func (s *WeightStore) Fetch(d time.Duration) {
 	s.mu.Lock()
 	s.active++
@@ -38,7 +38,7 @@
 	s.active--
 }
 
-// FetchCounts is the most fetches that ran at once, and Total how many there were.
+// FetchCounts returns the highest number of concurrent fetches and the total number.
 func (s *WeightStore) FetchCounts() (peak, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
