--- a/cmd/toucanwell/admin.go
+++ b/cmd/toucanwell/admin.go
@@ -19,7 +19,7 @@
 const adminTimeout = 5 * time.Second
 
 func adminFlag() cli.Flag {
-	return &cli.StringSliceFlag{Name: "admin", Usage: "administration address of a process; may be given often", Required: true, Sources: cli.EnvVars("TOUCANWELL_ADMIN")}
+	return &cli.StringSliceFlag{Name: "admin", Usage: "administration address of a process; can be repeated", Required: true, Sources: cli.EnvVars("TOUCANWELL_ADMIN")}
 }
 
 type adminToken string
@@ -35,56 +35,56 @@
 	return client, errors.Wrap(err, address)
 }
 
-// response is what one process said.
+// response is the response of one process.
 type response[T any] struct {
 	address string
 	value   T
 	err     error
 }
 
-// queryAll asks all processes at once and keeps their order.
-func queryAll[T any](ctx context.Context, addresses []string, ask func(context.Context, *oas.Client) (T, error)) []response[T] {
-	answers := make([]response[T], len(addresses))
+// queryAll queries all processes concurrently and returns the responses in order.
+func queryAll[T any](ctx context.Context, addresses []string, query func(context.Context, *oas.Client) (T, error)) []response[T] {
+	responses := make([]response[T], len(addresses))
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			answers[i].address = address
+			responses[i].address = address
 			client, err := adminClient(address)
 			if err != nil {
-				answers[i].err = err
+				responses[i].err = err
 				return
 			}
-			answers[i].value, answers[i].err = ask(ctx, client)
+			responses[i].value, responses[i].err = query(ctx, client)
 		}()
 	}
 	wg.Wait()
-	return answers
+	return responses
 }
 
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show which version each process has in force, and whether it is ready",
+		Usage: "show each process's configuration version and readiness",
 		Flags: []cli.Flag{adminFlag(), outputFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			answers := queryAll(ctx, c.StringSlice("admin"), func(ctx context.Context, client *oas.Client) (*oas.State, error) {
+			responses := queryAll(ctx, c.StringSlice("admin"), func(ctx context.Context, client *oas.Client) (*oas.State, error) {
 				return client.GetState(ctx)
 			})
 			if c.String("output") == "json" {
-				return printStatesJSON(answers)
+				return printStatesJSON(responses)
 			}
-			return printStates(answers)
+			return printStates(responses)
 		},
 	}
 }
 
-func printStates(answers []response[*oas.State]) error {
+func printStates(responses []response[*oas.State]) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PROCESS\tROLE\tZONE\tVERSION\tREADY\tDRAINING\tIN FLIGHT\tSINCE")
 	failed := 0
-	for _, a := range answers {
+	for _, a := range responses {
 		if a.err != nil {
 			failed++
 			fmt.Fprintf(w, "%s\t%v\n", a.address, a.err)
@@ -98,19 +98,19 @@
 		return err
 	}
 	if failed > 0 {
-		return errors.Newf("%d of %d processes gave no answer", failed, len(answers))
+		return errors.Newf("%d of %d processes did not respond", failed, len(responses))
 	}
 	return nil
 }
 
-func printStatesJSON(answers []response[*oas.State]) error {
+func printStatesJSON(responses []response[*oas.State]) error {
 	type row struct {
 		Address string     `json:"address"`
 		State   *oas.State `json:"state,omitempty"`
 		Error   string     `json:"error,omitempty"`
 	}
-	rows := make([]row, 0, len(answers))
-	for _, a := range answers {
+	rows := make([]row, 0, len(responses))
+	for _, a := range responses {
 		r := row{Address: a.address, State: a.value}
 		if a.err != nil {
 			r.Error = a.err.Error()
@@ -123,11 +123,11 @@
 func showCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "show",
-		Usage: "show what one process has",
+		Usage: "show the state of one process",
 		Commands: []*cli.Command{
 			{
 				Name:  "configuration",
-				Usage: "print the text in force; its version goes to standard error",
+				Usage: "print the configuration in force; its version is printed to standard error",
 				Flags: []cli.Flag{adminFlag()},
 				Action: withFirstProcess(func(ctx context.Context, client *oas.Client) error {
 					configuration, err := client.GetConfiguration(ctx)
@@ -161,7 +161,7 @@
 	}
 }
 
-// forEachProcess runs an action against one process named after the other.
+// forEachProcess runs an action against each given process in turn.
 func forEachProcess(action func(context.Context, *oas.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		for _, address := range c.StringSlice("admin") {
@@ -177,7 +177,7 @@
 	}
 }
 
-// withFirstProcess runs an action against the first process named.
+// withFirstProcess runs an action against the first given process.
 func withFirstProcess(action func(context.Context, *oas.Client) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		client, err := adminClient(c.StringSlice("admin")[0])
--- a/cmd/toucanwell/config.go
+++ b/cmd/toucanwell/config.go
@@ -22,9 +22,9 @@
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
-		Usage:     "check a configuration text",
+		Usage:     "check a configuration file",
 		ArgsUsage: "FILE",
-		Flags:     []cli.Flag{&cli.BoolFlag{Name: "platform", Usage: "the file is the platform's record of the estate"}},
+		Flags:     []cli.Flag{&cli.BoolFlag{Name: "platform", Usage: "check the file as the platform's estate record"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Bool("platform") {
 				return checkEstate(c.Args().First())
@@ -33,13 +33,13 @@
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%s: good, %d bytes\n", c.Args().First(), len(text))
+			fmt.Printf("%s: valid, %d bytes\n", c.Args().First(), len(text))
 			return nil
 		},
 	}
 }
 
-// checkEstate checks a record as a gateway would before it takes effect.
+// checkEstate checks an estate record as a gateway does before applying it.
 func checkEstate(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,15 +49,15 @@
 	if err != nil {
 		return cli.Exit(path+": "+err.Error(), exitBadInput)
 	}
-	fmt.Printf("%s: good, version %d, %d routes, %d services\n", path, e.Version, len(e.Routes()), len(e.Services()))
+	fmt.Printf("%s: valid, version %d, %d routes, %d services\n", path, e.Version, len(e.Routes()), len(e.Services()))
 	return nil
 }
 
-// readConfig reads and checks the text that the first argument names.
+// readConfig reads and parses the configuration file given as the first argument.
 func readConfig(c *cli.Command) (*config.Config, string, error) {
 	path := c.Args().First()
 	if path == "" {
-		return nil, "", cli.Exit("name a configuration file", exitBadInput)
+		return nil, "", cli.Exit("configuration file is missing", exitBadInput)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -77,14 +77,14 @@
 func publishCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "publish",
-		Usage:     "publish a configuration text",
+		Usage:     "publish a configuration file",
 		ArgsUsage: "FILE",
-		Description: "A publish names the version it was edited from. When another version came first, it is refused with\n" +
-			"exit code 3: fetch the version in force, apply your change to it and publish again.",
+		Description: "--base is the version that the file was edited from. If another version has been published since, the\n" +
+			"command fails with exit code 3: fetch the version in force, reapply the change and publish again.",
 		Flags: []cli.Flag{
 			logFlag(), outputFlag(),
-			&cli.Uint64Flag{Name: "base", Usage: "version that the text was edited from; 0 for the first"},
-			&cli.BoolFlag{Name: "recover", Usage: "put a text in force when neither the log nor any process knows one any more"},
+			&cli.Uint64Flag{Name: "base", Usage: "version that the file was edited from; 0 for the first"},
+			&cli.BoolFlag{Name: "recover", Usage: "publish the file when neither the log nor any process has a configuration left"},
 		},
 		Action: publish,
 	}
--- a/cmd/toucanwell/demo.go
+++ b/cmd/toucanwell/demo.go
@@ -23,11 +23,11 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run both deployments with stand-ins on loopback, send requests, print the measures",
+		Usage: "run both example deployments with stand-ins on loopback, send requests and print measurements",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "length", Usage: "time of sending for each deployment", Value: 10 * time.Second},
-			&cli.FloatFlag{Name: "rate", Usage: "requests a second", Value: 40},
-			&cli.BoolFlag{Name: "logs", Usage: "print the processes' logs"},
+			&cli.DurationFlag{Name: "length", Usage: "how long to send requests to each deployment", Value: 10 * time.Second},
+			&cli.FloatFlag{Name: "rate", Usage: "requests per second", Value: 40},
+			&cli.BoolFlag{Name: "logs", Usage: "print the logs of the processes"},
 		},
 		Action: demo,
 	}
@@ -85,7 +85,7 @@
 	return d.print(running, outcomes, distinctTokens(records))
 }
 
-// distinctTokens is the number of tokens that must be computed once at least.
+// distinctTokens returns the number of tokens that must be computed at least once.
 func distinctTokens(records []trace.Record) int {
 	seen := map[uint64]bool{}
 	tokens := 0
@@ -108,20 +108,20 @@
 		total.PrefillTokens += s.PrefillTokens
 	}
 	ttft := map[string][]time.Duration{}
-	whole, prompt, cached := 0, 0, 0
-	problems := map[string]int{}
+	correct, prompt, cached := 0, 0, 0
+	failures := map[string]int{}
 	for _, o := range outcomes {
 		if o.Failure != "" {
-			problems[o.Failure]++
+			failures[o.Failure]++
 			continue
 		}
-		whole++
+		correct++
 		prompt += o.Prompt
 		cached += o.Cached
 		ttft[o.Class] = append(ttft[o.Class], o.TTFT)
 	}
-	fmt.Printf("%s: %d entries, %d sidecars, %d requests, %d whole and in order\n",
-		d.shape.Name, len(running.Entries), len(running.Sidecars), len(outcomes), whole)
+	fmt.Printf("%s: %d entries, %d sidecars, %d requests, %d answered correctly\n",
+		d.shape.Name, len(running.Entries), len(running.Sidecars), len(outcomes), correct)
 	fmt.Printf("  prefix hit rate %.3f, wasted recomputation %.3f of %d prompt tokens\n",
 		share(cached, prompt), share(max(total.PrefillTokens-distinct, 0), total.NeededTokens), total.NeededTokens)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -137,11 +137,11 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for p, n := range problems {
-		fmt.Printf("  %d requests: %s\n", n, p)
+	for failure, n := range failures {
+		fmt.Printf("  %d requests: %s\n", n, failure)
 	}
-	if whole < len(outcomes) {
-		return errors.Newf("%d of %d requests were not answered", len(outcomes)-whole, len(outcomes))
+	if correct < len(outcomes) {
+		return errors.Newf("%d of %d requests failed", len(outcomes)-correct, len(outcomes))
 	}
 	return nil
 }
--- a/cmd/toucanwell/explain.go
+++ b/cmd/toucanwell/explain.go
@@ -12,22 +12,22 @@
 	"github.com/toucanwell/toucanwell/internal/explain"
 )
 
-// exitRequestNotFound tells that no log line tells of the request.
+// exitRequestNotFound is the exit code when no log line mentions the request.
 const exitRequestNotFound = 4
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell one request's story from the logs of any number of processes",
+		Usage:     "explain the handling of one request from the logs of any number of processes",
 		ArgsUsage: "REQUEST_ID|PRINT [LOG_FILE ...]",
-		Description: "Reads the files, or standard input when none is named, in any order. Prints what was decided about\n" +
-			"the request with the inputs, what its entry had learned in the 5 s before, and what is held against\n" +
-			"it. A print, as on the request's lines, stands for all tries of its caller.\n" +
-			"Exit code 4: no line tells of the request.",
+		Description: "Reads the files in any order, or standard input if none is given. Prints the decisions about the\n" +
+			"request with their inputs, the state changes at its entry from 5 s before, and its quarantine status.\n" +
+			"A PRINT is the request's fingerprint from its log lines; it selects all attempts of the caller.\n" +
+			"Exit code 4: no log line mentions the request.",
 		Flags: []cli.Flag{outputFlag()},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() < 1 {
-				return cli.Exit("name the request: toucanwell explain REQUEST_ID [LOG_FILE ...]", exitBadInput)
+				return cli.Exit("request ID is missing; usage: toucanwell explain REQUEST_ID|PRINT [LOG_FILE ...]", exitBadInput)
 			}
 			story, err := readStory(c.Args().First(), c.Args().Tail())
 			if err != nil {
@@ -53,7 +53,7 @@
 	return explain.Read(id, logs...)
 }
 
-// openLogs opens log files, or standard input when none is named.
+// openLogs opens the log files, or returns standard input if there are none.
 func openLogs(paths []string) (logs []io.Reader, closeLogs func(), err error) {
 	if len(paths) == 0 {
 		return []io.Reader{os.Stdin}, func() {}, nil
@@ -61,7 +61,7 @@
 	var files []*os.File
 	closeLogs = func() {
 		for _, file := range files {
-			_ = file.Close() // it was only read
+			_ = file.Close() // opened for reading only
 		}
 	}
 	for _, path := range paths {
--- a/cmd/toucanwell/limits.go
+++ b/cmd/toucanwell/limits.go
@@ -18,7 +18,7 @@
 func limitsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "limits",
-		Usage: "show workspaces' rate limits and their use; name all entries to see the use of every workspace",
+		Usage: "show the workspaces' rate limits and usage; pass all entries to see every workspace's usage",
 		Flags: []cli.Flag{adminFlag(), outputFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			var all []oas.WorkspaceLimit
@@ -37,7 +37,7 @@
 	}
 }
 
-// mergeLimits keeps one row a workspace: that of its coordinator, where it was asked.
+// mergeLimits keeps one row per workspace and prefers that of its coordinator.
 func mergeLimits(rows []oas.WorkspaceLimit) []oas.WorkspaceLimit {
 	merged := map[string]oas.WorkspaceLimit{}
 	for _, r := range rows {
--- a/cmd/toucanwell/limits_test.go
+++ b/cmd/toucanwell/limits_test.go
@@ -7,9 +7,9 @@
 	"github.com/toucanwell/toucanwell/api/admin/oas"
 )
 
-// Two entries are asked. Each knows the use of the workspaces that it coordinates; the
-// table shows what either knows, and a question mark where none of them is the coordinator.
-func TestLimitsOfSeveralEntriesAreOneTable(t *testing.T) {
+// Each entry knows the usage only of the workspaces that it coordinates. The merged table must
+// show the usage that any entry knows, and question marks for the rest.
+func TestMergeLimitsOfSeveralEntries(t *testing.T) {
 	row := func(workspace string, refused int64) oas.WorkspaceLimit {
 		r := oas.WorkspaceLimit{Workspace: workspace, Unit: oas.WorkspaceLimitUnitTokens, PerSecond: 36_000, Burst: 72_000, Coordinator: "10.0.0.1:7"}
 		if refused >= 0 {
--- a/cmd/toucanwell/losses.go
+++ b/cmd/toucanwell/losses.go
@@ -21,14 +21,14 @@
 func lossesCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "losses",
-		Usage:     "tell from the logs of entries which requests were not served in time, when and why",
+		Usage:     "report from the logs of entries how many requests missed their latency objective, when and why",
 		ArgsUsage: "[LOG_FILE ...]",
-		Description: "Reads the files, or standard input when none is named. A row for each route and window of time:\n" +
-			"how many were in time, late, refused or failed, the shared tokens that were held or fetched, and reasons.",
+		Description: "Reads the files, or standard input if none is given. Prints a row for each route and time window with the\n" +
+			"number of requests in time and late, the cached and fetched shares of shared tokens, and the main reasons.",
 		Flags: []cli.Flag{
 			outputFlag(),
-			&cli.DurationFlag{Name: "window", Usage: "time of a row", Value: 2 * time.Second},
-			&cli.StringSliceFlag{Name: "aim", Usage: "ROUTE=DURATION within which the first event is in time; a duration alone is for all others"},
+			&cli.DurationFlag{Name: "window", Usage: "time window of a row", Value: 2 * time.Second},
+			&cli.StringSliceFlag{Name: "aim", Usage: "latency objective for the first event as ROUTE=DURATION; a DURATION alone applies to all other routes"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			options, err := lossesOptions(c.Duration("window"), c.StringSlice("aim"))
@@ -47,27 +47,27 @@
 	}
 }
 
-// defaultObjective judges routes of which no aim is named.
+// defaultObjective applies to routes without an --aim flag.
 const defaultObjective = 500 * time.Millisecond
 
 func lossesOptions(window time.Duration, aims []string) (losses.Options, error) {
 	o := losses.Options{Window: window, DefaultObjective: defaultObjective, Objectives: map[string]time.Duration{}}
 	if window <= 0 {
-		return o, errors.Newf("window is %s; allowed is a time above 0", window)
+		return o, errors.Newf("window is %s; it must be positive", window)
 	}
 	for _, text := range aims {
 		route, value, named := strings.Cut(text, "=")
 		if !named {
 			value = text
 		}
-		aim, err := time.ParseDuration(value)
-		if err != nil || aim <= 0 {
-			return o, errors.Newf("aim is %q; allowed is ROUTE=DURATION or DURATION", text)
+		objective, err := time.ParseDuration(value)
+		if err != nil || objective <= 0 {
+			return o, errors.Newf("aim is %q; it must be ROUTE=DURATION or DURATION with a positive duration", text)
 		}
 		if named {
-			o.Objectives[route] = aim
+			o.Objectives[route] = objective
 		} else {
-			o.DefaultObjective = aim
+			o.DefaultObjective = objective
 		}
 	}
 	return o, nil
@@ -82,7 +82,7 @@
 	return losses.Read(o, logs...)
 }
 
-// maxReasons is how many reasons a row names, the most frequent first.
+// maxReasons is the number of reasons shown per row, most frequent first.
 const maxReasons = 3
 
 func printLosses(w io.Writer, rows []losses.Row) error {
@@ -95,7 +95,7 @@
 	return t.Flush()
 }
 
-// formatShare is a share as a row shows it; a dash where there is nothing to share.
+// formatShare formats a fraction, or a dash if the whole is 0.
 func formatShare(part, whole int) string {
 	if whole == 0 {
 		return "-"
--- a/cmd/toucanwell/main.go
+++ b/cmd/toucanwell/main.go
@@ -1,5 +1,5 @@
-// Command toucanwell is the operators' tool. It changes nothing behind the
-// configuration's back: it checks, publishes, shows and reports.
+// Command toucanwell is the command-line tool for operators. It checks and publishes
+// configurations, and shows the state of a deployment's processes.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/toucanwell/toucanwell/internal/version"
 )
 
-// Exit codes besides 0.
+// Exit codes other than 0.
 const (
 	exitFailed   = 1
 	exitBadInput = 2
@@ -22,10 +22,10 @@
 func main() {
 	command := &cli.Command{
 		Name:                  "toucanwell",
-		Usage:                 "check, publish and watch the router's configuration",
+		Usage:                 "check and publish the router's configuration, and inspect its processes",
 		Version:               version.String(),
 		EnableShellCompletion: true,
-		Description: "Exit codes: 0 done, 1 failed, 2 bad input, 3 another version was published first, 4 no log line tells of the request.\n" +
+		Description: "Exit codes: 0 success, 1 failure, 2 invalid input, 3 another version was published first, 4 no log line mentions the request.\n" +
 			"The administration token is read from the environment variable TOUCANWELL_ADMIN_TOKEN.",
 		Commands: []*cli.Command{
 			checkCommand(),
--- a/cmd/toucanwell/model.go
+++ b/cmd/toucanwell/model.go
@@ -22,15 +22,15 @@
 func modelCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "model",
-		Usage: "play traffic on a model of batching engines, the routing policies side by side",
+		Usage: "compare routing policies on a simulation of batching engines",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "shape", Usage: "desk or swell", Value: "desk"},
-			&cli.StringFlag{Name: "loads", Usage: "multiples of the shape's rates, with commas", Value: "1"},
-			&cli.StringFlag{Name: "policies", Usage: "policies with commas", Value: strings.Join(batchmodel.Policies, ",")},
-			&cli.DurationFlag{Name: "lag", Usage: "age of what policies know of caches", Value: 100 * time.Millisecond},
-			&cli.DurationFlag{Name: "length", Usage: "virtual time", Value: 34 * time.Second},
-			&cli.Uint64Flag{Name: "seed", Usage: "of the traffic", Value: 1},
-			&cli.StringFlag{Name: "plot", Usage: "write a picture of worth by load (SVG, or PNG by the ending)"},
+			&cli.StringFlag{Name: "loads", Usage: "multiples of the shape's rates, separated by commas", Value: "1"},
+			&cli.StringFlag{Name: "policies", Usage: "policies, separated by commas", Value: strings.Join(batchmodel.Policies, ",")},
+			&cli.DurationFlag{Name: "lag", Usage: "age of the policies' information on caches", Value: 100 * time.Millisecond},
+			&cli.DurationFlag{Name: "length", Usage: "length of the simulation in virtual time", Value: 34 * time.Second},
+			&cli.Uint64Flag{Name: "seed", Usage: "seed of the traffic", Value: 1},
+			&cli.StringFlag{Name: "plot", Usage: "write a chart of worth by load (PNG if the name ends in .png, else SVG)"},
 			outputFlag(),
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -51,7 +51,7 @@
 	}
 }
 
-// modelRow is one policy's result at one load.
+// modelRow is the result of one policy at one load.
 type modelRow struct {
 	Load float64 `json:"load"`
 	*batchmodel.Result
@@ -60,14 +60,14 @@
 func runModel(c *cli.Command) ([]modelRow, error) {
 	spec, ok := batchmodel.Shapes[c.String("shape")]
 	if !ok {
-		return nil, errors.Newf("shape %q; there are %v", c.String("shape"), slices.Sorted(maps.Keys(batchmodel.Shapes)))
+		return nil, errors.Newf("unknown shape %q; known are %v", c.String("shape"), slices.Sorted(maps.Keys(batchmodel.Shapes)))
 	}
 	spec.Lag, spec.Length, spec.Seed = c.Duration("lag"), c.Duration("length"), c.Uint64("seed")
 	var rows []modelRow
 	for _, text := range strings.Split(c.String("loads"), ",") {
 		load, err := strconv.ParseFloat(text, 64)
 		if err != nil || load <= 0 || load > 10 {
-			return nil, errors.Newf("load %q; allowed is above 0 and up to 10", text)
+			return nil, errors.Newf("load %q; it must be above 0 and at most 10", text)
 		}
 		spec.Load = load
 		for _, policy := range strings.Split(c.String("policies"), ",") {
@@ -98,7 +98,7 @@
 	return w.Flush()
 }
 
-// plotModel draws the worth of each policy by load.
+// plotModel draws each policy's worth by load.
 func plotModel(rows []modelRow, path string) error {
 	var order []string
 	series := map[string]*chart.ContinuousSeries{}
--- a/cmd/toucanwell/quarantine.go
+++ b/cmd/toucanwell/quarantine.go
@@ -17,11 +17,11 @@
 func quarantineCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "quarantine",
-		Usage: "show requests under which targets ended, and let one go",
+		Usage: "list and release requests that targets crashed on",
 		Commands: []*cli.Command{
 			{
 				Name:  "list",
-				Usage: "list what one entry refuses or suspects, and why; all entries know the same within a second",
+				Usage: "list the requests that an entry refuses or suspects; all entries agree within a second",
 				Flags: []cli.Flag{adminFlag(), outputFlag()},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					return withFirstProcess(func(ctx context.Context, client *oas.Client) error {
@@ -35,12 +35,12 @@
 			},
 			{
 				Name:      "release",
-				Usage:     "let a request go, by its print: at all entries it counts as one that was never seen",
+				Usage:     "release a request by its fingerprint; all entries discard its crash history",
 				ArgsUsage: "PRINT",
 				Flags:     []cli.Flag{adminFlag()},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					if c.Args().Len() != 1 {
-						return cli.Exit("name the request: toucanwell quarantine release PRINT", exitBadInput)
+						return cli.Exit("fingerprint is missing; usage: toucanwell quarantine release PRINT", exitBadInput)
 					}
 					return withFirstProcess(func(ctx context.Context, client *oas.Client) error {
 						return client.ReleaseRequest(ctx, oas.ReleaseRequestParams{Print: c.Args().First()})
@@ -67,7 +67,7 @@
 	return w.Flush()
 }
 
-// roundedMillis is a time in milliseconds, rounded for people.
+// roundedMillis converts milliseconds to a duration rounded to seconds.
 func roundedMillis(ms int64) time.Duration {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second)
 }
--- a/cmd/toucanwell/quarantine_test.go
+++ b/cmd/toucanwell/quarantine_test.go
@@ -7,9 +7,9 @@
 	"github.com/toucanwell/toucanwell/api/admin/oas"
 )
 
-// An operator looks for the request that ends engines: the list says what it is called in
-// logs, whose it is, and for how long it is held; scripts read the same as JSON.
-func TestQuarantineIsListed(t *testing.T) {
+// The quarantine table must show each request's fingerprint, owner and remaining time. The JSON
+// output must contain the same data.
+func TestPrintQuarantine(t *testing.T) {
 	q := &oas.Quarantine{Requests: []oas.QuarantinedRequest{
 		{Print: "00000000000000ab", Verdict: oas.QuarantinedRequestVerdictRefused, Ends: 3, Targets: []string{"1", "2", "3"}, Workspace: "town", Route: "check", ChangedMsAgo: 4000, HeldMs: oas.NewOptInt64(86_000_000)},
 		{Print: "00000000000000cd", Verdict: oas.QuarantinedRequestVerdictApart, Ends: 1, Targets: []string{"1"}, Workspace: "fort", Route: "review", ChangedMsAgo: 1000},
--- a/cmd/toucanwell/replay.go
+++ b/cmd/toucanwell/replay.go
@@ -21,23 +21,23 @@
 func replayCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "replay",
-		Usage: "replay a trace on a virtual clock against several routing policies",
+		Usage: "simulate several routing policies with a trace on a virtual clock",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "shape", Usage: "marktlizenz or olaje", Value: "olaje"},
-			&cli.StringFlag{Name: "trace", Usage: "trace file (JSON lines) in place of a generated one"},
+			&cli.StringFlag{Name: "trace", Usage: "trace file (JSON lines) to use instead of a generated trace"},
 			&cli.IntFlag{Name: "engines", Value: 18},
 			&cli.IntFlag{Name: "entries", Value: 3},
-			&cli.BoolFlag{Name: "contended", Usage: "every workspace sends as much as the others"},
-			&cli.FloatFlag{Name: "load", Usage: "share of the oracle's capacity", Value: 0.9},
-			&cli.FloatFlag{Name: "rate", Usage: "requests a second and engine, in place of a load"},
+			&cli.BoolFlag{Name: "contended", Usage: "all workspaces send equal traffic"},
+			&cli.FloatFlag{Name: "load", Usage: "rate as a fraction of the oracle's capacity", Value: 0.9},
+			&cli.FloatFlag{Name: "rate", Usage: "requests per second and engine; overrides --load"},
 			&cli.DurationFlag{Name: "length", Value: 60 * time.Second},
 			&cli.DurationFlag{Name: "lag", Usage: "age of load reports and cache events", Value: time.Second},
-			&cli.FloatFlag{Name: "loss", Usage: "share of cache events lost", Value: 0.05},
-			&cli.IntFlag{Name: "prefilling", Usage: "prefills that a gate lets run at once", Value: 1},
+			&cli.FloatFlag{Name: "loss", Usage: "fraction of cache events that are lost", Value: 0.05},
+			&cli.IntFlag{Name: "prefilling", Usage: "maximum number of concurrent prefills per gate", Value: 1},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.StringFlag{Name: "fault", Usage: "at half the length: crash (a third of the engines) or zone (one availability zone is gone)"},
-			&cli.StringFlag{Name: "policies", Usage: "words of policy names, divided by commas; empty means all"},
-			&cli.StringSliceFlag{Name: "variant", Usage: "another weighing to replay, like waste=2/4/8;content=50ms;rounds=2/6/16 (oracle=1 for the oracle's)"},
+			&cli.StringFlag{Name: "fault", Usage: "fault at half the length: crash (a third of the engines) or zone (loss of one availability zone)"},
+			&cli.StringFlag{Name: "policies", Usage: "substrings of policy names, separated by commas; empty selects all"},
+			&cli.StringSliceFlag{Name: "variant", Usage: "an additional policy variant, such as waste=2/4/8;content=50ms;rounds=2/6/16 (oracle=1 for a variant of the oracle)"},
 		},
 		Action: runReplay,
 	}
@@ -55,7 +55,7 @@
 	if rate == 0 && c.String("trace") == "" {
 		rate = c.Float("load") * replay.CapacityRate(shape, replay.DefaultCosts, c.Uint64("seed"))
 	}
-	fmt.Printf("%s: %d engines, %d entries, %.2f requests a second and engine, %v, lag %v, loss %.2f, seed %d\n", shape.Name,
+	fmt.Printf("%s: %d engines, %d entries, %.2f requests per second and engine, %v, lag %v, loss %.2f, seed %d\n", shape.Name,
 		c.Int("engines"), c.Int("entries"), rate, c.Duration("length"), c.Duration("lag"), c.Float("loss"), c.Uint64("seed"))
 	var results []*replay.Result
 	policies, err := selectPolicies(c)
@@ -86,35 +86,36 @@
 	for _, f := range faults {
 		for _, r := range results {
 			hit, ttft := r.Recovery(f.At)
-			fmt.Printf("%s: hit rate recovered after %d s, mean TTFT after %d s (-1: not in the trace)\n", r.Policy, hit, ttft)
+			fmt.Printf("%s: hit rate recovered after %d s, mean TTFT after %d s (-1: not within the trace)\n", r.Policy, hit, ttft)
 		}
 	}
 	return nil
 }
 
+// zones is the number of availability zones.
 const zones = 3
 
-// parseFaults returns the fault that the flag names.
+// parseFaults returns the fault selected by the fault flag.
 func parseFaults(c *cli.Command) ([]replay.Fault, error) {
 	f := replay.Fault{At: c.Duration("length") / 2}
-	var part []int
+	var affected []int
 	for i := 0; i < c.Int("engines"); i += zones {
-		part = append(part, i)
+		affected = append(affected, i)
 	}
 	switch c.String("fault") {
 	case "":
 		return nil, nil
 	case "crash":
-		f.Crash = part
+		f.Crash = affected
 	case "zone":
-		f.Kill = part
+		f.Kill = affected
 	default:
-		return nil, errors.Newf("fault %q found; allowed are crash and zone", c.String("fault"))
+		return nil, errors.Newf("unknown fault %q; known are crash and zone", c.String("fault"))
 	}
 	return []replay.Fault{f}, nil
 }
 
-// selectPolicies returns the wanted policies and the variants.
+// selectPolicies returns the selected policies and the variants.
 func selectPolicies(c *cli.Command) ([]replay.Policy, error) {
 	var policies []replay.Policy
 	for _, policy := range replay.Policies() {
@@ -132,49 +133,49 @@
 	return policies, nil
 }
 
-// parseVariant builds a policy from a text like "waste=2/4/8;content=50ms".
+// parseVariant parses a policy variant such as "waste=2/4/8;content=50ms".
 func parseVariant(text string) (replay.Policy, error) {
-	weighing := routing.DefaultPolicy
+	policy := routing.DefaultPolicy
 	oracle := false
 	for _, part := range strings.Split(text, ";") {
 		key, value, _ := strings.Cut(part, "=")
 		var err error
 		switch key {
 		case "waste":
-			weighing.PrefillWeight, err = parseFactors(value)
+			policy.PrefillWeight, err = parseFactors(value)
 		case "price":
-			weighing.BusyPenalty, err = strconv.ParseFloat(value, 64)
+			policy.BusyPenalty, err = strconv.ParseFloat(value, 64)
 		case "power":
-			weighing.BusyExponent, err = strconv.ParseFloat(value, 64)
+			policy.BusyExponent, err = strconv.ParseFloat(value, 64)
 		case "miss":
-			weighing.AcceptablePrefill, err = time.ParseDuration(value)
+			policy.AcceptablePrefill, err = time.ParseDuration(value)
 		case "content":
-			weighing.AcceptableWait, err = time.ParseDuration(value)
+			policy.AcceptableWait, err = time.ParseDuration(value)
 		case "rounds":
-			weighing.Rounds, err = parseRounds(value)
+			policy.Rounds, err = parseRounds(value)
 		case "oracle":
 			oracle = true
 		default:
-			err = errors.Newf("key %q found; allowed are waste, price, power, content, rounds and oracle", key)
+			err = errors.Newf("unknown key %q; known are waste, price, power, miss, content, rounds and oracle", key)
 		}
 		if err != nil {
 			return nil, errors.Wrapf(err, "variant %q", text)
 		}
 	}
 	if oracle {
-		return &replay.Oracle{Policy: weighing, Label: text}, nil
+		return &replay.Oracle{Policy: policy, Label: text}, nil
 	}
-	return &replay.Probing{Policy: weighing, Label: text}, nil
+	return &replay.Probing{Policy: policy, Label: text}, nil
 }
 
-// parseFactors reads one factor for each class.
+// parseFactors parses one factor per class, separated by slashes.
 func parseFactors(text string) (factors [config.Classes]float64, err error) {
-	words := strings.Split(text, "/")
-	if len(words) != config.Classes {
-		return factors, errors.Newf("%d factors found; allowed are %d, divided by /", len(words), config.Classes)
+	fields := strings.Split(text, "/")
+	if len(fields) != config.Classes {
+		return factors, errors.Newf("%d factors given, %d required, separated by /", len(fields), config.Classes)
 	}
-	for i, word := range words {
-		if factors[i], err = strconv.ParseFloat(word, 64); err != nil {
+	for i, field := range fields {
+		if factors[i], err = strconv.ParseFloat(field, 64); err != nil {
 			return factors, err
 		}
 	}
@@ -183,8 +184,8 @@
 
 func parseRounds(text string) ([]int, error) {
 	var rounds []int
-	for _, word := range strings.Split(text, "/") {
-		n, err := strconv.Atoi(word)
+	for _, field := range strings.Split(text, "/") {
+		n, err := strconv.Atoi(field)
 		if err != nil {
 			return nil, err
 		}
@@ -193,7 +194,8 @@
 	return rounds, nil
 }
 
-// openRecords returns the records of the trace file or of the generator.
+// openRecords returns the records of the trace file, or generated ones if there is none, and a
+// function that returns the reader's error and closes the file.
 func openRecords(c *cli.Command, shape trace.Shape, rate float64) (iter.Seq[trace.Record], func() error, error) {
 	path := c.String("trace")
 	if path == "" {
@@ -204,11 +206,11 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "open trace")
 	}
-	var problem error
+	var readErr error
 	records := func(yield func(trace.Record) bool) {
 		for record, err := range trace.Read(file) {
 			if err != nil {
-				problem = err
+				readErr = err
 				return
 			}
 			if !yield(record) {
@@ -216,7 +218,7 @@
 			}
 		}
 	}
-	return records, func() error { return errors.CombineErrors(problem, file.Close()) }, nil
+	return records, func() error { return errors.CombineErrors(readErr, file.Close()) }, nil
 }
 
 func findShape(name string) (trace.Shape, error) {
@@ -226,15 +228,17 @@
 	case "olaje":
 		return trace.Olaje(), nil
 	}
-	return trace.Shape{}, errors.Newf("shape %q found; allowed are marktlizenz and olaje", name)
+	return trace.Shape{}, errors.Newf("unknown shape %q; known are marktlizenz and olaje", name)
 }
 
+// matchesAny reports whether a name contains one of the substrings in a comma-separated list. An
+// empty list matches every name.
 func matchesAny(name, list string) bool {
 	if list == "" {
 		return true
 	}
-	for _, word := range strings.Split(list, ",") {
-		if strings.Contains(name, strings.TrimSpace(word)) {
+	for _, field := range strings.Split(list, ",") {
+		if strings.Contains(name, strings.TrimSpace(field)) {
 			return true
 		}
 	}
--- a/cmd/toucanwell/report.go
+++ b/cmd/toucanwell/report.go
@@ -22,8 +22,8 @@
 func reportCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "report",
-		Usage: "show how fast the service-level objectives' error budgets burn",
-		Flags: []cli.Flag{adminFlag(), outputFlag(), &cli.StringFlag{Name: "plot", Usage: "write a picture of the burn by minute (SVG, or PNG by the ending)"}},
+		Usage: "show the burn rates of the service-level objectives' error budgets",
+		Flags: []cli.Flag{adminFlag(), outputFlag(), &cli.StringFlag{Name: "plot", Usage: "write a chart of the burn rate by minute (PNG if the name ends in .png, else SVG)"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			r, err := collectReport(ctx, c.StringSlice("admin"), time.Now())
 			if err != nil {
@@ -42,10 +42,10 @@
 	}
 }
 
-// report is the burn over all entries asked.
+// report is the error budget burn across all queried entries.
 type report struct {
 	Rows []burn.Row `json:"rows"`
-	// Missing says which part of the slow window is not covered.
+	// Missing lists the entries that don't cover the whole slow window.
 	Missing []string `json:"missing"`
 
 	goals  []burn.Goal
@@ -53,23 +53,24 @@
 	now    time.Time
 }
 
+// collectReport queries the entries and computes the report.
 func collectReport(ctx context.Context, addresses []string, now time.Time) (*report, error) {
 	r := &report{now: now, Missing: []string{}}
-	answers := queryAll(ctx, addresses, func(ctx context.Context, client *oas.Client) (*oas.Burn, error) { return client.GetBurn(ctx) })
-	for _, a := range answers {
+	responses := queryAll(ctx, addresses, func(ctx context.Context, client *oas.Client) (*oas.Burn, error) { return client.GetBurn(ctx) })
+	for _, a := range responses {
 		if a.err != nil {
-			r.Missing = append(r.Missing, fmt.Sprintf("%s gave no answer: %v", a.address, a.err))
+			r.Missing = append(r.Missing, fmt.Sprintf("%s did not respond: %v", a.address, a.err))
 			continue
 		}
 		if since := time.UnixMilli(a.value.SinceUnixMs); since.After(now.Add(-burn.SlowWindow)) {
-			r.Missing = append(r.Missing, fmt.Sprintf("%s counts since %s only", a.address, since.UTC().Format(time.RFC3339)))
+			r.Missing = append(r.Missing, fmt.Sprintf("%s has counts only since %s", a.address, since.UTC().Format(time.RFC3339)))
 		}
 		for _, row := range a.value.Rows {
 			key := burn.Key{Service: row.Service, Class: row.Class, Workspace: row.Workspace}
 			r.counts = append(r.counts, burn.Count{Key: key, Minute: row.MinuteUnix, Good: row.Good, Bad: row.Bad})
 		}
 	}
-	if r.goals = reportedGoals(answers); len(r.goals) == 0 {
+	if r.goals = reportedGoals(responses); len(r.goals) == 0 {
 		goals, err := objectives(ctx, addresses)
 		if err != nil {
 			return nil, err
@@ -81,9 +82,9 @@
 	return r, nil
 }
 
-// reportedGoals are the goals of the first process that tells its own.
-func reportedGoals(answers []response[*oas.Burn]) []burn.Goal {
-	for _, a := range answers {
+// reportedGoals returns the goals of the first process that reports any.
+func reportedGoals(responses []response[*oas.Burn]) []burn.Goal {
+	for _, a := range responses {
 		if a.err != nil || len(a.value.Goals) == 0 {
 			continue
 		}
@@ -96,19 +97,19 @@
 	return nil
 }
 
-// objectives reads the goals from the newest configuration in force.
+// objectives returns the goals of the newest configuration that a process reports.
 func objectives(ctx context.Context, addresses []string) ([]burn.Goal, error) {
-	answers := queryAll(ctx, addresses, func(ctx context.Context, client *oas.Client) (*oas.Configuration, error) {
+	responses := queryAll(ctx, addresses, func(ctx context.Context, client *oas.Client) (*oas.Configuration, error) {
 		return client.GetConfiguration(ctx)
 	})
 	var newest *oas.Configuration
-	for _, a := range answers {
+	for _, a := range responses {
 		if a.err == nil && (newest == nil || a.value.Version > newest.Version) {
 			newest = a.value
 		}
 	}
 	if newest == nil {
-		return nil, errors.New("no process told its configuration")
+		return nil, errors.New("no process reported its configuration")
 	}
 	parsed, err := config.Parse("configuration in force", newest.Text)
 	if err != nil {
@@ -142,12 +143,13 @@
 	plotHeight = 420
 	plotTop    = 50
 	plotLeft   = 160
-	// minPlottedBurn keeps the line of an even burn, 1, inside the picture.
+	// minPlottedBurn is the minimum height of the vertical axis. It keeps the line of the even
+	// burn, 1, visible.
 	minPlottedBurn = 2.0
 )
 
-// plot draws the burn of each objective by minute, and the even burn that would
-// use the budget up exactly.
+// plot draws each objective's burn rate by minute, and the rate that would exhaust the budget
+// exactly at the end of its period.
 func (r *report) plot(path string) error {
 	graph := chart.Chart{
 		Title:      "error budget burn by minute (UTC)",
@@ -168,7 +170,7 @@
 	return writeChart(&graph, path)
 }
 
-// writeChart draws into a file, as PNG by its ending, else as SVG.
+// writeChart writes a chart to a file, as PNG if its name ends in .png and as SVG otherwise.
 func writeChart(graph *chart.Chart, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -182,6 +184,7 @@
 	return errors.CombineErrors(errors.Wrap(err, "plot"), file.Close())
 }
 
+// series returns an objective's burn rate by minute.
 func (r *report) series(g burn.Goal) chart.TimeSeries {
 	good := map[int64]int64{}
 	bad := map[int64]int64{}
@@ -205,7 +208,7 @@
 
 func (r *report) firstMinute() int64 { return r.now.Unix()/60 - burn.Minutes + 1 }
 
-// evenBurn is the line at 1.
+// evenBurn returns the line at a burn rate of 1.
 func (r *report) evenBurn() chart.TimeSeries {
 	return chart.TimeSeries{
 		Name:    "even burn",
--- a/cmd/toucanwell/report_test.go
+++ b/cmd/toucanwell/report_test.go
@@ -40,10 +40,10 @@
 	}
 }
 
-func TestPlotIsAPicture(t *testing.T) {
+func TestPlotWritesPNG(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "burn.png")
-	if kept := os.Getenv("TOUCANWELL_KEEP_PLOT"); kept != "" {
-		path = kept
+	if keepPath := os.Getenv("TOUCANWELL_KEEP_PLOT"); keepPath != "" {
+		path = keepPath
 	}
 	if err := sampleReport().plot(path); err != nil {
 		t.Fatal(err)
@@ -58,6 +58,6 @@
 		t.Fatal(err)
 	}
 	if picture.Bounds().Dx() != plotWidth {
-		t.Errorf("%v", picture.Bounds())
+		t.Errorf("chart bounds are %v, want a width of %d", picture.Bounds(), plotWidth)
 	}
 }
--- a/cmd/toucanwell/route.go
+++ b/cmd/toucanwell/route.go
@@ -16,7 +16,7 @@
 func showRouteCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "route",
-		Usage: "show where an entry would send a request now, and why; nothing is sent",
+		Usage: "show where an entry would send a request now, and why; does not send it",
 		Flags: []cli.Flag{
 			adminFlag(), outputFlag(),
 			&cli.StringFlag{Name: "host", Usage: "host name of the request", Required: true},
@@ -24,8 +24,8 @@
 			&cli.StringFlag{Name: "workspace", Usage: "workspace of the caller"},
 			&cli.StringFlag{Name: "model", Usage: "model of the prompt"},
 			&cli.IntFlag{Name: "prompt-tokens", Usage: "length of the prompt"},
-			&cli.IntFlag{Name: "max-tokens", Usage: "longest answer"},
-			&cli.StringSliceFlag{Name: "part", Usage: "a part of the prompt as ID:TOKENS, in order; may be given often"},
+			&cli.IntFlag{Name: "max-tokens", Usage: "maximum length of the output"},
+			&cli.StringSliceFlag{Name: "part", Usage: "a part of the prompt as ID:TOKENS, in order; can be repeated"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			client, err := adminClient(c.StringSlice("admin")[0])
@@ -55,9 +55,9 @@
 }
 
 func printPlacement(p *oas.Placement) error {
-	fmt.Printf("route %s to service %s, by version %d and a list of targets %d ms old\n", p.Route, p.Service, p.ConfigVersion, p.ListAgeMs)
+	fmt.Printf("route %s to service %s, with configuration version %d and a target list %d ms old\n", p.Route, p.Service, p.ConfigVersion, p.ListAgeMs)
 	if refusal, ok := p.Refusal.Get(); ok {
-		fmt.Printf("would be refused as %s: %s\n", refusal, p.Detail.Or(""))
+		fmt.Printf("would be refused with %s: %s\n", refusal, p.Detail.Or(""))
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\tTARGET\tZONE\tCOST\tWAIT MS\tREAD MS\tFETCH MS\tHELD\tFETCHED\tRUNNING\tWEIGHTS\tREMARKS")
--- a/cmd/toucanwell/standin.go
+++ b/cmd/toucanwell/standin.go
@@ -15,17 +15,17 @@
 	"github.com/toucanwell/toucanwell/internal/trace"
 )
 
-// storeConcurrency is how many fetches the store behind one engine bears.
+// storeConcurrency is the number of concurrent fetches that an engine's weight store supports.
 const storeConcurrency = 2
 
 func standinCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "standin",
-		Usage:     "serve a stand-in of the platform on loopback: log, hosts, engine or plain",
+		Usage:     "serve a stand-in for a platform service: log, hosts, engine or plain",
 		ArgsUsage: "KIND",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:20000"},
-			&cli.StringFlag{Name: "weights", Usage: "weights that an engine has loaded", Value: "2026-11"},
+			&cli.StringFlag{Name: "weights", Usage: "weights that the engine has loaded at its start", Value: "2026-11"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			handler, err := standinHandler(c.Args().First(), c.String("weights"))
@@ -50,7 +50,7 @@
 	case "plain":
 		return standin.NewPlain().Handler(), nil
 	}
-	return nil, cli.Exit(fmt.Sprintf("%q found; allowed are log, hosts, engine and plain", kind), exitBadInput)
+	return nil, cli.Exit(fmt.Sprintf("unknown stand-in %q; known are log, hosts, engine and plain", kind), exitBadInput)
 }
 
 func traceCommand() *cli.Command {
@@ -59,7 +59,7 @@
 		Usage: "write a generated trace (JSON lines)",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "shape", Usage: "marktlizenz or olaje", Value: "olaje"},
-			&cli.FloatFlag{Name: "rate", Usage: "requests a second", Value: 10},
+			&cli.FloatFlag{Name: "rate", Usage: "requests per second", Value: 10},
 			&cli.DurationFlag{Name: "length", Value: time.Minute},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
@@ -69,7 +69,7 @@
 				return err
 			}
 			if c.Float("rate") <= 0 {
-				return errors.Newf("rate: %v found; allowed are numbers above 0", c.Float("rate"))
+				return errors.Newf("rate is %v; it must be positive", c.Float("rate"))
 			}
 			return trace.Write(os.Stdout, trace.Generate(shape, c.Float("rate"), c.Duration("length"), c.Uint64("seed")))
 		},
--- a/cmd/toucanwelld/gateway.go
+++ b/cmd/toucanwelld/gateway.go
@@ -15,16 +15,15 @@
 	"github.com/toucanwell/toucanwell/platform"
 )
 
-// memoryLimitRatio is the part of a process's memory at which the garbage collector
-// works harder; the rest is for stacks and what it has not yet returned.
+// memoryLimitRatio is the ratio of the Go runtime's soft memory limit to the process's memory.
 const memoryLimitRatio = 0.7
 
-// gatewayCommand runs a process in a deployment whose state lies in the
+// gatewayCommand returns the command that runs a gateway process, whose state is in the
 // platform's store.
 func gatewayCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "gateway",
-		Usage:  "run one process in front of a platform's own targets",
+		Usage:  "run one gateway process in front of the platform's targets",
 		Action: runGateway,
 	}
 }
@@ -35,7 +34,7 @@
 		return cli.Exit(err.Error(), exitSettings)
 	}
 	if command.Bool("check") {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryLimitRatio))
@@ -48,11 +47,11 @@
 	return serve(p, command.String("settings"), signals)
 }
 
-// reloadPeriod is how often the settings file is looked at: it may change
-// without a signal.
+// reloadPeriod is how often the settings file is checked for changes without a signal.
 const reloadPeriod = 2 * time.Second
 
-// serve runs until a signal to stop, and takes over changed settings.
+// serve runs until the process fails or receives a stop signal. It reloads settings on SIGHUP
+// and when the file changes.
 func serve(p *gateway.Process, path string, signals <-chan os.Signal) error {
 	changed := modTime(path)
 	tick := time.NewTicker(reloadPeriod)
@@ -78,8 +77,8 @@
 	}
 }
 
-// modTime is when the settings file was written last; the zero time when it
-// cannot be looked at, which the next reload tells.
+// modTime returns the settings file's modification time, or the zero time if the file cannot
+// be read. The next reload reports that error.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -88,6 +87,7 @@
 	return info.ModTime()
 }
 
+// reload applies the settings file, or reports why it is invalid.
 func reload(p *gateway.Process, path string) {
 	next, err := gateway.LoadSettings(path)
 	if err != nil {
--- a/cmd/toucanwelld/main.go
+++ b/cmd/toucanwelld/main.go
@@ -1,5 +1,5 @@
-// Command toucanwelld is the daemon: one process of the system, an entry or a
-// sidecar as its settings say.
+// Command toucanwelld is the daemon. It runs one process of the router, an entry or a sidecar
+// according to its settings.
 package main
 
 import (
@@ -21,7 +21,7 @@
 const (
 	exitSettings = 2
 	exitFailed   = 1
-	// memoryLimit keeps the garbage collector well inside the size of a host.
+	// memoryLimit is the soft memory limit of the Go runtime in bytes.
 	memoryLimit = 512 << 20
 )
 
@@ -52,7 +52,7 @@
 		return cli.Exit(err.Error(), exitSettings)
 	}
 	if command.Bool("check") {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	debug.SetMemoryLimit(memoryLimit)
