--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,14 +1,14 @@
-// Package examples holds the configurations of two deployments.
+// Package examples embeds the configurations of two example deployments.
 package examples
 
 import _ "embed"
 
-// Marktlizenz is a licence office: long reviews, filings that run at most once.
+// Marktlizenz configures a licence office: long reviews, and filings that run at most once.
 //
 //go:embed marktlizenz.toml
 var Marktlizenz string
 
-// Olaje is a surf forecaster: fast alerts and lookups, long briefings.
+// Olaje configures a surf forecaster: fast alerts and lookups, and long briefings.
 //
 //go:embed olaje.toml
 var Olaje string
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,5 +1,5 @@
-// Command capacity works out docs/CAPACITY.md's tables from the output of the
-// benchmarks in internal/capacity, which it reads from standard input:
+// Command capacity computes the tables of docs/CAPACITY.md from the output of the benchmarks in
+// internal/capacity, which it reads from standard input:
 //
 //	go test -run '^$' -bench . ./internal/capacity | (cd tools && go run ./capacity)
 package main
@@ -15,7 +15,7 @@
 	"strings"
 )
 
-// The size to design for.
+// The deployment size that the tables are computed for.
 const (
 	entries           = 420.0
 	engines           = 600.0
@@ -27,35 +27,36 @@
 	models            = 5.0
 	changesPerDay     = 860.0
 	secondsPerDay     = 86_400.0
-	// levels of nested prefixes in a probe.
+	// levels is the number of nested prefixes in a probe.
 	levels = 3.0
-	// probesPerRequest is what the replay at 288 engines takes; see
-	// docs/MEASUREMENTS.md.
+	// probesPerRequest is the mean in the replay with 288 engines; see docs/MEASUREMENTS.md.
 	probesPerRequest = 6.5
-	// onceShare is the assumed share of calls that may not be repeated.
+	// onceShare is the assumed fraction of at-most-once calls.
 	onceShare = 0.05
-	// claimStreams of a service, and seconds for which a key is taken.
+	// claimStreams is the number of claim streams per service, and keyLifetime the validity of
+	// an idempotency key in seconds.
 	claimStreams = 16.0
 	keyLifetime  = 1800.0
-	// syncSeconds is the time between two questions of one process to peers.
+	// syncSeconds is the interval at which a process queries a peer for its version.
 	syncSeconds = 2.0
 	logPolls    = 20.0
 )
 
-// line is a fit y = intercept + slope*x.
-type line struct {
+// linearFit is the fit y = intercept + slope*x.
+type linearFit struct {
 	intercept, slope float64
-	// residual is the largest distance of a point from the line, as a share of
-	// the largest value.
+	// residual is the largest absolute deviation of a point, relative to the largest value.
 	residual float64
 	points   int
 }
 
-func (l line) at(x float64) float64 { return l.intercept + l.slope*x }
+// at evaluates the fit.
+func (l linearFit) at(x float64) float64 { return l.intercept + l.slope*x }
 
 type point struct{ x, y float64 }
 
-func fit(points []point) line {
+// fit computes the least-squares fit.
+func fit(points []point) linearFit {
 	var n, sx, sy, sxx, sxy, top float64
 	for _, p := range points {
 		n++
@@ -65,7 +66,7 @@
 		sxy += p.x * p.y
 		top = math.Max(top, math.Abs(p.y))
 	}
-	l := line{points: len(points)}
+	l := linearFit{points: len(points)}
 	if d := n*sxx - sx*sx; d != 0 {
 		l.slope = (n*sxy - sx*sy) / d
 	}
@@ -76,9 +77,10 @@
 	return l
 }
 
+// result matches a line of benchmark output: name, parameter and measurements.
 var result = regexp.MustCompile(`^Benchmark(\w+)/\w+=(\d+)-\d+\s+\d+\s+(.*)$`)
 
-// read collects the points of each benchmark and unit.
+// read collects the data points of each benchmark and unit.
 func read(in io.Reader) (map[string][]point, error) {
 	points := map[string][]point{}
 	lines := bufio.NewScanner(in)
@@ -110,7 +112,7 @@
 		fmt.Fprintln(os.Stderr, "capacity:", err)
 		os.Exit(1)
 	}
-	t := &table{fits: map[string]line{}}
+	t := &table{fits: map[string]linearFit{}}
 	for key, p := range points {
 		t.fits[key] = fit(p)
 	}
@@ -124,12 +126,13 @@
 	}
 }
 
+// table holds the fits by benchmark and unit, and the keys of those that are missing.
 type table struct {
-	fits    map[string]line
+	fits    map[string]linearFit
 	missing []string
 }
 
-func (t *table) fit(key string) line {
+func (t *table) fit(key string) linearFit {
 	l, ok := t.fits[key]
 	if !ok {
 		t.missing = append(t.missing, key)
@@ -151,14 +154,14 @@
 	}
 }
 
-// row is one line of a role's table.
+// row is a row of a role's table.
 type row struct {
-	name    string
-	memory  float64 // bytes
-	bytes   float64 // a second, in and out
-	micros  float64 // an event
-	rate    float64 // events a second
-	carrier string
+	name      string
+	memory    float64 // bytes
+	bytes     float64 // per second, in and out
+	micros    float64 // per event
+	rate      float64 // events per second
+	mechanism string
 }
 
 func printRows(title string, rows []row) {
@@ -169,21 +172,22 @@
 		memory += r.memory
 		traffic += r.bytes
 		core += share
-		fmt.Printf("| %s | %.2f | %.2f | %.1f | %.2f | %.3f | %s |\n", r.name, r.memory/1e6, r.bytes/1e3, r.micros, r.rate, share, r.carrier)
+		fmt.Printf("| %s | %.2f | %.2f | %.1f | %.2f | %.3f | %s |\n", r.name, r.memory/1e6, r.bytes/1e3, r.micros, r.rate, share, r.mechanism)
 	}
 	fmt.Printf("| **sum** (budget 32 MB, 10 KB/s, 1.1%%) | **%.1f** | **%.1f** | | | **%.3f** | |\n", memory/1e6, traffic/1e3, core)
 }
 
-// configRow is the same at both roles.
+// configRow is the row for the configuration, which is the same for both roles.
 func (t *table) configRow() row {
 	rate := changesPerDay / secondsPerDay
 	return row{"configuration in force, one change each 100 s", t.value("Config heap-B", workspaces),
 		t.value("Config wire-B", workspaces) * rate, t.value("Config ns/op", workspaces) / 1e3, rate, "configlog.Follower"}
 }
 
+// syncRow is the row for version queries between peers.
 func (t *table) syncRow() row {
-	// A process asks one peer each period and is asked as often; headers of
-	// TCP and IP are counted with four segments of 52 bytes.
+	// A process sends and receives one query per interval. Four segments with 52 bytes of TCP
+	// and IP headers each are added.
 	const segments = 4 * 52
 	rate := 2 / syncSeconds
 	return row{"version questions between peers", 0, (t.value("Sync wire-B", 1) + segments) * rate, t.value("Sync ns/op", 1) / 1e3, rate, "configlog.Follower, PeerServer"}
--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -1,5 +1,5 @@
-// Command mutate switches off one guard at a time in a copy of the tree and
-// shows that its test fails without it. It reads mutations.toml.
+// Command mutate checks that tests cover the code's guards. For each entry of mutations.toml it
+// disables a guard in a copy of the source tree and runs a test that must then fail.
 package main
 
 import (
@@ -14,36 +14,36 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Mutation is one guard, the change that switches it off, and its test.
+// Mutation is a change that disables a guard, and the test that must detect it.
 type Mutation struct {
-	// Point of the guarantees that the guard serves.
+	// Point is the number of the guarantee that the guard supports.
 	Point string `toml:"point"`
-	// Guard in a few words.
+	// Guard is a short description of the guard.
 	Guard string `toml:"guard"`
 	File  string `toml:"file"`
-	// Old is replaced by New; it must stand in the file once.
+	// Old is replaced by New; it must occur in the file exactly once.
 	Old string `toml:"old"`
 	New string `toml:"new"`
-	// Package and Test name the test that must fail.
+	// Package and Test identify the test that must fail.
 	Package string `toml:"package"`
 	Test    string `toml:"test"`
 }
 
 func main() {
-	only := flag.String("only", "", "run only mutations whose test or guard holds this")
+	only := flag.String("only", "", "run only the mutations whose test or guard contains this text")
 	flag.Parse()
-	missed, err := run(*only)
+	undetected, err := run(*only)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "mutate:", err)
 		os.Exit(2)
 	}
-	if missed > 0 {
-		fmt.Printf("%d guards can be switched off unseen\n", missed)
+	if undetected > 0 {
+		fmt.Printf("%d mutations were not detected\n", undetected)
 		os.Exit(1)
 	}
 }
 
-func run(only string) (missed int, err error) {
+func run(only string) (undetected int, err error) {
 	text, err := os.ReadFile("mutate/mutations.toml")
 	if err != nil {
 		return 0, err
@@ -58,22 +58,23 @@
 		if !strings.Contains(m.Test+m.Guard, only) {
 			continue
 		}
-		line, failed, err := m.try()
+		line, failed, err := m.test()
 		if err != nil {
-			return missed, fmt.Errorf("%s: %w", m.Guard, err)
+			return undetected, fmt.Errorf("%s: %w", m.Guard, err)
 		}
 		verdict := "RED"
 		if !failed {
 			verdict = "UNSEEN"
-			missed++
+			undetected++
 		}
 		fmt.Printf("%s  point %s  %s  [%s]  %s\n", verdict, m.Point, m.Guard, m.Test, line)
 	}
-	return missed, nil
+	return undetected, nil
 }
 
-// try runs the test in a mutated copy and returns its first telling line.
-func (m *Mutation) try() (line string, failed bool, err error) {
+// test runs the test in a mutated copy of the tree. It reports whether the test failed, with the
+// line of output that shows why.
+func (m *Mutation) test() (line string, failed bool, err error) {
 	dir, err := os.MkdirTemp("", "mutate")
 	if err != nil {
 		return "", false, err
@@ -88,7 +89,7 @@
 		return "", false, err
 	}
 	if n := bytes.Count(source, []byte(m.Old)); n != 1 {
-		return "", false, fmt.Errorf("the old text stands %d times in %s", n, m.File)
+		return "", false, fmt.Errorf("the old text occurs %d times in %s, want 1", n, m.File)
 	}
 	changed := bytes.Replace(source, []byte(m.Old), []byte(m.New), 1)
 	if err := os.WriteFile(path, changed, 0o644); err != nil {
@@ -98,31 +99,32 @@
 	cmd.Dir = dir
 	out, testErr := cmd.CombinedOutput()
 	if bytes.Contains(out, []byte("[build failed]")) || bytes.Contains(out, []byte("[setup failed]")) {
-		return "", false, fmt.Errorf("does not build:\n%s", out)
+		return "", false, fmt.Errorf("the mutated tree does not build:\n%s", out)
 	}
-	return telling(string(out)), testErr != nil, nil
+	return failureLine(string(out)), testErr != nil, nil
 }
 
-// telling is the line of a failing test's output that says what was seen.
-func telling(out string) string {
+// failureLine returns the line of a failing test's output that describes the failure.
+func failureLine(out string) string {
 	for _, line := range strings.Split(out, "\n") {
 		trimmed := strings.TrimSpace(line)
 		if strings.Contains(trimmed, "_test.go:") && !strings.Contains(trimmed, "Traceback") {
-			return cut(trimmed)
+			return truncate(trimmed)
 		}
 	}
 	for _, line := range strings.Split(out, "\n") {
 		if strings.HasPrefix(line, "panic:") || strings.Contains(line, "FAIL") {
-			return cut(line)
+			return truncate(line)
 		}
 	}
 	return ""
 }
 
-func cut(line string) string {
-	const longest = 160
-	if len(line) > longest {
-		return line[:longest] + "..."
+// truncate limits the length of a line.
+func truncate(line string) string {
+	const maxLength = 160
+	if len(line) > maxLength {
+		return line[:maxLength] + "..."
 	}
 	return line
 }
