--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -29,7 +29,7 @@
 	// StartedMs is the start time in Unix milliseconds.
 	StartedMs int64
 	Registry  *prometheus.Registry
-	// Config returns the version and text of the active configuration.
+	// Config returns the version and text of the configuration in force.
 	Config func() (version int64, text string, ok bool)
 	// Targets returns the targets known to the process.
 	Targets func() []oas.Target
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -79,7 +79,7 @@
 		queueRunning:       gauge("queue_running", "Requests running at this sidecar's target."),
 		indexBlocks:        gauge("index_blocks", "Blocks in the prefix index."),
 		eventGaps:          gauge("event_gaps", "Gaps detected in the engine's event stream."),
-		configVersion:      gauge("config_version", "Version of the active configuration."),
+		configVersion:      gauge("config_version", "Version of the configuration in force."),
 	}
 	m.Registry.MustRegister(m.requests, m.refusals, m.ttft, m.promptTokens, m.cachedTokens, m.recomputedTokens,
 		m.retries, m.resumes, m.probes, m.queueWaiting, m.queueRunning, m.indexBlocks, m.eventGaps,
@@ -148,7 +148,7 @@
 	m.eventGaps.Set(float64(gaps))
 }
 
-// ConfigVersion sets the version of the active configuration.
+// ConfigVersion sets the version of the configuration in force.
 func (m *Metrics) ConfigVersion(v uint64) { m.configVersion.Set(float64(v)) }
 
 // LogError counts a failed call to the platform's log.
