--- a/cmd/toucanwell/report_test.go
+++ b/cmd/toucanwell/report_test.go
@@ -58,6 +58,6 @@
 		t.Fatal(err)
 	}
 	if picture.Bounds().Dx() != plotWidth {
-		t.Errorf("chart bounds are %v, want a width of %d", picture.Bounds(), plotWidth)
+		t.Errorf("the chart has the wrong bounds: %v", picture.Bounds())
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -15,7 +15,7 @@
 	logging.New(&out, "entry-1").Info("request_done", "request_id", "r1", "detail", `dial "x": no way`, "empty", "", "n", 3)
 	l, ok := Parse("   7.5 entry-1 " + out.String())
 	if !ok || l.Event != "request_done" || l.Process != "entry-1" || l.Time.IsZero() {
-		t.Fatalf("Parse = %+v, %v", l, ok)
+		t.Fatalf("Parse reported %v with %+v", ok, l)
 	}
 	for key, want := range map[string]string{"request_id": "r1", "detail": `dial "x": no way`, "empty": "", "n": "3"} {
 		if got := l.Get(key); got != want {
