--- a/api/admin/oas/oas_parameters_gen.go
+++ b/api/admin/oas/oas_parameters_gen.go
@@ -26,9 +26,9 @@
 	Model OptString `json:",omitempty,omitzero"`
 	// Length of the prompt.
 	PromptTokens OptInt `json:",omitempty,omitzero"`
-	// Longest answer.
+	// Maximum number of output tokens.
 	MaxTokens OptInt `json:",omitempty,omitzero"`
-	// Parts of the prompt in their order, as ID:TOKENS.
+	// Parts of the prompt in order, as ID:TOKENS.
 	Parts []string `json:",omitempty"`
 }
 
@@ -432,7 +432,7 @@
 
 // ReleaseRequestParams is parameters of releaseRequest operation.
 type ReleaseRequestParams struct {
-	// Print of the request as logs show it.
+	// Fingerprint of the request as in the logs.
 	Print string
 }
 
--- a/api/admin/oas/oas_schemas_gen.go
+++ b/api/admin/oas/oas_schemas_gen.go
@@ -40,7 +40,7 @@
 // Ref: #/components/schemas/Burn
 type Burn struct {
 	SinceUnixMs int64 `json:"since_unix_ms"`
-	// Objectives of a process whose configuration states none.
+	// Objectives of a process whose configuration defines none.
 	Goals []BurnGoal `json:"goals"`
 	Rows  []BurnRow  `json:"rows"`
 }
@@ -208,19 +208,19 @@
 	s.Text = val
 }
 
-// What the coordinator knows; left out by other entries.
+// Usage known to the coordinator; omitted by other entries.
 // Ref: #/components/schemas/LimitUse
 type LimitUse struct {
-	// What the bucket holds; below zero when it is owed.
+	// Tokens in the bucket; negative if it is overdrawn.
 	Level float64 `json:"level"`
-	// What entries hold of it.
+	// Tokens leased to entries.
 	Leased float64 `json:"leased"`
-	// Entries that asked lately.
+	// Number of entries with recent lease requests.
 	Entries int `json:"entries"`
-	// Questions for requests that were admitted.
+	// Lease requests for requests that were admitted.
 	Admitted int64 `json:"admitted"`
 	Refused  int64 `json:"refused"`
-	// Part of the limit that this entry gives out; below 1 while entries are out of touch.
+	// Share of the limit that this entry grants; below 1 while entries are unreachable.
 	Share float64 `json:"share"`
 }
 
@@ -490,7 +490,7 @@
 	ConfigVersion int64     `json:"config_version"`
 	ListAgeMs     int64     `json:"list_age_ms"`
 	Chosen        OptString `json:"chosen"`
-	// Kind of the refusal that the request would get.
+	// Error kind with which the request would be refused.
 	Refusal    OptString            `json:"refusal"`
 	Detail     OptString            `json:"detail"`
 	Candidates []PlacementCandidate `json:"candidates"`
@@ -581,9 +581,9 @@
 	Target           string `json:"target"`
 	AvailabilityZone string `json:"availability_zone"`
 	Address          string `json:"address"`
-	// Why the target may not take the request.
+	// Why the target is not eligible for the request.
 	Filtered OptString `json:"filtered"`
-	// What speaks against the target.
+	// Conditions that make the target less suitable.
 	Marks   []string `json:"marks"`
 	Cost    float64  `json:"cost"`
 	WaitMs  float64  `json:"wait_ms"`
@@ -817,18 +817,18 @@
 // Ref: #/components/schemas/QuarantinedRequest
 type QuarantinedRequest struct {
 	Print string `json:"print"`
-	// What the request may do.
+	// How the request is treated.
 	Verdict QuarantinedRequestVerdict `json:"verdict"`
-	// Targets that ended under it and that no other request explains.
+	// Crashes of targets that no other request explains.
 	Ends int `json:"ends"`
-	// Short names of all targets that ended under it.
+	// IDs of all targets that crashed while they ran it.
 	Targets []string `json:"targets"`
-	// Runs that went well since the first end.
+	// Successful runs since the first crash.
 	Served       int    `json:"served"`
 	Workspace    string `json:"workspace"`
 	Route        string `json:"route"`
 	ChangedMsAgo int64  `json:"changed_ms_ago"`
-	// For how long a refused request is still refused.
+	// Remaining time for which the request is refused.
 	HeldMs OptInt64 `json:"held_ms"`
 }
 
@@ -922,7 +922,7 @@
 	s.HeldMs = val
 }
 
-// What the request may do.
+// How the request is treated.
 type QuarantinedRequestVerdict string
 
 const (
@@ -1208,7 +1208,7 @@
 	Unit      WorkspaceLimitUnit `json:"unit"`
 	PerSecond float64            `json:"per_second"`
 	Burst     float64            `json:"burst"`
-	// Address of the entry that keeps the workspace's bucket.
+	// Address of the entry that manages the workspace's token bucket.
 	Coordinator string      `json:"coordinator"`
 	Use         OptLimitUse `json:"use"`
 }
--- a/api/caller/oas/oas_client_gen.go
+++ b/api/caller/oas/oas_client_gen.go
@@ -31,14 +31,14 @@
 type Invoker interface {
 	// CallService invokes callService operation.
 	//
-	// Passes one call to a plain service.
+	// Forwards a call to a plain service.
 	//
 	// POST /v1/services/{service}/call
 	CallService(ctx context.Context, request CallServiceReq, params CallServiceParams) (CallServiceRes, error)
 	// CreateCompletion invokes createCompletion operation.
 	//
-	// Answers a prompt. With "stream": true the answer is sent as server-sent events by a handler of
-	// net/http in front of the generated server.
+	// Completes a prompt. With "stream": true the response is sent as server-sent events, by a handler in
+	// front of the generated server.
 	//
 	// POST /v1/chat/completions
 	CreateCompletion(ctx context.Context, request *CompletionRequest, params CreateCompletionParams) (*Completion, error)
@@ -87,7 +87,7 @@
 
 // CallService invokes callService operation.
 //
-// Passes one call to a plain service.
+// Forwards a call to a plain service.
 //
 // POST /v1/services/{service}/call
 func (c *Client) CallService(ctx context.Context, request CallServiceReq, params CallServiceParams) (CallServiceRes, error) {
@@ -302,8 +302,8 @@
 
 // CreateCompletion invokes createCompletion operation.
 //
-// Answers a prompt. With "stream": true the answer is sent as server-sent events by a handler of
-// net/http in front of the generated server.
+// Completes a prompt. With "stream": true the response is sent as server-sent events, by a handler in
+// front of the generated server.
 //
 // POST /v1/chat/completions
 func (c *Client) CreateCompletion(ctx context.Context, request *CompletionRequest, params CreateCompletionParams) (*Completion, error) {
--- a/api/caller/oas/oas_handlers_gen.go
+++ b/api/caller/oas/oas_handlers_gen.go
@@ -35,7 +35,7 @@
 
 // handleCallServiceRequest handles callService operation.
 //
-// Passes one call to a plain service.
+// Forwards a call to a plain service.
 //
 // POST /v1/services/{service}/call
 func (s *Server) handleCallServiceRequest(args [1]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
@@ -270,8 +270,8 @@
 
 // handleCreateCompletionRequest handles createCompletion operation.
 //
-// Answers a prompt. With "stream": true the answer is sent as server-sent events by a handler of
-// net/http in front of the generated server.
+// Completes a prompt. With "stream": true the response is sent as server-sent events, by a handler in
+// front of the generated server.
 //
 // POST /v1/chat/completions
 func (s *Server) handleCreateCompletionRequest(args [0]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
--- a/api/caller/oas/oas_parameters_gen.go
+++ b/api/caller/oas/oas_parameters_gen.go
@@ -17,13 +17,13 @@
 // CallServiceParams is parameters of callService operation.
 type CallServiceParams struct {
 	Service string
-	// Path at the service.
+	// Path of the service to call.
 	Path           OptString `json:",omitempty,omitzero"`
 	IdempotencyKey OptString `json:",omitempty,omitzero"`
-	// Unix time in milliseconds when the key was made; not needed when the key is a UUID of version 7.
+	// Unix time in milliseconds at which the key was created; not needed if the key is a UUID version 7.
 	IdempotencyKeyIssued OptInt64 `json:",omitempty,omitzero"`
 	ToucanwellClass      OptClass `json:",omitempty,omitzero"`
-	// Milliseconds from now within which the first token is of use.
+	// Deadline for the first token, in milliseconds from now.
 	ToucanwellDeadlineMs OptInt64 `json:",omitempty,omitzero"`
 }
 
@@ -401,10 +401,10 @@
 // CreateCompletionParams is parameters of createCompletion operation.
 type CreateCompletionParams struct {
 	IdempotencyKey OptString `json:",omitempty,omitzero"`
-	// Unix time in milliseconds when the key was made; not needed when the key is a UUID of version 7.
+	// Unix time in milliseconds at which the key was created; not needed if the key is a UUID version 7.
 	IdempotencyKeyIssued OptInt64 `json:",omitempty,omitzero"`
 	ToucanwellClass      OptClass `json:",omitempty,omitzero"`
-	// Milliseconds from now within which the first token is of use.
+	// Deadline for the first token, in milliseconds from now.
 	ToucanwellDeadlineMs OptInt64 `json:",omitempty,omitzero"`
 }
 
--- a/api/caller/oas/oas_server_gen.go
+++ b/api/caller/oas/oas_server_gen.go
@@ -10,14 +10,14 @@
 type Handler interface {
 	// CallService implements callService operation.
 	//
-	// Passes one call to a plain service.
+	// Forwards a call to a plain service.
 	//
 	// POST /v1/services/{service}/call
 	CallService(ctx context.Context, req CallServiceReq, params CallServiceParams) (CallServiceRes, error)
 	// CreateCompletion implements createCompletion operation.
 	//
-	// Answers a prompt. With "stream": true the answer is sent as server-sent events by a handler of
-	// net/http in front of the generated server.
+	// Completes a prompt. With "stream": true the response is sent as server-sent events, by a handler in
+	// front of the generated server.
 	//
 	// POST /v1/chat/completions
 	CreateCompletion(ctx context.Context, req *CompletionRequest, params CreateCompletionParams) (*Completion, error)
--- a/api/caller/oas/oas_unimplemented_gen.go
+++ b/api/caller/oas/oas_unimplemented_gen.go
@@ -15,7 +15,7 @@
 
 // CallService implements callService operation.
 //
-// Passes one call to a plain service.
+// Forwards a call to a plain service.
 //
 // POST /v1/services/{service}/call
 func (UnimplementedHandler) CallService(ctx context.Context, req CallServiceReq, params CallServiceParams) (r CallServiceRes, _ error) {
@@ -24,8 +24,8 @@
 
 // CreateCompletion implements createCompletion operation.
 //
-// Answers a prompt. With "stream": true the answer is sent as server-sent events by a handler of
-// net/http in front of the generated server.
+// Completes a prompt. With "stream": true the response is sent as server-sent events, by a handler in
+// front of the generated server.
 //
 // POST /v1/chat/completions
 func (UnimplementedHandler) CreateCompletion(ctx context.Context, req *CompletionRequest, params CreateCompletionParams) (r *Completion, _ error) {
