--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -22,7 +22,7 @@
 			t.Errorf("field %s is %q, want %q", key, got, want)
 		}
 	}
-	for _, text := range []string{"", "no line of ours", `time=2026-01-01T00:00:00Z msg="open`, "time=now msg=x", "time=2026-01-01T00:00:00Z level=INFO"} {
+	for _, text := range []string{"", "not a log line", `time=2026-01-01T00:00:00Z msg="open`, "time=now msg=x", "time=2026-01-01T00:00:00Z level=INFO"} {
 		if l, ok := Parse(text); ok {
 			t.Errorf("Parse(%q) = %+v, want a rejection", text, l)
 		}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -29,7 +29,7 @@
 	done("gone", "cancelled", "0s")
 	log.Info("target_listed", "target", "i-1")
 
-	rows, err := Read(Options{Window: time.Hour, DefaultObjective: time.Second, Objectives: map[string]time.Duration{"r": 400 * time.Millisecond}}, strings.NewReader(out.String()+"no line of ours\n"))
+	rows, err := Read(Options{Window: time.Hour, DefaultObjective: time.Second, Objectives: map[string]time.Duration{"r": 400 * time.Millisecond}}, strings.NewReader(out.String()+"not a log line\n"))
 	if err != nil || len(rows) != 1 {
 		t.Fatalf("%+v, %v", rows, err)
 	}
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -18,7 +18,9 @@
 }
 
 // NewWeightStore returns a store that serves maxConcurrent fetches at full speed.
-func NewWeightStore(maxConcurrent int) *WeightStore { return &WeightStore{maxConcurrent: maxConcurrent} }
+func NewWeightStore(maxConcurrent int) *WeightStore {
+	return &WeightStore{maxConcurrent: maxConcurrent}
+}
 
 // Fetch takes the duration d, or longer if the store is overloaded.
 func (s *WeightStore) Fetch(d time.Duration) {
