--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -10,17 +10,15 @@
 
 // WeightStore simulates a store of weights that slows down above a number of concurrent fetches.
 type WeightStore struct {
-	mu            sync.Mutex
-	maxConcurrent int
-	active        int
-	peak          int
-	total         int
+	mu     sync.Mutex
+	limit  int
+	active int
+	peak   int
+	total  int
 }
 
-// NewWeightStore returns a store that serves maxConcurrent fetches at full speed.
-func NewWeightStore(maxConcurrent int) *WeightStore {
-	return &WeightStore{maxConcurrent: maxConcurrent}
-}
+// NewWeightStore returns a store that serves up to limit concurrent fetches at full speed.
+func NewWeightStore(limit int) *WeightStore { return &WeightStore{limit: limit} }
 
 // Fetch takes the duration d, or longer if the store is overloaded.
 func (s *WeightStore) Fetch(d time.Duration) {
@@ -28,7 +26,7 @@
 	s.active++
 	s.total++
 	s.peak = max(s.peak, s.active)
-	if s.active > s.maxConcurrent {
+	if s.active > s.limit {
 		d *= overloadSlowdown
 	}
 	s.mu.Unlock()
