--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -44,8 +44,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{
-		Text: examples.Marktlizenz, Entries: 1, Costs: slowCosts, LogOutput: io.Discard,
-		Adjust: func(s *settings.Settings) { s.Platform.LogRetention.Duration = 4 * time.Second },
+		ConfigText: examples.Marktlizenz, Entries: 1, EngineCosts: slowCosts, LogOutput: io.Discard,
+		AdjustSettings: func(s *settings.Settings) { s.Platform.LogRetention.Duration = 4 * time.Second },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -207,7 +207,7 @@
 // not leaving, whether reachable or not, so that entries that observe different failures still
 // agree.
 func pickByKey(targets []routing.Target, workspace, service, key string, excluded map[string]bool) (routing.Target, bool) {
-	streamHash := once.SlotKey(service, once.NewKey(workspace, service, key, 0, 0).Slot)
+	streamHash := once.SlotHash(service, once.NewKey(workspace, service, key, 0, 0).Slot)
 	best := -1
 	var score uint64
 	for i := range targets {
--- a/internal/gateway/forward/limited.go
+++ b/internal/gateway/forward/limited.go
@@ -21,7 +21,7 @@
 	terms := fl.workspace.Rate
 	fl.limitRequest = ratelimit.Request{
 		Workspace: fl.workspace.Name, Limit: terms.Limit, Cost: terms.Cost(fl.request.HasSizes, fl.request.PromptTokens, fl.request.MaxTokens),
-		ComesBack: fl.isRetry, Patience: time.Duration(maxWaitShare * float64(fl.timeLeft())),
+		IsRetry: fl.isRetry, MaxWait: time.Duration(maxWaitShare * float64(fl.timeLeft())),
 	}
 	d := fl.Limits.Admit(fl.r.Context(), fl.limitRequest)
 	fl.Metrics.RateLimitDecision(string(d.Source), d.Admitted)
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -258,12 +258,12 @@
 		c := &candidates[i]
 		*c = placement.Candidate{
 			Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone,
-			Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Draining: fl.view.Phase(t) == weights.Emptying, Version: fl.view.Version(t, fl.request.Model),
+			Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t), Loading: fl.view.Phase(t) == weights.Loading, Draining: fl.view.Phase(t) == weights.Draining, Version: fl.view.Version(t, fl.request.Model),
 			Slots: t.Slots, Memory: fl.service.Engine.CacheTokens, Work: totals[t.ID],
 		}
 		c.LoadStartsIn, c.LoadScheduled = schedule[t.Incarnation]
 		c.Slowdown = fl.paces.Factor(t.Incarnation, fl.Now())
-		c.StaleFor = wanted.Behind(c.Version, fl.Now())
+		c.StaleFor = wanted.StaleFor(c.Version, fl.Now())
 		if c.Slots == 0 {
 			c.Slots = fl.service.Engine.Slots
 		}
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -95,7 +95,7 @@
 		p.loop.Go(p.entry.pool.Reap)
 		if limits := p.entry.limits; limits != nil {
 			go limits.limiter.Serve()
-			p.loop.Go(limits.limiter.Report)
+			p.loop.Go(limits.limiter.ReportUsage)
 		}
 		p.entry.suspects.start()
 		p.deputy = newDeputy(p)
@@ -237,7 +237,7 @@
 
 // Adopt takes over what may change in the settings of a running process: the
 // seeds. Everything else keeps the value that it started with, which is said.
-func (p *process) Adopt(next *Settings) {
+func (p *process) Reload(next *Settings) {
 	fixed := *next
 	fixed.Seeds = p.settings.Seeds
 	same := reflect.DeepEqual(&fixed, p.settings)
@@ -246,10 +246,10 @@
 }
 
 // Refused tells that changed settings were not taken over.
-func (p *process) Refused(err error) { p.logger.Error(err, "settings_refused") }
+func (p *process) ReloadFailed(err error) { p.logger.Error(err, "settings_refused") }
 
 // Failed yields the error of a listener that ended by itself.
-func (p *process) Failed() <-chan error { return p.failed }
+func (p *process) ServeErrors() <-chan error { return p.failed }
 
 // Close ends the process at once.
 func (p *process) Close() {
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -83,7 +83,7 @@
 	}
 	pass.Leave(healthOf(answer.Status))
 	if ticket != nil {
-		ticket.Done(once.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body})
+		ticket.Complete(once.Response{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body})
 	}
 	return &peerv1.CallResponse{Status: uint32(answer.Status), ContentType: answer.ContentType, Body: answer.Body}, nil
 }
@@ -97,7 +97,7 @@
 	if errors.Is(err, external.ErrNotSent) {
 		return ticket.Void(ctx, voidRetry, "the target could not be reached")
 	}
-	ticket.Lost()
+	ticket.Abandon()
 	return errkind.NewRetryAfter(errkind.OutcomeUnknown, voidRetry, "the target's answer was lost")
 }
 
@@ -108,7 +108,7 @@
 	return breaker.Success
 }
 
-func replayCall(answer *once.Answer) *peerv1.CallResponse {
+func replayCall(answer *once.Response) *peerv1.CallResponse {
 	if answer == nil {
 		return nil
 	}
@@ -117,15 +117,15 @@
 
 // claim takes the right to run a call that may not be repeated. Without a key
 // there is nothing to claim.
-func (s *Sidecar) claim(ctx context.Context, o own, workspace string, m *peerv1.OnceKey) (*once.Ticket, *once.Answer, *errkind.Error) {
+func (s *Sidecar) claim(ctx context.Context, o own, workspace string, m *peerv1.OnceKey) (*once.Ticket, *once.Response, *errkind.Error) {
 	if m == nil {
 		return nil, nil, nil
 	}
 	return s.ledgerFor(o.service.Name).Claim(ctx, onceKey(o, workspace, m), termsOf(o.service))
 }
 
-func termsOf(s *config.Service) once.Terms {
-	return once.Terms{Opaque: s.OpaqueKeys, Lifetime: s.KeyLifetime.Duration}
+func termsOf(s *config.Service) once.KeyPolicy {
+	return once.KeyPolicy{AllowOpaque: s.OpaqueKeys, Lifetime: s.KeyLifetime.Duration}
 }
 
 func onceKey(o own, workspace string, m *peerv1.OnceKey) once.Key {
@@ -141,7 +141,7 @@
 		return refusal
 	}
 	ledger := s.ledgerFor(o.service.Name)
-	answer, closed := ledger.Close(context.WithoutCancel(ctx), onceKey(o, workspace, m), termsOf(o.service), refusal.RetryAfter, refusal.Error())
+	answer, closed := ledger.VoidKey(context.WithoutCancel(ctx), onceKey(o, workspace, m), termsOf(o.service), refusal.RetryAfter, refusal.Error())
 	if answer != nil {
 		return errkind.NewRetryAfter(errkind.InProgress, 0, "the call has run; ask again with the same key for its answer")
 	}
--- a/internal/sidecar/loader.go
+++ b/internal/sidecar/loader.go
@@ -29,7 +29,7 @@
 // not loading.
 type loader struct {
 	sidecar *Sidecar
-	line    *loadslot.Line
+	line    *loadslot.Queue
 	nonce   string
 	busy    bool
 	// ordered is the highest fencing number given to the engine.
@@ -46,7 +46,7 @@
 }
 
 func newLoader(s *Sidecar) *loader {
-	return &loader{sidecar: s, line: loadslot.NewLine()}
+	return &loader{sidecar: s, line: loadslot.NewQueue()}
 }
 
 // period is the time to the next step; any thread may ask.
@@ -76,8 +76,8 @@
 		return
 	}
 	l.busy = true
-	stream := loadslot.StreamOf(o.service.Name)
-	from := l.line.Next()
+	stream := loadslot.StreamName(o.service.Name)
+	from := l.line.NextOffset()
 	control.Do(s.loop, ioTimeout, func(ctx context.Context) (*external.Page, error) {
 		return s.log.Read(ctx, stream, from)
 	}, func(page *external.Page, err error) {
@@ -86,7 +86,7 @@
 			s.metrics.LogError("read")
 			return
 		}
-		l.line.Read(page)
+		l.line.Apply(page)
 		l.act(o, stream, engine)
 	})
 }
@@ -95,7 +95,7 @@
 // wait in line, load, or give the ticket back.
 func (l *loader) act(o own, stream string, engine external.Load) {
 	name := l.sidecar.settings.Name
-	if stale := l.line.StaleOf(name, l.nonce); len(stale) > 0 {
+	if stale := l.line.StaleNonces(name, l.nonce); len(stale) > 0 {
 		l.append(stream, loadslot.Record{Type: loadslot.TypeRelease, Target: name, Nonce: stale[0]})
 		return
 	}
@@ -108,7 +108,7 @@
 		l.append(stream, loadslot.Record{Type: loadslot.TypeAcquire, Target: name, Nonce: l.nonce})
 		return
 	}
-	ticket, held := l.line.Ticket(l.nonce)
+	ticket, held := l.line.TicketOffset(l.nonce)
 	switch {
 	case engine.Weights == o.model.Weights && held:
 		l.failedAt = time.Time{}
@@ -119,7 +119,7 @@
 		l.append(stream, loadslot.Record{Type: loadslot.TypeAcquire, Target: name, Nonce: l.nonce})
 	case !l.failedAt.IsZero():
 		l.giveWay(stream)
-	case l.line.Holds(l.nonce, o.service.MaxLoads, isListed(o)) && l.drained():
+	case l.line.MayLoad(l.nonce, o.service.MaxLoads, isListed(o)) && l.drained():
 		l.order(o, ticket)
 	}
 }
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -169,7 +169,7 @@
 }
 
 // replayRun makes a run out of a kept answer; nil of none.
-func replayRun(answer *once.Answer, key runKey) *run {
+func replayRun(answer *once.Response, key runKey) *run {
 	if answer == nil {
 		return nil
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -221,6 +221,6 @@
 	s.ledgerMu.Lock()
 	defer s.ledgerMu.Unlock()
 	for _, l := range s.ledgers {
-		l.Forget(termsOf(o.service))
+		l.DropExpired(termsOf(o.service))
 	}
 }
