--- a/cmd/toucanwelld/gateway.go
+++ b/cmd/toucanwelld/gateway.go
@@ -15,16 +15,15 @@
 	"github.com/toucanwell/toucanwell/platform"
 )
 
-// memoryShare is the part of a process's memory at which the garbage collector
-// works harder; the rest is for stacks and what it has not yet returned.
-const memoryShare = 0.7
+// memoryLimitRatio is the ratio of the Go runtime's soft memory limit to the process's memory.
+const memoryLimitRatio = 0.7
 
-// gatewayCommand runs a process in a deployment whose state lies in the
+// gatewayCommand returns the command that runs a gateway process, whose state is in the
 // platform's store.
 func gatewayCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "gateway",
-		Usage:  "run one process in front of a platform's own targets",
+		Usage:  "run one gateway process in front of the platform's targets",
 		Action: runGateway,
 	}
 }
@@ -35,10 +34,10 @@
 		return cli.Exit(err.Error(), exitSettings)
 	}
 	if command.Bool("check") {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return nil
 	}
-	debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryLimitRatio))
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	p, err := gateway.Start(s, platform.New(s.Store.Address), os.Stdout)
@@ -48,13 +47,13 @@
 	return serve(p, command.String("settings"), signals)
 }
 
-// reloadPeriod is how often the settings file is looked at: it may change
-// without a signal.
+// reloadPeriod is how often the settings file is checked for changes without a signal.
 const reloadPeriod = 2 * time.Second
 
-// serve runs until a signal to stop, and takes over changed settings.
+// serve runs until the process fails or receives a stop signal. It reloads settings on SIGHUP
+// and when the file changes.
 func serve(p *gateway.Process, path string, signals <-chan os.Signal) error {
-	changed := changedAt(path)
+	changed := modTime(path)
 	tick := time.NewTicker(reloadPeriod)
 	defer tick.Stop()
 	for {
@@ -64,10 +63,10 @@
 				p.Stop()
 				return nil
 			}
-			changed = changedAt(path)
+			changed = modTime(path)
 			reload(p, path)
 		case <-tick.C:
-			if now := changedAt(path); now != changed {
+			if now := modTime(path); now != changed {
 				changed = now
 				reload(p, path)
 			}
@@ -78,9 +77,9 @@
 	}
 }
 
-// changedAt is when the settings file was written last; the zero time when it
-// cannot be looked at, which the next reload tells.
-func changedAt(path string) time.Time {
+// modTime returns the settings file's modification time, or the zero time if the file cannot
+// be read. The next reload reports that error.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -88,6 +87,7 @@
 	return info.ModTime()
 }
 
+// reload applies the settings file, or reports why it is invalid.
 func reload(p *gateway.Process, path string) {
 	next, err := gateway.LoadSettings(path)
 	if err != nil {
--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -46,7 +46,7 @@
 	holder := p.settings.Name + "/" + strconv.FormatUint(p.incarnation, 16)
 	return &deputy{
 		process: p, lease: lease.New(holder), engines: map[netip.AddrPort]weights.Engine{},
-		controller: weights.NewRemoteController(p.loop, p.settings.Name, p.logger, p.clock.Now, func(o weights.Outcome) { p.metrics.Order(o.String()) }),
+		controller: weights.NewRemoteController(p.loop, p.settings.Name, p.logger, p.clock.Now, func(o weights.Outcome) { p.metrics.WeightsOrder(o.String()) }),
 	}
 }
 
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -70,10 +70,10 @@
 func Start(s *Settings, platform Platform, out io.Writer) (*Process, error) {
 	log := logging.NewBounded(out, s.Name, s.LogLinesPerSecond)
 	p := &process{
-		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), routineLogger: logging.New(log.Ordinary(), s.Name), metrics: metrics.New(),
+		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), routineLogger: logging.New(log.Routine(), s.Name), metrics: metrics.New(),
 		clock: hostclock.New(), burn: burn.NewCounter(time.Now), incarnation: rand.Uint64(), serveErrors: make(chan error, 4),
 	}
-	p.loop = control.NewLoop(s.seed(), p.metrics.Control)
+	p.loop = control.NewLoop(s.seed(), p.metrics.ControlTime)
 	peers := &http.Client{Transport: &http.Transport{DialContext: upstream.NewDialer().DialContext, IdleConnTimeout: peerIdleTimeout, DisableCompression: true}}
 	p.state = newClusterState(s, platform, p.loop, p.clock, p.logger, peers, p.metrics.StoreCall)
 	if s.Role == settings.RoleEntry {
@@ -118,13 +118,13 @@
 			return p.clock.Now().Sub(timeOf(v)).Seconds()
 		}
 	}
-	p.metrics.Gauge("targets_age_seconds", "Age of the local replica of the platform's target list.", age(func(v *view.View) time.Time { return v.TargetsCurrentAt }))
-	p.metrics.Gauge("declarations_age_seconds", "Age of the local replica of operators' declarations.", age(func(v *view.View) time.Time { return v.EstateCurrentAt }))
-	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the process started.", func() float64 { return float64(p.log.Dropped()) })
-	p.state.onListingRejected = p.metrics.TargetRefused
+	p.metrics.RegisterGauge("targets_age_seconds", "Age of the local replica of the platform's target list.", age(func(v *view.View) time.Time { return v.TargetsCurrentAt }))
+	p.metrics.RegisterGauge("declarations_age_seconds", "Age of the local replica of operators' declarations.", age(func(v *view.View) time.Time { return v.EstateCurrentAt }))
+	p.metrics.RegisterGauge("log_lines_dropped", "Log lines dropped since the process started.", func() float64 { return float64(p.log.Dropped()) })
+	p.state.onListingRejected = p.metrics.TargetEntryRefused
 	p.state.onEstateChange = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
 	if p.entry != nil {
-		p.metrics.Gauge("requests_in_flight", "Requests being served.", func() float64 { return float64(p.entry.forwarder.InFlight()) })
+		p.metrics.RegisterGauge("requests_in_flight", "Requests being served.", func() float64 { return float64(p.entry.forwarder.InFlight()) })
 	}
 }
 
--- a/internal/gateway/quarantinesync.go
+++ b/internal/gateway/quarantinesync.go
@@ -62,11 +62,11 @@
 	s := &quarantineSync{process: p, observer: observer, registry: quarantine.NewRegistry(quarantine.Limits{
 		MaxCrashes: limits.MaxCrashes, SuspectFor: limits.SuspectFor.Duration, RefuseFor: limits.RefuseFor.Duration, MaxRecords: limits.MaxRecords, ProbationDelay: p.state.probationDelay,
 	}, observer)}
-	p.metrics.Gauge("quarantined_requests", "Requests that are refused because crashes of targets are attributed to them.", func() float64 {
+	p.metrics.RegisterGauge("quarantined_requests", "Requests that are refused because crashes of targets are attributed to them.", func() float64 {
 		refused, _ := s.registry.Count()
 		return float64(refused)
 	})
-	p.metrics.Gauge("suspect_requests", "Requests to which crashes of targets are attributed and that may still run.", func() float64 {
+	p.metrics.RegisterGauge("suspect_requests", "Requests to which crashes of targets are attributed and that may still run.", func() float64 {
 		_, suspects := s.registry.Count()
 		return float64(suspects)
 	})
@@ -322,7 +322,7 @@
 	if remote {
 		log, event = o.routineLogger, "request_blame_told"
 	}
-	o.metrics.Blamed(remote)
+	o.metrics.CrashAttributed(remote)
 	if !remote && len(r.Crashes) == 2 {
 		o.mu.Lock()
 		o.secondCrash = true
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -51,7 +51,7 @@
 		UpToDate: func() bool { p.clock.Check(); return p.clock.SinceResume() > resumeSettleTime },
 	}, weights.Options{
 		Holder: p.settings.Name, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration, Logger: p.logger, Now: p.clock.Now,
-		OnOutcome: func(o weights.Outcome) { p.metrics.Order(o.String()) },
+		OnOutcome: func(o weights.Outcome) { p.metrics.WeightsOrder(o.String()) },
 	})
 	p.state.onViewChange = s.controller.Trigger
 	s.caches = newCacheFollowers(p)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends a trace's requests to entries in real time and compares
-// each answer with the engine stand-in's own transcript.
+// Package load sends the requests of a trace to entries in real time and checks each response
+// against the transcript expected from the engine stand-in.
 package load
 
 import (
@@ -22,30 +22,30 @@
 	"github.com/toucanwell/toucanwell/internal/trace"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// Entries are the base URLs, used in turn.
+	// Entries are the base URLs of the entries, used round robin.
 	Entries []string
 	Model   string
-	// Token returns the token of a workspace.
+	// Token returns the API token of a workspace.
 	Token func(workspace string) string
-	// MaxOpen bounds the requests in flight.
+	// MaxOpen is the maximum number of requests in flight.
 	MaxOpen int
 }
 
-// Outcome of one request.
+// Outcome is the result of one request.
 type Outcome struct {
 	Class string
-	// TTFT is the time to the first piece of text.
+	// TTFT is the time to the first event.
 	TTFT time.Duration
-	// Whole is set when the answer equals the transcript.
-	Whole          bool
+	// Correct is set when the response equals the expected transcript.
+	Correct        bool
 	Prompt, Cached int
-	// Problem says what went wrong, like "429 overloaded".
-	Problem string
+	// Failure describes why the request failed, such as "429 overloaded".
+	Failure string
 }
 
-// Run sends the requests at their times and returns when all have ended.
+// Run sends each request at its timestamp and returns once all have completed.
 func Run(ctx context.Context, o Options, records iter.Seq[trace.Record]) []Outcome {
 	var mu sync.Mutex
 	var outcomes []Outcome
@@ -79,8 +79,8 @@
 	Content string `json:"content"`
 }
 
-// Messages makes a text of the right length for each part of a record, so that
-// two records share a text exactly where they share ids.
+// Messages generates a prompt for a record. Prompts of two records share text exactly where
+// the records share block IDs.
 func Messages(r *trace.Record) []message {
 	var messages []message
 	from := 0
@@ -91,8 +91,8 @@
 		}
 		var text strings.Builder
 		for _, id := range r.HashIDs[from:to] {
-			word := fmt.Sprintf("%016x ", id)
-			text.WriteString(strings.Repeat(word, r.BlockTokens*prefix.BytesPerToken/len(word)+1)[:r.BlockTokens*prefix.BytesPerToken])
+			pattern := fmt.Sprintf("%016x ", id)
+			text.WriteString(strings.Repeat(pattern, r.BlockTokens*prefix.BytesPerToken/len(pattern)+1)[:r.BlockTokens*prefix.BytesPerToken])
 		}
 		messages = append(messages, message{role, text.String()})
 		from = to
@@ -100,7 +100,8 @@
 	return messages
 }
 
-func promptOf(messages []message) string {
+// promptText returns the prompt as the engine receives it.
+func promptText(messages []message) string {
 	var text strings.Builder
 	for _, m := range messages {
 		text.WriteString("<" + m.Role + ">" + m.Content + "\n")
@@ -113,12 +114,12 @@
 	messages := Messages(r)
 	body, err := json.Marshal(map[string]any{"model": o.Model, "messages": messages, "max_tokens": r.OutputLength, "stream": true})
 	if err != nil {
-		out.Problem = err.Error()
+		out.Failure = err.Error()
 		return out
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		out.Problem = err.Error()
+		out.Failure = err.Error()
 		return out
 	}
 	req.Header.Set("Content-Type", "application/json")
@@ -128,16 +129,16 @@
 	start := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		out.Problem = err.Error()
+		out.Failure = err.Error()
 		return out
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(resp.Body)
-		out.Problem = fmt.Sprintf("%d %s", resp.StatusCode, text)
+		out.Failure = fmt.Sprintf("%d %s", resp.StatusCode, text)
 		return out
 	}
-	out.readStream(resp.Body, start, standin.Transcript(promptOf(messages), r.OutputLength))
+	out.checkStream(resp.Body, start, standin.Transcript(promptText(messages), r.OutputLength))
 	return out
 }
 
@@ -149,16 +150,16 @@
 	}
 }
 
-var errNoEnd = errors.New("stream without its end mark")
+var errTruncatedStream = errors.New("stream ended without its end marker")
 
-// readStream reads the events up to the end mark and compares the text.
-func (out *Outcome) readStream(body io.Reader, start time.Time, want string) {
+// checkStream reads the events up to the end marker and compares the text with the expected one.
+func (out *Outcome) checkStream(body io.Reader, start time.Time, want string) {
 	var text strings.Builder
 	dec := newEventReader(body)
 	for {
 		data, err := dec.next()
 		if err != nil {
-			out.Problem = errNoEnd.Error()
+			out.Failure = errTruncatedStream.Error()
 			return
 		}
 		if out.TTFT == 0 {
@@ -169,7 +170,7 @@
 		}
 		var c chunk
 		if err := json.Unmarshal([]byte(data), &c); err != nil || len(c.Choices) == 0 {
-			out.Problem = data
+			out.Failure = data
 			return
 		}
 		text.WriteString(c.Choices[0].Delta.Content)
@@ -177,8 +178,8 @@
 			out.Prompt, out.Cached = c.Usage.PromptTokens, c.Usage.CachedTokens
 		}
 	}
-	out.Whole = text.String() == want
-	if !out.Whole {
-		out.Problem = "the answer differs from the transcript"
+	out.Correct = text.String() == want
+	if !out.Correct {
+		out.Failure = "the response differs from the expected transcript"
 	}
 }
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,8 +1,8 @@
-// Package losses tells from the logs of entries which requests were not served in time,
-// when, and for what reason.
+// Package losses computes from the logs of entries how many requests missed their latency
+// objective, when, and why.
 //
-// It goes by what an entry knew: what it expected of a send, and what came. What other
-// processes did to a request shows as "beyond what was expected".
+// It compares an entry's estimate for a send with the outcome, so delays in other processes
+// are reported as unexpected.
 package losses
 
 import (
@@ -17,65 +17,66 @@
 	"github.com/toucanwell/toucanwell/internal/explain"
 )
 
-// maxLine is the longest log line that is read; longer ones are no lines of ours.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Reasons for an answer that was late, by what took the most time of it.
+// Reasons for a late response: the largest component of its time to first event.
 const (
-	ReasonKept   = "kept before the send"
-	ReasonWait   = "expected wait at the engine"
-	ReasonRead   = "expected reading"
-	ReasonFetch  = "expected fetch of parts"
-	ReasonBeyond = "beyond what was expected"
-	ReasonAgain  = "another send"
+	ReasonEntryWait  = "kept before the send"
+	ReasonEngineWait = "expected wait at the engine"
+	ReasonPrefill    = "expected reading"
+	ReasonFetch      = "expected fetch of parts"
+	ReasonUnexpected = "beyond what was expected"
+	ReasonResend     = "another send"
 )
 
-// Row counts the requests of one route in one window of time.
+// Row counts the requests of one route in one time window.
 type Row struct {
 	Route string `json:"route"`
-	// From is when the window begins, in seconds from the first line.
-	From float64 `json:"from_s"`
-	// Requests are all that ended in the window; InTime those whose first event came
-	// within the route's aim, Late those after it, Gone those whose callers left.
-	Requests int `json:"requests"`
-	InTime   int `json:"in_time"`
-	Late     int `json:"late"`
-	Gone     int `json:"gone"`
-	// Shared, Held and Fetched are tokens of the shared parts of prompts: in all, those
-	// that the engine was expected to hold, and to fetch.
-	Shared  int `json:"shared_tokens"`
-	Held    int `json:"held_tokens"`
-	Fetched int `json:"fetched_tokens"`
-	// Reasons are why requests were late, refused or failed, with how many.
+	// Start is the start of the window, in seconds since the first log line.
+	Start float64 `json:"from_s"`
+	// Requests counts the requests that ended in the window. InTime counts those whose first
+	// event met the route's objective, Late those that missed it, and Cancelled those whose
+	// callers disconnected.
+	Requests  int `json:"requests"`
+	InTime    int `json:"in_time"`
+	Late      int `json:"late"`
+	Cancelled int `json:"gone"`
+	// SharedTokens counts the tokens of prompts' shared parts, CachedTokens those expected to
+	// be cached at the engine, and FetchedTokens those that it was expected to fetch.
+	SharedTokens  int `json:"shared_tokens"`
+	CachedTokens  int `json:"held_tokens"`
+	FetchedTokens int `json:"fetched_tokens"`
+	// Reasons counts the late, refused and failed requests by reason.
 	Reasons map[string]int `json:"reasons"`
 }
 
-// Options say how requests are judged.
+// Options configures the evaluation.
 type Options struct {
-	// Window is the length of a row's time.
+	// Window is the length of the time window of a row.
 	Window time.Duration
-	// Aim is the time within which the first event of a route is of full use, by the
-	// route's name. Routes that are not named have DefaultAim.
-	Aim        map[string]time.Duration
-	DefaultAim time.Duration
+	// Objectives maps a route's name to its objective for the time to first event. Other
+	// routes have DefaultObjective.
+	Objectives       map[string]time.Duration
+	DefaultObjective time.Duration
 }
 
-// sent is what a request's sends were expected to take.
-type sent struct {
-	wait, read, fetch, kept time.Duration
-	shared, held, fetched   int
-	sends                   int
+// sendEstimate is the entry's estimate for the latest send of a request.
+type sendEstimate struct {
+	engineWait, prefill, fetch, entryWait     time.Duration
+	sharedTokens, cachedTokens, fetchedTokens int
+	sends                                     int
 }
 
-// Read makes the table of the logs, in the order of time and routes.
+// Read computes the rows of the logs, ordered by route and time.
 func Read(o Options, logs ...io.Reader) ([]Row, error) {
 	lines, err := readLines(logs)
 	if err != nil || len(lines) == 0 {
 		return nil, err
 	}
-	table := &table{options: o, start: lines[0].Time, sends: map[string]*sent{}, rows: map[key]*Row{}}
+	table := &table{options: o, start: lines[0].Time, sends: map[string]*sendEstimate{}, rows: map[rowKey]*Row{}}
 	for i := range lines {
-		table.take(&lines[i])
+		table.add(&lines[i])
 	}
 	return table.sorted(), nil
 }
@@ -84,7 +85,7 @@
 	var lines []explain.Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			l, ok := explain.Parse(scanner.Text())
 			if ok && (l.Event == "request_sent" || l.Event == "request_done") {
@@ -99,7 +100,7 @@
 	return lines, nil
 }
 
-type key struct {
+type rowKey struct {
 	route  string
 	window int
 }
@@ -107,77 +108,77 @@
 type table struct {
 	options Options
 	start   time.Time
-	sends   map[string]*sent
-	rows    map[key]*Row
+	sends   map[string]*sendEstimate
+	rows    map[rowKey]*Row
 }
 
-func (t *table) take(l *explain.Line) {
+func (t *table) add(l *explain.Line) {
 	id := l.Process + "\x00" + l.Get("request_id")
 	if l.Event == "request_sent" {
-		s := &sent{
-			wait: duration(l, "wait"), read: duration(l, "read"), fetch: duration(l, "fetch"), kept: duration(l, "kept"),
-			shared: number(l, "shared"), held: number(l, "held"), fetched: number(l, "fetched"), sends: number(l, "send"),
+		s := &sendEstimate{
+			engineWait: durationField(l, "wait"), prefill: durationField(l, "read"), fetch: durationField(l, "fetch"), entryWait: durationField(l, "kept"),
+			sharedTokens: intField(l, "shared"), cachedTokens: intField(l, "held"), fetchedTokens: intField(l, "fetched"), sends: intField(l, "send"),
 		}
 		t.sends[id] = s
 		return
 	}
-	t.done(l, t.sends[id])
+	t.countDone(l, t.sends[id])
 	delete(t.sends, id)
 }
 
-// done counts a request that has ended; s is nil for one that was never sent.
-func (t *table) done(l *explain.Line, s *sent) {
-	row := t.row(l)
+// countDone counts a completed request; s is nil if it was never sent.
+func (t *table) countDone(l *explain.Line, s *sendEstimate) {
+	row := t.rowFor(l)
 	row.Requests++
 	if s != nil {
-		row.Shared += s.shared
-		row.Held += s.held
-		row.Fetched += s.fetched
+		row.SharedTokens += s.sharedTokens
+		row.CachedTokens += s.cachedTokens
+		row.FetchedTokens += s.fetchedTokens
 	}
 	switch outcome := l.Get("outcome"); {
 	case outcome == "cancelled":
-		row.Gone++
+		row.Cancelled++
 	case outcome != "answered":
 		row.Reasons[outcome]++
-	case duration(l, "first") <= t.aim(row.Route):
+	case durationField(l, "first") <= t.objective(row.Route):
 		row.InTime++
 	default:
 		row.Late++
-		row.Reasons["late: "+reason(duration(l, "first"), s)]++
+		row.Reasons["late: "+lateReason(durationField(l, "first"), s)]++
 	}
 }
 
-// reason names what took the most of the time until the first event.
-func reason(first time.Duration, s *sent) string {
+// lateReason returns the largest component of the time to first event.
+func lateReason(first time.Duration, s *sendEstimate) string {
 	if s == nil {
-		return ReasonBeyond
+		return ReasonUnexpected
 	}
 	if s.sends > 1 {
-		return ReasonAgain
+		return ReasonResend
 	}
-	parts := map[string]time.Duration{
-		ReasonKept: s.kept, ReasonWait: s.wait, ReasonRead: s.read, ReasonFetch: s.fetch,
-		ReasonBeyond: first - s.kept - s.wait - s.read - s.fetch,
+	components := map[string]time.Duration{
+		ReasonEntryWait: s.entryWait, ReasonEngineWait: s.engineWait, ReasonPrefill: s.prefill, ReasonFetch: s.fetch,
+		ReasonUnexpected: first - s.entryWait - s.engineWait - s.prefill - s.fetch,
 	}
-	names := slices.Sorted(maps.Keys(parts))
-	return slices.MaxFunc(names, func(a, b string) int { return cmp.Compare(parts[a], parts[b]) })
+	names := slices.Sorted(maps.Keys(components))
+	return slices.MaxFunc(names, func(a, b string) int { return cmp.Compare(components[a], components[b]) })
 }
 
-func (t *table) row(l *explain.Line) *Row {
-	k := key{route: l.Get("route"), window: int(l.Time.Sub(t.start) / t.options.Window)}
+func (t *table) rowFor(l *explain.Line) *Row {
+	k := rowKey{route: l.Get("route"), window: int(l.Time.Sub(t.start) / t.options.Window)}
 	row := t.rows[k]
 	if row == nil {
-		row = &Row{Route: k.route, From: (time.Duration(k.window) * t.options.Window).Seconds(), Reasons: map[string]int{}}
+		row = &Row{Route: k.route, Start: (time.Duration(k.window) * t.options.Window).Seconds(), Reasons: map[string]int{}}
 		t.rows[k] = row
 	}
 	return row
 }
 
-func (t *table) aim(route string) time.Duration {
-	if aim, ok := t.options.Aim[route]; ok {
-		return aim
+func (t *table) objective(route string) time.Duration {
+	if objective, ok := t.options.Objectives[route]; ok {
+		return objective
 	}
-	return t.options.DefaultAim
+	return t.options.DefaultObjective
 }
 
 func (t *table) sorted() []Row {
@@ -185,13 +186,13 @@
 	for _, row := range t.rows {
 		all = append(all, *row)
 	}
-	slices.SortFunc(all, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.From, b.From)) })
+	slices.SortFunc(all, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Start, b.Start)) })
 	return all
 }
 
-// duration reads a field of a line; one that is missing or no duration counts as none,
-// as for requests without a prompt.
-func duration(l *explain.Line, field string) time.Duration {
+// durationField returns a field's duration, or 0 if the field is missing or invalid, as for
+// requests without a prompt.
+func durationField(l *explain.Line, field string) time.Duration {
 	d, err := time.ParseDuration(l.Get(field))
 	if err != nil {
 		return 0
@@ -199,8 +200,8 @@
 	return d
 }
 
-// number reads a field of a line; one that is missing or no number counts as none.
-func number(l *explain.Line, field string) int {
+// intField returns a field's number, or 0 if the field is missing or invalid.
+func intField(l *explain.Line, field string) int {
 	n, err := strconv.Atoi(l.Get(field))
 	if err != nil {
 		return 0
--- a/internal/replay/policies.go
+++ b/internal/replay/policies.go
@@ -9,15 +9,15 @@
 	"github.com/toucanwell/toucanwell/internal/routing"
 )
 
-// Policy chooses the engine of a request. Choose calls its function once, now
-// or at a later virtual time, with an index or -1.
+// Policy chooses the engine for a request. Choose calls its callback exactly once, immediately
+// or at a later virtual time, with the engine's index or -1 if there is none.
 type Policy interface {
 	Name() string
 	Start(r *Replay)
 	Choose(r *Replay, j *job, chosen func(engine int))
 }
 
-// Policies returns one of each kind, ours and the oracle last.
+// Policies returns one instance of each policy.
 func Policies() []Policy {
 	return []Policy{
 		&Random{}, &RoundRobin{}, &LeastReported{}, &TwoChoices{}, &HashFirst{}, &HashBounded{},
@@ -25,19 +25,18 @@
 	}
 }
 
-// OraclePolicy weighs the oracle's quotes. Of the weighings tried for it, this
-// one is best; see docs/MEASUREMENTS.md.
+// OraclePolicy is the routing policy that the oracle applies to its exact estimates.
 var OraclePolicy = routing.DefaultPolicy
 
-// usable reports whether a policy may still choose an engine.
-func (r *Replay) usable(j *job, i int) bool {
-	return r.targets[i].State != routing.Leaving && !j.avoid[i]
+// isUsable reports whether a policy may choose an engine for a request.
+func (r *Replay) isUsable(j *job, i int) bool {
+	return r.targets[i].State != routing.Leaving && !j.excluded[i]
 }
 
-// loads are the requests at each engine, as reported a lag ago.
-type loads struct{ reported []int }
+// reportedLoads holds the number of requests at each engine as of its last report.
+type reportedLoads struct{ reported []int }
 
-func (l *loads) start(r *Replay) {
+func (l *reportedLoads) startReporting(r *Replay) {
 	l.reported = make([]int, r.setup.Engines)
 	var report func()
 	report = func() {
@@ -45,14 +44,14 @@
 			counts := e.gate.Counts()
 			l.reported[i] = counts.Running + counts.Waiting
 		}
-		if r.open > 0 || len(r.events) > 1 {
+		if r.openRequests > 0 || len(r.events) > 1 {
 			r.after(max(r.setup.ReportLag, time.Millisecond), report)
 		}
 	}
 	r.at(0, report)
 }
 
-// Random chooses any engine.
+// Random chooses a random engine.
 type Random struct{}
 
 // Name implements Policy.
@@ -66,16 +65,17 @@
 	chosen(nextUsable(r, j, r.random.IntN(r.setup.Engines)))
 }
 
+// nextUsable returns the first usable engine from an index on, or -1.
 func nextUsable(r *Replay, j *job, from int) int {
 	for i := range r.setup.Engines {
-		if at := (from + i) % r.setup.Engines; r.usable(j, at) {
-			return at
+		if candidate := (from + i) % r.setup.Engines; r.isUsable(j, candidate) {
+			return candidate
 		}
 	}
 	return -1
 }
 
-// RoundRobin chooses engines in turn, each entry by itself.
+// RoundRobin chooses engines in round-robin order, independently at each entry.
 type RoundRobin struct{ next []int }
 
 // Name implements Policy.
@@ -95,14 +95,14 @@
 	chosen(nextUsable(r, j, p.next[j.entry]%r.setup.Engines))
 }
 
-// LeastReported chooses the engine with the least reported load.
-type LeastReported struct{ loads }
+// LeastReported chooses the engine with the lowest reported load.
+type LeastReported struct{ reportedLoads }
 
 // Name implements Policy.
 func (*LeastReported) Name() string { return "least reported load" }
 
 // Start implements Policy.
-func (p *LeastReported) Start(r *Replay) { p.start(r) }
+func (p *LeastReported) Start(r *Replay) { p.startReporting(r) }
 
 // Choose implements Policy.
 func (p *LeastReported) Choose(r *Replay, j *job, chosen func(int)) {
@@ -110,21 +110,21 @@
 	from := r.random.IntN(r.setup.Engines)
 	for k := range r.setup.Engines {
 		i := (from + k) % r.setup.Engines
-		if r.usable(j, i) && (best < 0 || p.reported[i] < p.reported[best]) {
+		if r.isUsable(j, i) && (best < 0 || p.reported[i] < p.reported[best]) {
 			best = i
 		}
 	}
 	chosen(best)
 }
 
-// TwoChoices chooses the less loaded of two random engines.
-type TwoChoices struct{ loads }
+// TwoChoices chooses the engine with the lower reported load of two random ones.
+type TwoChoices struct{ reportedLoads }
 
 // Name implements Policy.
 func (*TwoChoices) Name() string { return "power of two choices" }
 
 // Start implements Policy.
-func (p *TwoChoices) Start(r *Replay) { p.start(r) }
+func (p *TwoChoices) Start(r *Replay) { p.startReporting(r) }
 
 // Choose implements Policy.
 func (p *TwoChoices) Choose(r *Replay, j *job, chosen func(int)) {
@@ -136,8 +136,8 @@
 	chosen(a)
 }
 
-// ranked orders engines by rendezvous hashing on a key.
-func ranked(r *Replay, key uint64) []int {
+// rankEngines orders the engines by rendezvous hashing of a key.
+func rankEngines(r *Replay, key uint64) []int {
 	order := make([]int, r.setup.Engines)
 	for i := range order {
 		order[i] = i
@@ -146,7 +146,7 @@
 	return order
 }
 
-// HashFirst chooses by the outermost level alone.
+// HashFirst chooses by rendezvous hashing of the outermost prefix level.
 type HashFirst struct{}
 
 // Name implements Policy.
@@ -157,8 +157,8 @@
 
 // Choose implements Policy.
 func (*HashFirst) Choose(r *Replay, j *job, chosen func(int)) {
-	for _, i := range ranked(r, j.levels[0]) {
-		if r.usable(j, i) {
+	for _, i := range rankEngines(r, j.levels[0]) {
+		if r.isUsable(j, i) {
 			chosen(i)
 			return
 		}
@@ -166,17 +166,18 @@
 	chosen(-1)
 }
 
-// HashBounded chooses by the middle level among engines whose reported load is
-// not far above the mean.
-type HashBounded struct{ loads }
+// HashBounded chooses by rendezvous hashing of the middle prefix level among engines whose
+// reported load is within a bound.
+type HashBounded struct{ reportedLoads }
 
-const boundFactor = 1.25
+// loadBoundFactor is the load bound as a multiple of the mean load.
+const loadBoundFactor = 1.25
 
 // Name implements Policy.
 func (*HashBounded) Name() string { return "hash, bounded load" }
 
 // Start implements Policy.
-func (p *HashBounded) Start(r *Replay) { p.start(r) }
+func (p *HashBounded) Start(r *Replay) { p.startReporting(r) }
 
 // Choose implements Policy.
 func (p *HashBounded) Choose(r *Replay, j *job, chosen func(int)) {
@@ -184,10 +185,10 @@
 	for _, n := range p.reported {
 		sum += n
 	}
-	bound := boundFactor*float64(sum)/float64(r.setup.Engines) + 1
+	bound := loadBoundFactor*float64(sum)/float64(r.setup.Engines) + 1
 	first := -1
-	for _, i := range ranked(r, j.levels[len(j.levels)/2]) {
-		if !r.usable(j, i) {
+	for _, i := range rankEngines(r, j.levels[len(j.levels)/2]) {
+		if !r.isUsable(j, i) {
 			continue
 		}
 		if float64(p.reported[i]) <= bound {
@@ -201,7 +202,8 @@
 	chosen(first)
 }
 
-// Probing is the entry's own way: rank, ask in widening rounds, pick.
+// Probing is the entry's own policy: it ranks the targets, probes them in widening rounds and
+// chooses the one with the lowest cost.
 type Probing struct {
 	Policy routing.Policy
 	Label  string
@@ -215,54 +217,54 @@
 
 // Choose implements Policy.
 func (p *Probing) Choose(r *Replay, j *job, chosen func(int)) {
-	ranking := routing.Rank(r.targets, r.places[j.entry], j.levels)
-	p.round(r, j, &ranking, 0, nil, chosen)
+	ranking := routing.Rank(r.targets, r.locations[j.entry], j.levels)
+	p.probeRound(r, j, &ranking, 0, nil, chosen)
 }
 
-// round asks the targets of one round; its answers come back after two hops.
-func (p *Probing) round(r *Replay, j *job, ranking *routing.Ranking, n int, quotes []routing.Estimate, chosen func(int)) {
+// probeRound probes the targets of one round. Responses arrive after twice the network delay.
+func (p *Probing) probeRound(r *Replay, j *job, ranking *routing.Ranking, n int, estimates []routing.Estimate, chosen func(int)) {
 	from := 0
 	if n > 0 {
 		from = min(p.Policy.Rounds[n-1], ranking.Len())
 	}
 	to := min(p.Policy.Rounds[n], ranking.Len())
-	r.after(hop, func() {
+	r.after(networkDelay, func() {
 		for k := from; k < to; k++ {
 			i := ranking.At(k)
-			if j.avoid[i] || r.engines[i].dead {
+			if j.excluded[i] || r.engines[i].dead {
 				continue
 			}
-			quotes = append(quotes, r.quote(j, i))
-			if r.result.counts(j) {
+			estimates = append(estimates, r.estimate(j, i))
+			if r.result.isMeasured(j) {
 				r.result.probes++
 			}
 		}
-		r.after(hop, func() {
-			if n+1 < len(p.Policy.Rounds) && to < ranking.Len() && !p.Policy.Satisfied(j.class, quotes) {
-				p.round(r, j, ranking, n+1, quotes, chosen)
+		r.after(networkDelay, func() {
+			if n+1 < len(p.Policy.Rounds) && to < ranking.Len() && !p.Policy.Satisfied(j.class, estimates) {
+				p.probeRound(r, j, ranking, n+1, estimates, chosen)
 				return
 			}
-			chosen(cheapest(&p.Policy, j, quotes))
+			chosen(cheapest(&p.Policy, j, estimates))
 		})
 	})
 }
 
-// cheapest is the engine of the quote that a weighing picks, or -1.
-func cheapest(policy *routing.Policy, j *job, quotes []routing.Estimate) int {
-	best := policy.Pick(j.class, quotes)
+// cheapest returns the engine with the lowest cost under a policy, or -1.
+func cheapest(policy *routing.Policy, j *job, estimates []routing.Estimate) int {
+	best := policy.Pick(j.class, estimates)
 	if best < 0 {
 		return -1
 	}
-	return quotes[best].Index
+	return estimates[best].Index
 }
 
-// quote asks the real gate.
-func (r *Replay) quote(j *job, i int) routing.Estimate {
-	q, refusal := r.engines[i].gate.Quote(r.question(j))
+// estimate returns the estimate of an engine's gate for a request.
+func (r *Replay) estimate(j *job, i int) routing.Estimate {
+	q, refusal := r.engines[i].gate.Quote(r.probeInput(j))
 	return routing.Estimate{Index: i, Wait: q.Wait, Prefill: q.Prefill, Busy: q.Busy, Refused: refusal != nil}
 }
 
-// Oracle knows every engine's cache and queue at the moment of choosing.
+// Oracle chooses with exact knowledge of every engine's cache and queue.
 type Oracle struct {
 	Policy routing.Policy
 	Label  string
@@ -276,12 +278,12 @@
 
 // Choose implements Policy.
 func (p *Oracle) Choose(r *Replay, j *job, chosen func(int)) {
-	quotes := make([]routing.Estimate, 0, r.setup.Engines)
+	estimates := make([]routing.Estimate, 0, r.setup.Engines)
 	for i, e := range r.engines {
-		if !r.usable(j, i) || e.dead {
+		if !r.isUsable(j, i) || e.dead {
 			continue
 		}
-		q := r.quote(j, i)
+		q := r.estimate(j, i)
 		cached := e.cache.Match(j.record.HashIDs) * j.record.BlockTokens
 		for other := range e.running {
 			cached = max(cached, sharedTokens(other, j))
@@ -291,13 +293,12 @@
 		}
 		missing := max(j.record.InputLength-cached, 0)
 		q.Prefill = time.Duration(float64(missing) / r.setup.Costs.PrefillTokensPerSecond * float64(time.Second))
-		quotes = append(quotes, q)
+		estimates = append(estimates, q)
 	}
-	chosen(cheapest(&p.Policy, j, quotes))
+	chosen(cheapest(&p.Policy, j, estimates))
 }
 
-// sharedTokens is the length of the prefix that two requests share; the later
-// one finds it computed by the earlier.
+// sharedTokens returns the length in tokens of the prefix that two requests share.
 func sharedTokens(a, b *job) int {
 	n := sort.Search(min(len(a.record.HashIDs), len(b.record.HashIDs)), func(i int) bool {
 		return a.record.HashIDs[i] != b.record.HashIDs[i]
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,7 +1,6 @@
-// Package replay drives the real decision code with a trace on a virtual
-// clock: the ranking and the probe rounds of the entry, and the gate of the
-// sidecar with its queue, breaker and index. Only the engine is a model of its
-// time costs. One process, one thread; the same seed gives the same result.
+// Package replay simulates a deployment under a request trace on a virtual clock. It runs the
+// real routing code of the entry and the real gate of the sidecar; only the engines are
+// modelled, by their execution times. Results are deterministic for a seed.
 package replay
 
 import (
@@ -20,17 +19,17 @@
 	"github.com/toucanwell/toucanwell/internal/trace"
 )
 
-// Costs are an engine's time costs.
+// Costs defines an engine's execution times and capacity.
 type Costs struct {
 	PrefillTokensPerSecond float64
 	DecodeStep             time.Duration
 	DecodePerPeer          time.Duration
 	MaxBatch               int
-	// CacheTokens is the size of the block cache.
+	// CacheTokens is the size of the block cache in tokens.
 	CacheTokens int
 }
 
-// DefaultCosts are those of the tables in docs/MEASUREMENTS.md.
+// DefaultCosts are the costs used in docs/MEASUREMENTS.md.
 var DefaultCosts = Costs{
 	PrefillTokensPerSecond: 10_000,
 	DecodeStep:             12 * time.Millisecond,
@@ -39,108 +38,110 @@
 	CacheTokens:            150_000,
 }
 
-// Setup is one replay.
+// Setup configures a replay.
 type Setup struct {
 	Engines int
 	Entries int
 	Zones   int
 	Costs   Costs
 	Policy  Policy
-	// Weights of the workspaces.
+	// Weights maps workspaces to their weights.
 	Weights map[string]float64
-	// ReportLag is the age of reported loads, and the delay of cache events.
+	// ReportLag is the interval of load reports and the delay of cache events.
 	ReportLag time.Duration
-	// EventLoss is the share of cache events that are lost.
+	// EventLoss is the fraction of cache events that are lost.
 	EventLoss float64
-	// MaxPrefilling is how many requests a gate lets into prefill at once.
+	// MaxPrefilling is the maximum number of concurrent prefills that a gate admits.
 	MaxPrefilling int
-	// BlockTokens is the size of the trace's blocks.
+	// BlockTokens is the block size of the trace in tokens.
 	BlockTokens int
 	Seed        uint64
-	// Faults happen at their times.
+	// Faults are injected at their times.
 	Faults []Fault
-	// Warmup is left out of the figures.
+	// Warmup is the initial period that is excluded from the results.
 	Warmup time.Duration
 }
 
-// Fault is something that happens during a replay.
+// Fault is a failure injected during a replay.
 type Fault struct {
 	At time.Duration
-	// Crash empties these engines; their running requests start again.
+	// Crash lists engines that restart with an empty cache.
 	Crash []int
-	// Kill takes these engines away for good.
+	// Kill lists engines that stop permanently.
 	Kill []int
 }
 
 const (
-	hop          = 500 * time.Microsecond
-	expireEvery  = 20 * time.Millisecond
-	maxTries     = 4
-	maxQueued    = 512
-	retryShare   = 0.1
-	maxSaved     = 10.0
-	deadNoticing = time.Second
+	networkDelay          = 500 * time.Microsecond
+	expireInterval        = 20 * time.Millisecond
+	maxAttempts           = 4
+	maxQueued             = 512
+	retryBudgetRatio      = 0.1
+	maxRetryBudget        = 10.0
+	failureDetectionDelay = time.Second
 )
 
 type eventFunc func()
 
-type scheduled struct {
-	at    time.Duration
-	order uint64
-	run   eventFunc
+// event is a function to run at a virtual time. Events at the same time run in order of seq.
+type event struct {
+	at  time.Duration
+	seq uint64
+	run eventFunc
 }
 
-type schedule []scheduled
+// eventQueue is a heap of events ordered by time.
+type eventQueue []event
 
-func (s schedule) Len() int { return len(s) }
-func (s schedule) Less(i, j int) bool {
+func (s eventQueue) Len() int { return len(s) }
+func (s eventQueue) Less(i, j int) bool {
 	if s[i].at != s[j].at {
 		return s[i].at < s[j].at
 	}
-	return s[i].order < s[j].order
+	return s[i].seq < s[j].seq
 }
-func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s eventQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
 // Push implements heap.Interface.
-func (s *schedule) Push(x any) { *s = append(*s, x.(scheduled)) }
+func (s *eventQueue) Push(x any) { *s = append(*s, x.(event)) }
 
 // Pop implements heap.Interface.
-func (s *schedule) Pop() any {
+func (s *eventQueue) Pop() any {
 	old := *s
 	last := old[len(old)-1]
 	*s = old[:len(old)-1]
 	return last
 }
 
-// Replay is one running replay.
+// Replay is the state of a running replay.
 type Replay struct {
-	setup   Setup
-	now     time.Duration
-	order   uint64
-	events  schedule
-	engines []*engine
-	targets []routing.Target
-	places  []routing.Location
-	random  *rand.Rand
-	seen    map[uint64]struct{}
-	result  *Result
-	budget  float64
-	open    int
+	setup          Setup
+	now            time.Duration
+	nextSeq        uint64
+	events         eventQueue
+	engines        []*engine
+	targets        []routing.Target
+	locations      []routing.Location
+	random         *rand.Rand
+	computedBlocks map[uint64]struct{}
+	result         *Result
+	retryBudget    float64
+	openRequests   int
 }
 
-// job is one request on its way.
+// job is a request in progress.
 type job struct {
-	record  trace.Record
-	entry   int
-	arrived time.Duration
-	class   config.Class
-	levels  []uint64
-	tries   int
-	avoid   map[int]bool
-	engine  int
-	pass    *sidecar.Pass
-	// answered is set with the first token.
-	answered bool
+	record   trace.Record
+	entry    int
+	arrived  time.Duration
+	class    config.Class
+	levels   []uint64
+	attempts int
+	excluded map[int]bool
+	engine   int
+	pass     *sidecar.Pass
+	// gotFirstToken is set once the caller has received the first token.
+	gotFirstToken bool
 }
 
 // Run replays a trace.
@@ -148,24 +149,24 @@
 	r := newReplay(setup)
 	next, stop := iter.Pull(records)
 	defer stop()
-	r.feed(next)
+	r.scheduleArrivals(next)
 	for _, f := range setup.Faults {
-		r.at(f.At, func() { r.fail(f) })
+		r.at(f.At, func() { r.injectFault(f) })
 	}
-	r.at(expireEvery, r.expire)
+	r.at(expireInterval, r.expire)
 	for len(r.events) > 0 {
-		e := heap.Pop(&r.events).(scheduled)
+		e := heap.Pop(&r.events).(event)
 		r.now = e.at
 		e.run()
 	}
-	r.result.finish(r)
+	r.result.computeUtilization(r)
 	return r.result
 }
 
 func newReplay(setup Setup) *Replay {
 	r := &Replay{
-		setup: setup, random: rand.New(rand.NewPCG(setup.Seed, 11)), seen: map[uint64]struct{}{},
-		result: newResult(setup), budget: maxSaved,
+		setup: setup, random: rand.New(rand.NewPCG(setup.Seed, 11)), computedBlocks: map[uint64]struct{}{},
+		result: newResult(setup), retryBudget: maxRetryBudget,
 	}
 	for i := range setup.Engines {
 		r.engines = append(r.engines, newEngine(r, i))
@@ -173,7 +174,7 @@
 		r.targets = append(r.targets, routing.NewTarget("engine", engineName(i), "", zone, "region"))
 	}
 	for i := range setup.Entries {
-		r.places = append(r.places, routing.Location{Zone: zoneName(i % setup.Zones), Region: "region"})
+		r.locations = append(r.locations, routing.Location{Zone: zoneName(i % setup.Zones), Region: "region"})
 	}
 	setup.Policy.Start(r)
 	return r
@@ -184,45 +185,47 @@
 	return "engine-" + string(rune('0'+i/100)) + string(rune('0'+i/10%10)) + string(rune('0'+i%10))
 }
 
+// at schedules a function at a virtual time, or now if that time has passed.
 func (r *Replay) at(t time.Duration, run eventFunc) {
-	r.order++
-	heap.Push(&r.events, scheduled{max(t, r.now), r.order, run})
+	r.nextSeq++
+	heap.Push(&r.events, event{max(t, r.now), r.nextSeq, run})
 }
 
 func (r *Replay) after(d time.Duration, run eventFunc) { r.at(r.now+d, run) }
 
-// feed schedules the next request of the trace.
-func (r *Replay) feed(next func() (trace.Record, bool)) {
+// scheduleArrivals schedules the arrival of the trace's next request, which schedules the one
+// after it.
+func (r *Replay) scheduleArrivals(next func() (trace.Record, bool)) {
 	record, ok := next()
 	if !ok {
 		return
 	}
 	r.at(time.Duration(record.Timestamp)*time.Millisecond, func() {
 		r.arrive(record)
-		r.feed(next)
+		r.scheduleArrivals(next)
 	})
 }
 
 func (r *Replay) arrive(record trace.Record) {
 	class, _ := config.ParseClass(record.Class)
-	j := &job{record: record, arrived: r.now, class: class, entry: r.random.IntN(r.setup.Entries), avoid: map[int]bool{}}
+	j := &job{record: record, arrived: r.now, class: class, entry: r.random.IntN(r.setup.Entries), excluded: map[int]bool{}}
 	j.levels = record.LevelKeys(nil)
-	r.open++
-	r.budget = min(r.budget+retryShare, maxSaved*float64(r.setup.Entries))
-	r.result.arrived(r, j)
+	r.openRequests++
+	r.retryBudget = min(r.retryBudget+retryBudgetRatio, maxRetryBudget*float64(r.setup.Entries))
+	r.result.recordArrival(r, j)
 	r.dispatch(j)
 }
 
-// dispatch asks the policy and sends the request on its way.
+// dispatch sends a request to the engine that the policy chooses.
 func (r *Replay) dispatch(j *job) {
-	j.tries++
+	j.attempts++
 	r.setup.Policy.Choose(r, j, func(engine int) {
 		if engine < 0 {
-			r.give(j, errkind.NoTarget)
+			r.refuse(j, errkind.NoTarget)
 			return
 		}
 		j.engine = engine
-		r.after(hop, func() { r.enter(j) })
+		r.after(networkDelay, func() { r.enter(j) })
 	})
 }
 
@@ -235,69 +238,71 @@
 	}
 }
 
-func (r *Replay) question(j *job) sidecar.Question {
+func (r *Replay) probeInput(j *job) sidecar.Question {
 	return sidecar.Question{
 		Workspace: probe.WorkspaceHash(j.record.Workspace), Class: j.class, PromptTokens: j.record.InputLength,
 		Points: prefix.PointsAt(j.record.HashIDs, j.record.PrefixLevels, j.record.BlockTokens),
 	}
 }
 
+// enter submits a request to its engine's gate.
 func (r *Replay) enter(j *job) {
 	e := r.engines[j.engine]
 	if e.dead {
-		r.again(j, errkind.TargetFailed)
+		r.retry(j, errkind.TargetFailed)
 		return
 	}
 	pass, refusal := e.gate.Enter(r.work(j))
 	if refusal != nil {
-		r.again(j, refusal.Kind)
+		r.retry(j, refusal.Kind)
 		return
 	}
 	j.pass = pass
 	e.waiting = append(e.waiting, j)
-	e.settle()
+	e.applyDecisions()
 }
 
-// again tries elsewhere within the retry budget.
-func (r *Replay) again(j *job, kind errkind.Kind) {
-	j.avoid[j.engine] = true
-	if j.tries >= maxTries || r.budget < 1 || !kind.Row().Elsewhere {
-		r.give(j, kind)
+// retry dispatches a request to another engine if the retry budget and the error kind permit.
+func (r *Replay) retry(j *job, kind errkind.Kind) {
+	j.excluded[j.engine] = true
+	if j.attempts >= maxAttempts || r.retryBudget < 1 || !kind.Spec().Failover {
+		r.refuse(j, kind)
 		return
 	}
-	r.budget--
-	if r.result.counts(j) {
+	r.retryBudget--
+	if r.result.isMeasured(j) {
 		r.result.retries++
 	}
-	r.after(hop, func() { r.dispatch(j) })
+	r.after(networkDelay, func() { r.dispatch(j) })
 }
 
-// give ends a request without an answer.
-func (r *Replay) give(j *job, kind errkind.Kind) {
-	r.open--
-	r.result.refused(r, j, kind)
+// refuse ends a request with an error.
+func (r *Replay) refuse(j *job, kind errkind.Kind) {
+	r.openRequests--
+	r.result.recordRefusal(r, j, kind)
 }
 
+// expire periodically removes expired requests from the gates' queues.
 func (r *Replay) expire() {
 	for _, e := range r.engines {
 		if len(e.waiting) > 0 {
 			e.gate.Expire()
-			e.settle()
+			e.applyDecisions()
 		}
 	}
-	if r.open > 0 || len(r.events) > 0 {
-		r.after(expireEvery, r.expire)
+	if r.openRequests > 0 || len(r.events) > 0 {
+		r.after(expireInterval, r.expire)
 	}
 }
 
-func (r *Replay) fail(f Fault) {
+func (r *Replay) injectFault(f Fault) {
 	for _, i := range f.Crash {
 		r.engines[i].crash()
 	}
 	for _, i := range f.Kill {
 		r.engines[i].dead = true
 		r.engines[i].crash()
-		r.after(deadNoticing, func() { r.targets[i].State = routing.Leaving })
+		r.after(failureDetectionDelay, func() { r.targets[i].State = routing.Leaving })
 	}
 }
 
--- a/internal/replay/table.go
+++ b/internal/replay/table.go
@@ -9,7 +9,7 @@
 	"github.com/toucanwell/toucanwell/internal/config"
 )
 
-// WriteTable prints results side by side.
+// WriteTable writes a table with one row per result.
 func WriteTable(out io.Writer, results []*Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "policy\thit\twaste\tin time\trefused\tretries\tprobes\tutil\t")
@@ -19,10 +19,10 @@
 	fmt.Fprintln(w, "share error\t")
 	for _, r := range results {
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%d\t%.3f\t%.1f\t%.2f\t", r.Policy, r.HitRate(), r.Waste(), r.Goodput(),
-			r.Refused(), r.RetryShare(), r.ProbesPerRequest(), max(r.Utilization, r.BatchUse))
+			r.Refused(), r.RetryShare(), r.ProbesPerRequest(), max(r.Utilization, r.BatchUtilization))
 		for c := range config.Classes {
 			for _, q := range []float64{0.5, 0.95, 0.99} {
-				fmt.Fprintf(w, "%s\t", short(r.Quantile(config.Class(c), q)))
+				fmt.Fprintf(w, "%s\t", formatDuration(r.Quantile(config.Class(c), q)))
 			}
 		}
 		fmt.Fprintf(w, "%.2f\t\n", r.ShareError())
@@ -30,7 +30,7 @@
 	return w.Flush()
 }
 
-func short(d time.Duration) string {
+func formatDuration(d time.Duration) string {
 	switch {
 	case d == 0:
 		return "-"
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// slowdown is how much longer a fetch takes when the store bears too many.
-const slowdown = 4
+// overloadSlowdown is the factor by which a fetch is slowed down in an overloaded store.
+const overloadSlowdown = 4
 
-// WeightStore is a store of weights that bears a number of fetches at once.
+// WeightStore simulates a store of weights that slows down above a number of concurrent fetches.
 type WeightStore struct {
 	mu     sync.Mutex
-	bears  int
+	limit  int
 	active int
 	peak   int
 	total  int
 }
 
-// NewWeightStore returns a store that bears a number of fetches at once.
-func NewWeightStore(bears int) *WeightStore { return &WeightStore{bears: bears} }
+// NewWeightStore returns a store that serves up to limit concurrent fetches at full speed.
+func NewWeightStore(limit int) *WeightStore { return &WeightStore{limit: limit} }
 
-// Fetch takes a time, and longer when too many fetch at once.
+// Fetch takes the duration d, or longer if the store is overloaded.
 func (s *WeightStore) Fetch(d time.Duration) {
 	s.mu.Lock()
 	s.active++
 	s.total++
 	s.peak = max(s.peak, s.active)
-	if s.active > s.bears {
-		d *= slowdown
+	if s.active > s.limit {
+		d *= overloadSlowdown
 	}
 	s.mu.Unlock()
 	time.Sleep(d)
@@ -36,8 +36,8 @@
 	s.active--
 }
 
-// Peak is the most fetches that ran at once, and Total how many there were.
-func (s *WeightStore) Peak() (peak, total int) {
+// FetchCounts returns the highest number of concurrent fetches and the total number.
+func (s *WeightStore) FetchCounts() (peak, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak, s.total
