--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -90,10 +90,10 @@
 // Queue is the admission queue of one target. It is not safe for concurrent use.
 type Queue struct {
 	limits       Limits
-	queued       [config.Classes][]queuedRequest
-	credit       [config.Classes]float64
-	virtualTime  [config.Classes]float64
-	finishTags   [config.Classes]map[uint32]float64
+	queued       [config.NumClasses][]queuedRequest
+	credit       [config.NumClasses]float64
+	virtualTime  [config.NumClasses]float64
+	finishTags   [config.NumClasses]map[uint32]float64
 	running      map[uint64]*runningRequest
 	prefillCount int
 	arrivals     uint64
@@ -313,7 +313,7 @@
 // updateCredit deducts the cost from the served class and credits the waiting classes below it.
 func (q *Queue) updateCredit(served config.Class, cost float64) {
 	q.credit[served] = max(q.credit[served]-cost, 0)
-	for c := int(served) + 1; c < config.Classes; c++ {
+	for c := int(served) + 1; c < config.NumClasses; c++ {
 		if len(q.queued[c]) == 0 {
 			q.credit[c] = 0
 			continue
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -36,7 +36,7 @@
 		loop := control.NewLoop(1, func(time.Duration) {})
 		f := NewFollower(loop, log, &blackboard.Fact[Snapshot]{}, FollowerOptions{
 			LogPolls: 20, SyncPeriod: time.Second, Retention: time.Minute, Client: &http.Client{}, Logger: logr.Discard(),
-			LogError: func(string) {}, InForce: func(Snapshot) {},
+			LogError: func(string) {}, OnChange: func(Snapshot) {},
 		})
 		done := make(chan struct{})
 		go func() {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -93,7 +93,7 @@
 	e.follower = configlog.NewFollower(e.loop, d.Log, &e.board.Config, configlog.FollowerOptions{
 		Address: s.AdminListen, Peers: s.Peers, LogPolls: s.Timing.LogPolls, SyncPeriod: s.Timing.SyncPeriod.Duration,
 		Retention: s.Platform.LogRetention.Duration, Client: d.Peers, Logger: d.Logger, LogError: d.Metrics.LogError,
-		InForce: e.configChanged,
+		OnChange: e.configChanged,
 	})
 	handler, err := e.newHandler()
 	if err != nil {
@@ -176,7 +176,7 @@
 	if !ok {
 		return true
 	}
-	service, _ := s.Config.TargetNamed(name)
+	service, _ := s.Config.FindTarget(name)
 	return service != nil
 }
 
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -106,7 +106,7 @@
 		s.process.logger.Info("token_failed", "error", err.Error())
 		s.process.loop.Go(func(ctx context.Context) {
 			select {
-			case <-time.After(s.process.loop.Spread(tokenRetry)):
+			case <-time.After(s.process.loop.Jitter(tokenRetry)):
 				s.process.loop.Post(s.fetchToken)
 			case <-ctx.Done():
 			}
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -189,7 +189,7 @@
 		}
 		p.logger.Info("quarantine_not_read", "error", err.Error())
 		p.loop.Go(func(ctx context.Context) {
-			if sleep.For(ctx, p.loop.Spread(suspectsAgain)) {
+			if sleep.For(ctx, p.loop.Jitter(suspectsAgain)) {
 				p.loop.Post(s.load)
 			}
 		})
@@ -275,7 +275,7 @@
 		}
 		p.logger.Info("quarantine_not_kept", "print", print, "error", err.Error())
 		p.loop.Go(func(ctx context.Context) {
-			if sleep.For(ctx, p.loop.Spread(suspectsAgain)) {
+			if sleep.For(ctx, p.loop.Jitter(suspectsAgain)) {
 				p.loop.Post(func() { s.keepNow(print) })
 			}
 		})
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -17,7 +17,7 @@
 type Result struct {
 	Policy string
 	// TTFT in microseconds, by class.
-	TTFT [config.Classes]*hdrhistogram.Histogram
+	TTFT [config.NumClasses]*hdrhistogram.Histogram
 	// Requests counted after the warm-up, those that got a first token, and
 	// those of them in time.
 	Requests, Answered, InTime int
