--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -40,12 +40,12 @@
 // Report works out the rows for each objective: one over all workspaces and
 // one for each workspace.
 func Report(goals []Goal, counts []Count, now time.Time) []Row {
-	sums := map[Key]*sum{}
+	sums := map[Key]*windowCounts{}
 	for _, c := range counts {
 		for _, workspace := range []string{AllWorkspaces, c.Workspace} {
 			key := Key{c.Service, c.Class, workspace}
 			if sums[key] == nil {
-				sums[key] = &sum{}
+				sums[key] = &windowCounts{}
 			}
 			sums[key].add(c, now)
 		}
@@ -64,12 +64,12 @@
 	return rows
 }
 
-type sum struct {
+type windowCounts struct {
 	fastGood, fastBad int64
 	slowGood, slowBad int64
 }
 
-func (s *sum) add(c Count, now time.Time) {
+func (s *windowCounts) add(c Count, now time.Time) {
 	age := now.Sub(time.Unix(c.Minute*60, 0))
 	if age < SlowWindow {
 		s.slowGood += c.Good
@@ -81,15 +81,15 @@
 	}
 }
 
-func (s *sum) row(key Key, goal float64) Row {
-	slow := rate(s.slowGood, s.slowBad, goal)
+func (s *windowCounts) row(key Key, goal float64) Row {
+	slow := burnRate(s.slowGood, s.slowBad, goal)
 	return Row{
 		Key: key, Goal: goal, Good: s.slowGood, Bad: s.slowBad,
-		FastBurn: rate(s.fastGood, s.fastBad, goal), SlowBurn: slow, BudgetLeft: 1 - slow,
+		FastBurn: burnRate(s.fastGood, s.fastBad, goal), SlowBurn: slow, BudgetLeft: 1 - slow,
 	}
 }
 
-func rate(good, bad int64, goal float64) float64 {
+func burnRate(good, bad int64, goal float64) float64 {
 	if good+bad == 0 {
 		return 0
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	schemaKnown    = 1
-	maxLoadsBound  = 64
+	schemaVersion  = 1
+	maxMaxLoads    = 64
 	maxBlockTokens = 4096
 	maxTextBytes   = 1 << 20
 	sha256Bytes    = 32
@@ -31,7 +31,7 @@
 	if err := tomltext.Decode(name, text, c); err != nil {
 		return nil, err
 	}
-	c.fillDefaults()
+	c.setDefaults()
 	k := &checker{file: name, lines: strings.Split(text, "\n"), config: c}
 	k.run()
 	if len(k.problems) > 0 {
@@ -51,11 +51,11 @@
 		c.models[c.Models[i].Name] = &c.Models[i]
 	}
 	c.workspaces = make(map[string]*Workspace, len(c.Workspaces))
-	c.tokens = make(map[string]*Workspace, len(c.Workspaces))
+	c.byTokenDigest = make(map[string]*Workspace, len(c.Workspaces))
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
 		c.workspaces[w.Name] = w
-		c.tokens[strings.ToLower(w.TokenSHA256)] = w
+		c.byTokenDigest[strings.ToLower(w.TokenSHA256)] = w
 	}
 }
 
@@ -91,8 +91,8 @@
 }
 
 func (k *checker) run() {
-	if k.config.Schema != schemaKnown {
-		k.report("", "schema", "%d found; allowed is %d", k.config.Schema, schemaKnown)
+	if k.config.Schema != schemaVersion {
+		k.report("", "schema", "%d found; allowed is %d", k.config.Schema, schemaVersion)
 	}
 	zones := k.checkRegions()
 	k.checkServices(zones)
@@ -163,8 +163,8 @@
 	if !slices.Contains(kinds, s.Kind) {
 		k.report(s.Name, "service.kind", `%q found; allowed are "engine", "plain" and "kv"`, s.Kind)
 	}
-	if s.MaxLoads < 1 || s.MaxLoads > maxLoadsBound {
-		k.report(s.Name, "service.max_loads", "%d found; allowed are 1 to %d", s.MaxLoads, maxLoadsBound)
+	if s.MaxLoads < 1 || s.MaxLoads > maxMaxLoads {
+		k.report(s.Name, "service.max_loads", "%d found; allowed are 1 to %d", s.MaxLoads, maxMaxLoads)
 	}
 	if s.BlockTokens < 1 || s.BlockTokens > maxBlockTokens {
 		k.report(s.Name, "service.block_tokens", "%d found; allowed are 1 to %d", s.BlockTokens, maxBlockTokens)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -70,10 +70,10 @@
 	// Limits bounds requests and retries.
 	Limits Limits `toml:"limits"`
 
-	services   map[string]*Service
-	models     map[string]*Model
-	workspaces map[string]*Workspace
-	tokens     map[string]*Workspace
+	services      map[string]*Service
+	models        map[string]*Model
+	workspaces    map[string]*Workspace
+	byTokenDigest map[string]*Workspace
 }
 
 // Region is a region with its availability zones.
@@ -184,7 +184,7 @@
 // WorkspaceByTokenDigest returns the workspace whose token has this hex
 // digest, or nil. The lookup is by digest, so that its timing tells nothing
 // about the token.
-func (c *Config) WorkspaceByTokenDigest(digest string) *Workspace { return c.tokens[digest] }
+func (c *Config) WorkspaceByTokenDigest(digest string) *Workspace { return c.byTokenDigest[digest] }
 
 // ModelOf returns the model that an engine service serves, or nil.
 func (c *Config) ModelOf(service string) *Model {
@@ -254,7 +254,7 @@
 	defaultTimeout      = 10 * time.Second
 )
 
-func (c *Config) fillDefaults() {
+func (c *Config) setDefaults() {
 	if c.Limits.MaxBodyBytes == 0 {
 		c.Limits.MaxBodyBytes = defaultMaxBodyBytes
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 )
 
 // base is a good text that the cases of testdata/check change.
-const base = `schema = 1
+const validConfig = `schema = 1
 [[region]]
 name = "r"
 availability_zones = ["z1", "z2"]
@@ -48,7 +48,7 @@
 // Each case replaces one line of a good text and shows the refusal.
 func TestCheck(t *testing.T) {
 	datadriven.RunTest(t, "testdata/check", func(t *testing.T, d *datadriven.TestData) string {
-		text := base
+		text := validConfig
 		switch d.Cmd {
 		case "replace":
 			old, replacement, _ := strings.Cut(d.Input, "\n")
@@ -66,7 +66,7 @@
 	})
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for name, text := range map[string]string{"marktlizenz": examples.Marktlizenz, "olaje": examples.Olaje} {
 		if _, err := Parse(name, text); err != nil {
 			t.Error(err)
@@ -75,7 +75,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(base)
+	f.Add(validConfig)
 	f.Add(examples.Olaje)
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := Parse("text.toml", text)
--- a/internal/configlog/fold.go
+++ b/internal/configlog/fold.go
@@ -83,9 +83,9 @@
 
 // Folder folds the stream. It is used by one goroutine.
 type StateMachine struct {
-	state Snapshot
-	next  uint64
-	gap   bool
+	state      Snapshot
+	nextOffset uint64
+	gap        bool
 	// gapFrom is the lowest offset past the gap: from there on all records are
 	// at hand.
 	gapFrom  uint64
@@ -100,10 +100,10 @@
 }
 
 // NewFolder returns a folder that has read nothing.
-func NewStateMachine() *StateMachine { return &StateMachine{next: 1} }
+func NewStateMachine() *StateMachine { return &StateMachine{nextOffset: 1} }
 
 // Next is the first offset not read yet.
-func (f *StateMachine) NextOffset() uint64 { return f.next }
+func (f *StateMachine) NextOffset() uint64 { return f.nextOffset }
 
 // Snapshot returns what is in force. AsOf speaks of decided records only.
 func (f *StateMachine) Snapshot() Snapshot { return f.state }
@@ -120,42 +120,42 @@
 
 // Read folds a page. Records that were read before are passed over.
 func (f *StateMachine) Apply(page *external.Page) {
-	if page.First > f.next {
+	if page.First > f.nextOffset {
 		f.gap = true
 		f.gapFrom = page.First
 		f.pending = nil
-		f.next = page.First
+		f.nextOffset = page.First
 	}
 	for _, r := range page.Records {
-		if r.Offset < f.next {
+		if r.Offset < f.nextOffset {
 			continue
 		}
-		f.next = r.Offset + 1
+		f.nextOffset = r.Offset + 1
 		var record Record
 		if err := json.Unmarshal(r.Data, &record); err != nil {
 			continue
 		}
-		f.fold(offsetRecord{r.Offset, r.UnixMs, record})
+		f.applyRecord(offsetRecord{r.Offset, r.UnixMs, record})
 	}
-	if !f.gap && f.next > 0 {
-		f.state.AsOf = f.next - 1
+	if !f.gap && f.nextOffset > 0 {
+		f.state.AsOf = f.nextOffset - 1
 	}
 }
 
-func (f *StateMachine) fold(r offsetRecord) {
+func (f *StateMachine) applyRecord(r offsetRecord) {
 	switch r.record.Type {
 	case TypeRepublish:
-		f.foldCarry(r)
+		f.applyRepublish(r)
 	case TypePublish:
 		if f.gap {
 			f.pending = append(f.pending, r)
 			return
 		}
-		f.foldPublish(r)
+		f.applyPublish(r)
 	}
 }
 
-func (f *StateMachine) foldCarry(r offsetRecord) {
+func (f *StateMachine) applyRepublish(r offsetRecord) {
 	c, err := config.Parse("carried configuration", r.record.Text)
 	if err != nil {
 		return
@@ -177,7 +177,7 @@
 	if s.Version == f.state.Version {
 		f.state.NewestCopyMs = max(f.state.NewestCopyMs, s.NewestCopyMs)
 	}
-	if newer && s.AsOf+1 > f.next {
+	if newer && s.AsOf+1 > f.nextOffset {
 		f.skipTo(s.AsOf)
 		return
 	}
@@ -189,7 +189,7 @@
 // skipTo takes a statement about offsets not read yet: everything up to asOf
 // is decided by it.
 func (f *StateMachine) skipTo(asOf uint64) {
-	f.next = asOf + 1
+	f.nextOffset = asOf + 1
 	f.gap = false
 	f.pending = nil
 	f.state.AsOf = asOf
@@ -201,13 +201,13 @@
 	f.pending = nil
 	for _, r := range pending {
 		if r.offset > asOf {
-			f.foldPublish(r)
+			f.applyPublish(r)
 		}
 	}
-	f.state.AsOf = f.next - 1
+	f.state.AsOf = f.nextOffset - 1
 }
 
-func (f *StateMachine) foldPublish(r offsetRecord) {
+func (f *StateMachine) applyPublish(r offsetRecord) {
 	if r.offset <= f.state.Version {
 		return
 	}
@@ -234,7 +234,7 @@
 
 // findNonce returns the verdict of a nonce; a repeated append has several, and
 // the accepted one counts.
-func findNonce(verdicts []Verdict, nonce string) (Verdict, bool) {
+func verdictFor(verdicts []Verdict, nonce string) (Verdict, bool) {
 	mine := slices.DeleteFunc(slices.Clone(verdicts), func(v Verdict) bool { return v.Nonce != nonce })
 	if len(mine) == 0 {
 		return Verdict{}, false
--- a/internal/configlog/fold_test.go
+++ b/internal/configlog/fold_test.go
@@ -15,7 +15,7 @@
 )
 
 // textNumber returns a small good text that differs by its number.
-func textNumber(n int) string {
+func configText(n int) string {
 	return fmt.Sprintf(`schema = 1
 [[region]]
 name = "r"
@@ -36,76 +36,76 @@
 
 // reader is a process that reads the stream now and then.
 type reader struct {
-	folder  *StateMachine
-	highest uint64
+	machine        *StateMachine
+	highestVersion uint64
 }
 
-func (r *reader) see(t *rapid.T) {
-	v := r.folder.Snapshot().Version
-	if v < r.highest {
-		t.Fatalf("version %d in force after %d", v, r.highest)
+func (r *reader) checkVersion(t *rapid.T) {
+	v := r.machine.Snapshot().Version
+	if v < r.highestVersion {
+		t.Fatalf("version %d in force after %d", v, r.highestVersion)
 	}
-	r.highest = v
+	r.highestVersion = v
 }
 
 // Operators race each other to publish, the log drops its oldest records, a
 // process carries forward what it knew long ago, others start with a cut log,
 // sleep through a gap and ask their peers. No process may go back to an older
 // version, and all must agree in the end.
-func TestReadersAgreeAndNeverGoBack(t *testing.T) {
+func TestReadersConvergeAndVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := standin.NewLog()
-		reference := &reader{folder: NewStateMachine()}
-		readers := []*reader{{folder: NewStateMachine()}, {folder: NewStateMachine()}, {folder: NewStateMachine()}}
+		reference := &reader{machine: NewStateMachine()}
+		readers := []*reader{{machine: NewStateMachine()}, {machine: NewStateMachine()}, {machine: NewStateMachine()}}
 		accepted := map[uint64]string{}
 		steps := rapid.IntRange(5, 60).Draw(rt, "steps")
 		for n := range steps {
 			switch rapid.SampledFrom([]string{"publish", "read", "carry", "trim", "ask", "replace"}).Draw(rt, "step") {
 			case "publish":
-				base := reference.folder.Snapshot().Version
+				base := reference.machine.Snapshot().Version
 				if rapid.Bool().Draw(rt, "stale") {
 					base = rapid.Uint64Range(0, base).Draw(rt, "base")
 				}
-				appendRecord(rt, log, Record{Type: TypePublish, Nonce: fmt.Sprint(n), Base: base, Text: textNumber(n)})
-				reference.folder.Apply(log.ReadNow(Stream, reference.folder.NextOffset()))
-				s := reference.folder.Snapshot()
+				appendRecord(rt, log, Record{Type: TypePublish, Nonce: fmt.Sprint(n), Base: base, Text: configText(n)})
+				reference.machine.Apply(log.ReadNow(Stream, reference.machine.NextOffset()))
+				s := reference.machine.Snapshot()
 				accepted[s.Version] = s.Text
 			case "carry":
 				// Any reader carries what it has, however old.
-				s := rapid.SampledFrom(readers).Draw(rt, "carrier").folder
+				s := rapid.SampledFrom(readers).Draw(rt, "carrier").machine
 				if snapshot := s.Snapshot(); snapshot.Version > 0 && !s.Undecided() {
 					appendRecord(rt, log, Record{Type: TypeRepublish, Version: snapshot.Version, AsOf: snapshot.AsOf, Text: snapshot.Text})
 				}
-				reference.folder.Apply(log.ReadNow(Stream, reference.folder.NextOffset()))
+				reference.machine.Apply(log.ReadNow(Stream, reference.machine.NextOffset()))
 			case "trim":
-				trim(rt, log, reference.folder.Snapshot())
+				trim(rt, log, reference.machine.Snapshot())
 			case "read":
 				r := rapid.SampledFrom(readers).Draw(rt, "reader")
-				r.folder.Apply(log.ReadNow(Stream, r.folder.NextOffset()))
-				r.see(rt)
+				r.machine.Apply(log.ReadNow(Stream, r.machine.NextOffset()))
+				r.checkVersion(rt)
 			case "ask":
 				r := rapid.SampledFrom(readers).Draw(rt, "asker")
-				peer := rapid.SampledFrom(readers).Draw(rt, "peer").folder.Snapshot()
-				if peer.Version > r.folder.Snapshot().Version {
-					r.folder.Adopt(peer)
+				peer := rapid.SampledFrom(readers).Draw(rt, "peer").machine.Snapshot()
+				if peer.Version > r.machine.Snapshot().Version {
+					r.machine.Adopt(peer)
 				}
-				r.see(rt)
+				r.checkVersion(rt)
 			case "replace":
-				readers[rapid.IntRange(0, 2).Draw(rt, "replaced")] = &reader{folder: NewStateMachine()}
+				readers[rapid.IntRange(0, 2).Draw(rt, "replaced")] = &reader{machine: NewStateMachine()}
 			}
 		}
-		want := reference.folder.Snapshot()
+		want := reference.machine.Snapshot()
 		if want.Version > 0 {
 			appendRecord(rt, log, Record{Type: TypeRepublish, Version: want.Version, AsOf: want.AsOf, Text: want.Text})
 		}
 		for i, r := range readers {
-			r.folder.Apply(log.ReadNow(Stream, r.folder.NextOffset()))
-			r.see(rt)
-			s := r.folder.Snapshot()
+			r.machine.Apply(log.ReadNow(Stream, r.machine.NextOffset()))
+			r.checkVersion(rt)
+			s := r.machine.Snapshot()
 			if s.Version > 0 && accepted[s.Version] != s.Text {
 				rt.Fatalf("reader %d has version %d in force, which was never accepted", i, s.Version)
 			}
-			if want.Version > 0 && r.folder.Undecided() {
+			if want.Version > 0 && r.machine.Undecided() {
 				rt.Fatalf("reader %d cannot decide although the log tells what is in force", i)
 			}
 			if s.Version != want.Version {
@@ -133,25 +133,25 @@
 
 // lossyLog loses the answers of its first appends after they took effect, and
 // then that of the next read.
-type lossyLog struct {
+type lossyResponseLog struct {
 	*standin.Log
-	lose     int
-	loseRead bool
+	appendFailures int
+	failNextRead   bool
 }
 
-func (l *lossyLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
+func (l *lossyResponseLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	offset := l.AppendNow(stream, data)
-	if l.lose > 0 {
-		l.lose--
-		l.loseRead = true
+	if l.appendFailures > 0 {
+		l.appendFailures--
+		l.failNextRead = true
 		return 0, errors.New("answer lost")
 	}
 	return offset, nil
 }
 
-func (l *lossyLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
-	if l.loseRead {
-		l.loseRead = false
+func (l *lossyResponseLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
+	if l.failNextRead {
+		l.failNextRead = false
 		return nil, errors.New("answer lost")
 	}
 	return l.ReadNow(stream, from), nil
@@ -159,10 +159,10 @@
 
 // The log takes an operator's publish and loses its answer. The operator must
 // be told that it was accepted, and it must not be published twice.
-func TestPublishWithLostAnswerIsFoundAgain(t *testing.T) {
+func TestPublishWithLostResponseIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &lossyLog{Log: standin.NewLog(), lose: 1}
-		verdict, err := Publish(context.Background(), log, "n1", 0, textNumber(1))
+		log := &lossyResponseLog{Log: standin.NewLog(), appendFailures: 1}
+		verdict, err := Publish(context.Background(), log, "n1", 0, configText(1))
 		if err != nil || !verdict.Accepted {
 			t.Fatalf("%+v %v", verdict, err)
 		}
@@ -174,17 +174,17 @@
 
 // Two operators edit the same version. The second to publish is told which
 // version won and how to go on, and nothing of its text is in force.
-func TestLosingOperatorIsTold(t *testing.T) {
-	log := &lossyLog{Log: standin.NewLog()}
-	first, err := Publish(context.Background(), log, "n1", 0, textNumber(1))
+func TestConflictingPublishIsRejected(t *testing.T) {
+	log := &lossyResponseLog{Log: standin.NewLog()}
+	first, err := Publish(context.Background(), log, "n1", 0, configText(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = Publish(context.Background(), log, "n2", 0, textNumber(2))
+	_, err = Publish(context.Background(), log, "n2", 0, configText(2))
 	if !errors.Is(err, ErrConflict) || !strings.Contains(err.Error(), fmt.Sprintf("--base %d", first.Offset)) {
 		t.Fatalf("%v", err)
 	}
-	second, err := Publish(context.Background(), log, "n3", first.Offset, textNumber(3))
+	second, err := Publish(context.Background(), log, "n3", first.Offset, configText(3))
 	if err != nil || second.Offset <= first.Offset {
 		t.Fatalf("%+v %v", second, err)
 	}
@@ -192,17 +192,17 @@
 
 // The log has dropped everything and no process lives that knew the text. The
 // operator's recovery puts one in force that every reader takes.
-func TestRecoverAfterTheLastCopyIsGone(t *testing.T) {
-	log := &lossyLog{Log: standin.NewLog()}
+func TestRecoverWithoutAnyCopy(t *testing.T) {
+	log := &lossyResponseLog{Log: standin.NewLog()}
 	for n := range 3 {
-		appendRecord(t, log.Log, Record{Type: TypePublish, Base: uint64(n), Nonce: fmt.Sprint(n), Text: textNumber(n)})
+		appendRecord(t, log.Log, Record{Type: TypePublish, Base: uint64(n), Nonce: fmt.Sprint(n), Text: configText(n)})
 	}
 	log.TrimTo(Stream, 4)
-	if _, err := Publish(context.Background(), log, "n", 0, textNumber(9)); err == nil {
+	if _, err := Publish(context.Background(), log, "n", 0, configText(9)); err == nil {
 		t.Fatal("a publish was accepted although nobody knows what is in force")
 	}
 	log.TrimTo(Stream, log.ReadNow(Stream, 1).Next)
-	version, err := Recover(context.Background(), log, "r", textNumber(7))
+	version, err := Recover(context.Background(), log, "r", configText(7))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,9 +212,9 @@
 	}
 }
 
-func TestBadTextChangesNothing(t *testing.T) {
+func TestInvalidTextIsRejected(t *testing.T) {
 	log := standin.NewLog()
-	appendRecord(t, log, Record{Type: TypePublish, Nonce: "a", Text: textNumber(1)})
+	appendRecord(t, log, Record{Type: TypePublish, Nonce: "a", Text: configText(1)})
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "b", Base: 1, Text: "schema = 2"})
 	f := NewStateMachine()
 	f.Apply(log.ReadNow(Stream, 1))
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -25,14 +25,14 @@
 	// tells as many, so that a few rounds reach every process.
 	hintPeers = 4
 	// minPoll is the shortest time between two polls by one process.
-	minPoll = 500 * time.Millisecond
+	minPollPeriod = 500 * time.Millisecond
 	// startPeers is how many peers a starting process asks.
 	startPeers = 3
 	// startPatience is how long a starting process waits for a peer before it
 	// reads the log from its start.
-	startPatience = 300 * time.Millisecond
+	startMaxWait = 300 * time.Millisecond
 	// nudgeSpacing is the shortest time between two nudges.
-	nudgeSpacing = 200 * time.Millisecond
+	minTriggerInterval = 200 * time.Millisecond
 )
 
 // Follower keeps the configuration in force of one process. It is a
@@ -46,17 +46,17 @@
 	loop    *control.Loop
 	log     external.Log
 	options FollowerOptions
-	folder  *StateMachine
+	machine *StateMachine
 	fact    *blackboard.Fact[Snapshot]
 	reading bool
 	// mayRead is set when a peer has answered, or none has in time.
-	mayRead bool
-	pulling bool
+	logReadAllowed bool
+	hintPending    bool
 	// carrying is set while a carry is on its way: until it is read back, the
 	// newest copy still looks old.
-	carrying  bool
-	carrySeed float64
-	nudged    atomic.Bool
+	republishing    bool
+	republishJitter float64
+	triggered       atomic.Bool
 }
 
 // FollowerOptions are a follower's surroundings.
@@ -84,8 +84,8 @@
 func NewFollower(loop *control.Loop, log external.Log, fact *blackboard.Fact[Snapshot], options FollowerOptions) *Follower {
 	const spreadSteps = 1000
 	return &Follower{
-		loop: loop, log: log, fact: fact, options: options, folder: NewStateMachine(),
-		carrySeed: float64(loop.Intn(spreadSteps)) / spreadSteps,
+		loop: loop, log: log, fact: fact, options: options, machine: NewStateMachine(),
+		republishJitter: float64(loop.Intn(spreadSteps)) / spreadSteps,
 	}
 }
 
@@ -95,19 +95,19 @@
 func (f *Follower) Start() {
 	f.loop.Post(func() {
 		if len(f.options.Peers) == 0 {
-			f.readFromStart()
+			f.allowLogRead()
 		}
 		for range startPeers {
-			f.sync()
+			f.syncRandomPeer()
 		}
 	})
 	f.loop.Go(func(ctx context.Context) {
-		if sleep.For(ctx, startPatience) {
-			f.loop.Post(f.readFromStart)
+		if sleep.For(ctx, startMaxWait) {
+			f.loop.Post(f.allowLogRead)
 		}
 	})
 	f.loop.Every(f.pollPeriod, f.poll)
-	f.loop.Every(func() time.Duration { return f.options.SyncPeriod }, f.sync)
+	f.loop.Every(func() time.Duration { return f.options.SyncPeriod }, f.syncRandomPeer)
 }
 
 // pollPeriod is this process's part of the fleet's polls.
@@ -119,50 +119,50 @@
 		}
 	}
 	period := time.Duration(float64(processes) / f.options.LogPolls * float64(time.Second))
-	return max(period, minPoll)
+	return max(period, minPollPeriod)
 }
 
 // readFromStart lets the log be read though no peer has answered.
-func (f *Follower) readFromStart() {
-	if f.mayRead {
+func (f *Follower) allowLogRead() {
+	if f.logReadAllowed {
 		return
 	}
-	f.mayRead = true
+	f.logReadAllowed = true
 	f.poll()
 }
 
 func (f *Follower) poll() {
-	if f.reading || !f.mayRead {
+	if f.reading || !f.logReadAllowed {
 		return
 	}
 	f.reading = true
-	from := f.folder.NextOffset()
+	from := f.machine.NextOffset()
 	control.Do(f.loop, readTimeout, func(ctx context.Context) (*external.Page, error) {
 		return f.log.Read(ctx, Stream, from)
-	}, f.pageRead)
+	}, f.handlePage)
 }
 
-func (f *Follower) pageRead(page *external.Page, err error) {
+func (f *Follower) handlePage(page *external.Page, err error) {
 	f.reading = false
 	if err != nil {
 		f.options.LogError("read")
 		f.options.Logger.Info("config_read_failed", "error", err.Error())
 		return
 	}
-	f.folder.Apply(page)
-	for _, v := range f.folder.TakeVerdicts() {
+	f.machine.Apply(page)
+	for _, v := range f.machine.TakeVerdicts() {
 		f.options.Logger.Info("config_publish_seen", "version", v.Offset, "accepted", v.Accepted, "in_force", v.InForce)
 	}
-	f.post()
-	f.carryIfOld()
-	if f.folder.NextOffset() < page.Next {
+	f.postIfNewer()
+	f.republishIfOld()
+	if f.machine.NextOffset() < page.Next {
 		f.poll()
 	}
 }
 
 // post puts the folder's version in force when it is newer.
-func (f *Follower) post() {
-	s := f.folder.Snapshot()
+func (f *Follower) postIfNewer() {
+	s := f.machine.Snapshot()
 	old, _ := f.fact.Get()
 	if s.Version <= old.Version {
 		return
@@ -171,12 +171,12 @@
 	f.options.Logger.Info("config_in_force", "version", s.Version, "as_of", s.AsOf)
 	f.options.OnChange(s)
 	for range hintPeers {
-		f.sync()
+		f.syncRandomPeer()
 	}
 }
 
 // sync asks a random peer for its version and tells it ours.
-func (f *Follower) sync() {
+func (f *Follower) syncRandomPeer() {
 	peer, ok := f.randomPeer()
 	if !ok {
 		return
@@ -214,9 +214,9 @@
 		f.options.Logger.Info("config_peer_refused", "version", resp.ConfigVersion, "error", err.Error())
 		return
 	}
-	f.folder.Adopt(Snapshot{Version: resp.ConfigVersion, AsOf: resp.AsOf, Text: resp.Text, Config: c, NewestCopyMs: resp.NewestCopyMs})
-	f.post()
-	f.readFromStart()
+	f.machine.Adopt(Snapshot{Version: resp.ConfigVersion, AsOf: resp.AsOf, Text: resp.Text, Config: c, NewestCopyMs: resp.NewestCopyMs})
+	f.postIfNewer()
+	f.allowLogRead()
 }
 
 // Hint is told, from any thread, that a peer has a version.
@@ -227,27 +227,27 @@
 	if current, _ := f.fact.Get(); version <= current.Version {
 		return
 	}
-	f.loop.Post(func() { f.pull(peer) })
+	f.loop.Post(func() { f.syncWithHinter(peer) })
 }
 
 // pull asks a hinting peer back; many hints at once make one question.
-func (f *Follower) pull(peer string) {
+func (f *Follower) syncWithHinter(peer string) {
 	const hintSpacing = 50 * time.Millisecond
-	if f.pulling {
+	if f.hintPending {
 		return
 	}
-	f.pulling = true
+	f.hintPending = true
 	f.SyncWith(peer)
 	f.loop.Go(func(ctx context.Context) {
 		sleep.For(ctx, hintSpacing)
-		f.loop.Post(func() { f.pulling = false })
+		f.loop.Post(func() { f.hintPending = false })
 	})
 }
 
 func (f *Follower) randomPeer() (string, bool) {
 	peers := f.options.Peers
 	if s, ok := f.fact.Get(); ok {
-		peers = appendTargets(peers, s.Config)
+		peers = withTargetAddresses(peers, s.Config)
 	}
 	if len(peers) == 0 {
 		return "", false
@@ -256,7 +256,7 @@
 	return peer, peer != f.options.Address
 }
 
-func appendTargets(peers []string, c *config.Config) []string {
+func withTargetAddresses(peers []string, c *config.Config) []string {
 	all := append([]string(nil), peers...)
 	for i := range c.Services {
 		for _, t := range c.Services[i].Targets {
@@ -269,29 +269,29 @@
 // carryIfOld appends the configuration again when its newest copy in the log
 // nears its end. Each process waits a part of its own, so that the first one
 // to append spares the others.
-func (f *Follower) carryIfOld() {
-	s := f.folder.Snapshot()
-	if s.Version == 0 || f.folder.Undecided() {
+func (f *Follower) republishIfOld() {
+	s := f.machine.Snapshot()
+	if s.Version == 0 || f.machine.Undecided() {
 		return
 	}
 	age := time.Since(time.UnixMilli(s.NewestCopyMs))
-	if age < carryAge(f.options.Retention, f.carrySeed) {
-		f.carrying = false
+	if age < republishAge(f.options.Retention, f.republishJitter) {
+		f.republishing = false
 		return
 	}
-	if f.carrying {
+	if f.republishing {
 		return
 	}
 	data, err := Encode(Record{Type: TypeRepublish, Nonce: uuid.NewString(), Version: s.Version, AsOf: s.AsOf, Text: s.Text})
 	if err != nil {
 		return
 	}
-	f.carrying = true
+	f.republishing = true
 	control.Do(f.loop, readTimeout, func(ctx context.Context) (uint64, error) {
 		return f.log.Append(ctx, Stream, data)
 	}, func(offset uint64, err error) {
 		if err != nil {
-			f.carrying = false
+			f.republishing = false
 			f.options.LogError("append")
 			return
 		}
@@ -300,7 +300,7 @@
 }
 
 // carryAge is between a half and three quarters of the retention.
-func carryAge(retention time.Duration, seed float64) time.Duration {
+func republishAge(retention time.Duration, seed float64) time.Duration {
 	return time.Duration((0.5 + seed/4) * float64(retention))
 }
 
@@ -329,15 +329,15 @@
 // Nudge makes the follower read the log and ask a peer soon. Any thread may
 // call it.
 func (f *Follower) Trigger() {
-	if !f.nudged.CompareAndSwap(false, true) {
+	if !f.triggered.CompareAndSwap(false, true) {
 		return
 	}
 	f.loop.Post(func() {
 		f.poll()
-		f.sync()
+		f.syncRandomPeer()
 	})
 	f.loop.Go(func(ctx context.Context) {
-		sleep.For(ctx, nudgeSpacing)
-		f.nudged.Store(false)
+		sleep.For(ctx, minTriggerInterval)
+		f.triggered.Store(false)
 	})
 }
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -16,23 +16,23 @@
 )
 
 // slowLog takes several polls' time for an append.
-type slowLog struct{ *standin.Log }
+type slowAppendLog struct{ *standin.Log }
 
-func (l *slowLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
+func (l *slowAppendLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	time.Sleep(4 * time.Second)
 	return l.AppendNow(stream, data), nil
 }
 
-func (l *slowLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
+func (l *slowAppendLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
 	return l.ReadNow(stream, from), nil
 }
 
 // The only copy of the configuration grows old while the log is slow. The
 // process that carries it forward must not do so again at each poll meanwhile.
-func TestSlowCarryIsNotRepeated(t *testing.T) {
+func TestSlowRepublishIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &slowLog{standin.NewLog()}
-		appendRecord(t, log.Log, Record{Type: TypePublish, Nonce: "a", Text: textNumber(1)})
+		log := &slowAppendLog{standin.NewLog()}
+		appendRecord(t, log.Log, Record{Type: TypePublish, Nonce: "a", Text: configText(1)})
 		loop := control.NewLoop(1, func(time.Duration) {})
 		f := NewFollower(loop, log, &blackboard.Fact[Snapshot]{}, FollowerOptions{
 			LogPolls: 20, SyncPeriod: time.Second, Retention: time.Minute, Client: &http.Client{}, Logger: logr.Discard(),
--- a/internal/configlog/publish.go
+++ b/internal/configlog/publish.go
@@ -19,8 +19,8 @@
 var ErrUndecided = errors.New("the log does not tell which version is in force")
 
 const (
-	appendTries = 5
-	tryPause    = 200 * time.Millisecond
+	maxAppends       = 5
+	appendRetryDelay = 200 * time.Millisecond
 )
 
 // ReadAll folds the stream from its start to its end.
@@ -55,16 +55,16 @@
 		return Verdict{}, err
 	}
 	var last error
-	for try := 0; try < appendTries; try++ {
-		verdict, found, err := appendAndLook(ctx, log, nonce, data)
+	for try := 0; try < maxAppends; try++ {
+		verdict, found, err := appendOnce(ctx, log, nonce, data)
 		if found {
-			return verdict, judge(verdict, base)
+			return verdict, verdictError(verdict, base)
 		}
 		last = err
 		if errors.Is(err, ErrUndecided) {
 			return Verdict{}, err
 		}
-		if !sleep.For(ctx, tryPause) {
+		if !sleep.For(ctx, appendRetryDelay) {
 			return Verdict{}, ctx.Err()
 		}
 	}
@@ -73,7 +73,7 @@
 
 // appendAndLook looks for the nonce, appends when it is not there, and looks
 // again.
-func appendAndLook(ctx context.Context, log external.Log, nonce string, data []byte) (Verdict, bool, error) {
+func appendOnce(ctx context.Context, log external.Log, nonce string, data []byte) (Verdict, bool, error) {
 	f, err := ReadAll(ctx, log)
 	if err != nil {
 		return Verdict{}, false, err
@@ -81,21 +81,21 @@
 	if f.Undecided() {
 		return Verdict{}, false, ErrUndecided
 	}
-	if v, found := findNonce(f.TakeVerdicts(), nonce); found {
+	if v, found := verdictFor(f.TakeVerdicts(), nonce); found {
 		return v, true, nil
 	}
 	_, appendErr := log.Append(ctx, Stream, data)
 	if err := CatchUp(ctx, log, f); err != nil {
 		return Verdict{}, false, errors.CombineErrors(err, appendErr)
 	}
-	v, found := findNonce(f.TakeVerdicts(), nonce)
+	v, found := verdictFor(f.TakeVerdicts(), nonce)
 	if !found && appendErr == nil {
 		appendErr = errors.New("the append is not in the stream yet")
 	}
 	return v, found, appendErr
 }
 
-func judge(v Verdict, base uint64) error {
+func verdictError(v Verdict, base uint64) error {
 	if v.Accepted {
 		return nil
 	}
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -14,7 +14,7 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-const queueLength = 1024
+const eventQueueSize = 1024
 
 // Loop is the control thread.
 type Loop struct {
@@ -24,13 +24,13 @@
 	tasks  sync.WaitGroup
 	// tasksMu guards stopped, so that no task begins once Run waits for the end
 	// of the others.
-	tasksMu sync.Mutex
-	stopped bool
+	stoppedMu sync.Mutex
+	stopped   bool
 	// observe is told how long each event took.
 	observe func(time.Duration)
 	// seedMu guards random, which timers of several controllers draw from.
-	seedMu sync.Mutex
-	random *rand.Rand
+	randomMu sync.Mutex
+	random   *rand.Rand
 }
 
 // NewLoop returns a loop whose jitter comes from the seed. observe is told how
@@ -38,7 +38,7 @@
 func NewLoop(seed uint64, observe func(time.Duration)) *Loop {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Loop{
-		events:  make(chan func(), queueLength),
+		events:  make(chan func(), eventQueueSize),
 		observe: observe,
 		ctx:     ctx,
 		stop:    stop,
@@ -63,9 +63,9 @@
 
 // Stop ends Run and cancels the tasks.
 func (l *Loop) Stop() {
-	l.tasksMu.Lock()
+	l.stoppedMu.Lock()
 	l.stopped = true
-	l.tasksMu.Unlock()
+	l.stoppedMu.Unlock()
 	l.stop()
 }
 
@@ -84,7 +84,7 @@
 // spreadStarts is how many first waits are drawn from a whole period. The
 // period of a process that has just started may change once it has its
 // configuration, so that one is not enough.
-const spreadStarts = 2
+const initialWaits = 2
 
 // Every runs event on the control thread after each period, spread by a quarter
 // to either side. The first waits are drawn from the whole period, so that
@@ -93,8 +93,8 @@
 	l.Go(func(ctx context.Context) {
 		for n := 0; ; n++ {
 			wait := l.Jitter(period())
-			if n < spreadStarts {
-				wait = time.Duration(l.float() * float64(period()))
+			if n < initialWaits {
+				wait = time.Duration(l.randomFloat() * float64(period()))
 			}
 			if !sleep.For(ctx, wait) {
 				return
@@ -106,8 +106,8 @@
 
 // Go runs a task off the control thread until it ends or the loop stops.
 func (l *Loop) Go(task func(ctx context.Context)) {
-	l.tasksMu.Lock()
-	defer l.tasksMu.Unlock()
+	l.stoppedMu.Lock()
+	defer l.stoppedMu.Unlock()
 	if l.stopped {
 		return
 	}
@@ -130,19 +130,19 @@
 
 // Spread returns d changed by up to a quarter to either side.
 func (l *Loop) Jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + l.float()/2))
+	return time.Duration(float64(d) * (0.75 + l.randomFloat()/2))
 }
 
 // Intn returns a number from 0 to n-1.
 func (l *Loop) Intn(n int) int {
-	l.seedMu.Lock()
-	defer l.seedMu.Unlock()
+	l.randomMu.Lock()
+	defer l.randomMu.Unlock()
 	return l.random.IntN(n)
 }
 
-func (l *Loop) float() float64 {
-	l.seedMu.Lock()
-	defer l.seedMu.Unlock()
+func (l *Loop) randomFloat() float64 {
+	l.randomMu.Lock()
+	defer l.randomMu.Unlock()
 	return l.random.Float64()
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,11 +51,11 @@
 	traffic  *http.Server
 	admin    *http.Server
 	// datagrams sends or answers probes.
-	datagrams io.Closer
-	peers     *http.Client
-	platform  *http.Client
-	draining  atomic.Bool
-	failed    chan error
+	probes   io.Closer
+	peers    *http.Client
+	platform *http.Client
+	draining atomic.Bool
+	failed   chan error
 }
 
 // New builds the process and binds its listeners. Binding comes before
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	d.datagrams = prober
+	d.probes = prober
 	deps := entry.Deps{Log: log, Peers: d.peers, Prober: prober, Logger: d.logger, Metrics: m}
 	if d.settings.Platform.HostsURL != "" {
 		deps.Hosts = external.NewHTTPHosts(d.settings.Platform.HostsURL, d.platform)
@@ -132,9 +132,9 @@
 	mux.Handle(e.PeerHandler())
 	process.Burn = e.Burn()
 	process.InFlight = e.InFlight
-	process.Config = textInForce(e.Board().Config.Get)
+	process.Config = activeConfig(e.Board().Config.Get)
 	process.Ready = e.Ready
-	process.Targets = listing(func() []routing.Target {
+	process.Targets = adminTargets(func() []routing.Target {
 		view, _ := e.Board().View.Get()
 		var all []routing.Target
 		for _, targets := range view.Services {
@@ -156,19 +156,19 @@
 	d.drain = s.Drain
 	d.traffic = newServer(s.Handler())
 	process.InFlight = s.InFlight
-	process.Config = textInForce(s.Board().Config.Get)
+	process.Config = activeConfig(s.Board().Config.Get)
 	process.Ready = s.Ready
-	process.Targets = listing(func() []routing.Target { return targetsOf(s.Board().Config.Get()) })
+	process.Targets = adminTargets(func() []routing.Target { return configuredTargets(s.Board().Config.Get()) })
 	server, err := probe.NewServer(d.settings.Listen, s.Probe)
 	if err != nil {
 		return err
 	}
-	d.datagrams = server
+	d.probes = server
 	return nil
 }
 
 // textInForce reads the version and the text off a snapshot.
-func textInForce(get func() (configlog.Snapshot, bool)) func() (int64, string, bool) {
+func activeConfig(get func() (configlog.Snapshot, bool)) func() (int64, string, bool) {
 	return func() (int64, string, bool) {
 		s, ok := get()
 		return int64(s.Version), s.Text, ok
@@ -182,7 +182,7 @@
 }
 
 // listing turns targets into those of the administration API.
-func listing(targets func() []routing.Target) func() []oas.Target {
+func adminTargets(targets func() []routing.Target) func() []oas.Target {
 	return func() []oas.Target {
 		var all []oas.Target
 		for _, t := range targets() {
@@ -192,7 +192,7 @@
 	}
 }
 
-func targetsOf(snapshot configlog.Snapshot, ok bool) []routing.Target {
+func configuredTargets(snapshot configlog.Snapshot, ok bool) []routing.Target {
 	if !ok {
 		return nil
 	}
@@ -247,7 +247,7 @@
 func (d *Daemon) Close() {
 	_ = d.traffic.Close()
 	_ = d.admin.Close()
-	_ = d.datagrams.Close()
+	_ = d.probes.Close()
 	d.role.Close()
 	d.peers.CloseIdleConnections()
 	d.platform.CloseIdleConnections()
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -8,7 +8,7 @@
 
 // Two processes send to a third, one of them more than a message may have. Each message is
 // handed on with its sender, as IPv4, and the receiver ends when its socket is closed.
-func TestMessagesComeWithTheirSendersUntilTheSocketIsClosed(t *testing.T) {
+func TestReceiveReportsSendersAndStopsOnClose(t *testing.T) {
 	open := func() *net.UDPConn {
 		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
--- a/internal/external/http.go
+++ b/internal/external/http.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	maxAnswerBytes  = 64 << 20
-	maxTokenBytes   = 1 << 20
-	idleConnections = 64
-	dialTimeout     = 2 * time.Second
+	maxResponseBytes = 64 << 20
+	maxTokenBytes    = 1 << 20
+	idleConnections  = 64
+	dialTimeout      = 2 * time.Second
 )
 
 // NewHTTPClient returns a client whose dial errors read as ErrNotSent.
@@ -35,7 +35,7 @@
 
 // notSent marks an error that stopped the call before it left. Only a failed
 // dial counts: once a connection stands, a lost answer may hide an effect.
-func notSent(err error) error {
+func markNotSent(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return errors.Mark(err, ErrNotSent)
@@ -64,7 +64,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(notSent(err), path)
+		return nil, errors.Wrap(markNotSent(err), path)
 	}
 	if resp.StatusCode/100 != 2 {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1024))
@@ -84,7 +84,7 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return errors.Wrap(err, path)
 	}
-	dec := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes))
+	dec := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes))
 	return errors.Wrap(dec.Decode(out), path)
 }
 
@@ -96,7 +96,7 @@
 	return c.call(ctx, http.MethodPost, path, bytes.NewReader(data), out)
 }
 
-func statusOf(err error) int {
+func statusCode(err error) int {
 	var s *statusError
 	if errors.As(err, &s) {
 		return s.status
@@ -162,26 +162,26 @@
 		return nil, errors.Mark(err, ErrNotSent)
 	}
 	resp, err := e.c.do(ctx, http.MethodPost, "/v1/generate", bytes.NewReader(data))
-	if statusOf(err) == http.StatusConflict {
+	if statusCode(err) == http.StatusConflict {
 		return nil, errors.Mark(err, ErrWrongWeights)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return newSSE(resp.Body), nil
+	return newSSEStream(resp.Body), nil
 }
 
 // Resume implements Engine.
 func (e *HTTPEngine) Resume(ctx context.Context, requestID string, from uint64) (TokenStream, error) {
 	path := fmt.Sprintf("/v1/generate/%s?from=%d", url.PathEscape(requestID), from)
 	resp, err := e.c.do(ctx, http.MethodGet, path, nil)
-	if statusOf(err) == http.StatusNotFound {
+	if statusCode(err) == http.StatusNotFound {
 		return nil, errors.Mark(err, ErrUnknownStream)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return newSSE(resp.Body), nil
+	return newSSEStream(resp.Body), nil
 }
 
 // Cancel implements Engine.
@@ -198,35 +198,35 @@
 
 // Load implements Engine.
 func (e *HTTPEngine) Status(ctx context.Context) (*EngineStatus, error) {
-	load := &EngineStatus{}
-	err := e.c.call(ctx, http.MethodGet, "/v1/load", nil, load)
-	return load, err
+	status := &EngineStatus{}
+	err := e.c.call(ctx, http.MethodGet, "/v1/load", nil, status)
+	return status, err
 }
 
 // Order implements Engine.
 func (e *HTTPEngine) LoadWeights(ctx context.Context, order LoadOrder) error {
 	err := e.c.post(ctx, "/v1/orders", order, nil)
-	if statusOf(err) == http.StatusPreconditionFailed {
+	if statusCode(err) == http.StatusPreconditionFailed {
 		return errors.Mark(err, ErrStaleFence)
 	}
 	return err
 }
 
 // sse reads "data: {json}" events.
-type sse struct {
+type sseStream struct {
 	body  io.ReadCloser
 	lines *bufio.Scanner
 	ended bool
 }
 
-func newSSE(body io.ReadCloser) *sse {
+func newSSEStream(body io.ReadCloser) *sseStream {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), maxTokenBytes)
-	return &sse{body: body, lines: lines}
+	return &sseStream{body: body, lines: lines}
 }
 
 // Next implements TokenStream.
-func (s *sse) Next() (Token, error) {
+func (s *sseStream) Next() (Token, error) {
 	if s.ended {
 		return Token{}, io.EOF
 	}
@@ -249,7 +249,7 @@
 }
 
 // Close implements TokenStream.
-func (s *sse) Close() error { return s.body.Close() }
+func (s *sseStream) Close() error { return s.body.Close() }
 
 // HTTPPlain is a Plain over HTTP.
 type HTTPPlain struct{ c jsonClient }
@@ -277,10 +277,10 @@
 	}
 	resp, err := p.c.http.Transport.RoundTrip(req)
 	if err != nil {
-		return nil, errors.Wrap(notSent(err), "plain call")
+		return nil, errors.Wrap(markNotSent(err), "plain call")
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "plain answer")
 	}
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// serverError is the first status that speaks against a target's health.
-	serverError = 500
-	// voidRetry is when a caller may come back with a new key.
-	voidRetry = time.Second
+	// minServerError is the lowest status that counts as a target failure.
+	minServerError = 500
+	// voidRetryAfter is the retry delay for a caller whose key was voided.
+	voidRetryAfter = time.Second
 )
 
 // Call implements the Gate service.
 func (s *Sidecar) Call(ctx context.Context, req *connect.Request[peerv1.CallRequest]) (*connect.Response[peerv1.CallResponse], error) {
-	s.noteVersion(req.Msg.ConfigVersion)
+	s.observeVersion(req.Msg.ConfigVersion)
 	resp, refusal := s.call(ctx, req.Msg)
 	if refusal != nil {
 		resp = &peerv1.CallResponse{Refusal: refusalMessage(refusal)}
@@ -36,73 +36,73 @@
 }
 
 func (s *Sidecar) call(ctx context.Context, m *peerv1.CallRequest) (*peerv1.CallResponse, *errkind.Error) {
-	o, refusal := s.own()
+	a, refusal := s.assignment()
 	if refusal != nil {
 		return nil, refusal
 	}
-	if o.service.Kind != config.KindPlain || o.service.Name != m.Service {
-		return nil, errkind.New(errkind.UnknownService, "this target serves %q", o.service.Name)
+	if a.service.Kind != config.KindPlain || a.service.Name != m.Service {
+		return nil, errkind.New(errkind.UnknownService, "this target serves %q", a.service.Name)
 	}
 	arrived := time.Now()
 	budget := time.Duration(m.BudgetMs) * time.Millisecond
-	pass, refusal := s.enter(ctx, GateRequest{
-		Workspace: m.Workspace, Weight: weightOf(o, m.Workspace), Class: config.Class(m.Class),
+	admission, refusal := s.awaitAdmission(ctx, GateRequest{
+		Workspace: m.Workspace, Weight: workspaceWeight(a, m.Workspace), Class: config.Class(m.Class),
 		BlockTokens: 1, Budget: budget,
 	})
 	if refusal != nil {
-		return nil, s.refuseOnce(ctx, o, m.Workspace, m.Once, refusal)
+		return nil, s.refuseAtMostOnce(ctx, a, m.Workspace, m.Once, refusal)
 	}
-	ticket, answer, refusal := s.claim(ctx, o, m.Workspace, m.Once)
+	ticket, answer, refusal := s.claim(ctx, a, m.Workspace, m.Once)
 	if refusal != nil || answer != nil {
-		pass.Release(breaker.Neutral)
+		admission.Release(breaker.Neutral)
 		return replayCall(answer), refusal
 	}
 	if ticket != nil && time.Since(arrived) > budget {
-		// A process that was frozen after its claim wakes here: its caller has
-		// an answer by now, and the key can still be closed unrun.
-		pass.Release(breaker.Neutral)
-		return nil, ticket.Void(context.WithoutCancel(ctx), voidRetry, "the deadline passed before the call started")
+		// The process may have been frozen after the claim. Its caller has timed
+		// out, and the key can still be voided because the call has not started.
+		admission.Release(breaker.Neutral)
+		return nil, ticket.Void(context.WithoutCancel(ctx), voidRetryAfter, "the deadline passed before the call started")
 	}
-	return s.callTarget(ctx, o, m, pass, ticket)
+	return s.callTarget(ctx, a, m, admission, ticket)
 }
 
-// callTarget makes the one call. It goes on when the entry is gone, so that
-// its end is recorded.
-func (s *Sidecar) callTarget(ctx context.Context, o own, m *peerv1.CallRequest, pass *Admission, ticket *once.Ticket) (*peerv1.CallResponse, *errkind.Error) {
+// callTarget sends the call to the target. It ignores cancellation by the
+// entry, so that the outcome is always recorded.
+func (s *Sidecar) callTarget(ctx context.Context, a assignment, m *peerv1.CallRequest, admission *Admission, ticket *once.Ticket) (*peerv1.CallResponse, *errkind.Error) {
 	ctx = context.WithoutCancel(ctx)
 	s.calls.Add(1)
 	defer s.calls.Done()
-	request := &external.PlainRequest{Path: m.Path, ContentType: m.ContentType, Body: m.Body, RequestID: m.RequestId, Timeout: o.service.Timeout.Duration}
+	request := &external.PlainRequest{Path: m.Path, ContentType: m.ContentType, Body: m.Body, RequestID: m.RequestId, Timeout: a.service.Timeout.Duration}
 	if m.Once != nil {
 		request.Key = m.Once.Key
 	}
-	answer, err := s.plain.Call(ctx, request)
+	response, err := s.plain.Call(ctx, request)
 	if err != nil {
-		pass.Release(breaker.Failure)
-		return nil, failedCall(ctx, ticket, err)
+		admission.Release(breaker.Failure)
+		return nil, callFailed(ctx, ticket, err)
 	}
-	pass.Release(healthOf(answer.Status))
+	admission.Release(breakerResult(response.Status))
 	if ticket != nil {
-		ticket.Done(once.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body})
+		ticket.Done(once.Answer{Status: response.Status, ContentType: response.ContentType, Body: response.Body})
 	}
-	return &peerv1.CallResponse{Status: uint32(answer.Status), ContentType: answer.ContentType, Body: answer.Body}, nil
+	return &peerv1.CallResponse{Status: uint32(response.Status), ContentType: response.ContentType, Body: response.Body}, nil
 }
 
-// failedCall decides what a failed call may be said to have done. Only a call
-// that never left counts as not run.
-func failedCall(ctx context.Context, ticket *once.Ticket, err error) *errkind.Error {
+// callFailed returns the error for a failed call. Only a call that was never
+// sent is reported as not run.
+func callFailed(ctx context.Context, ticket *once.Ticket, err error) *errkind.Error {
 	if ticket == nil {
 		return errkind.New(errkind.TargetFailed, "%v", err)
 	}
 	if errors.Is(err, external.ErrNotSent) {
-		return ticket.Void(ctx, voidRetry, "the target could not be reached")
+		return ticket.Void(ctx, voidRetryAfter, "the target could not be reached")
 	}
 	ticket.Lost()
-	return errkind.After(errkind.OutcomeUnknown, voidRetry, "the target's answer was lost")
+	return errkind.After(errkind.OutcomeUnknown, voidRetryAfter, "the target's response was lost")
 }
 
-func healthOf(status int) breaker.Result {
-	if status >= serverError {
+func breakerResult(status int) breaker.Result {
+	if status >= minServerError {
 		return breaker.Failure
 	}
 	return breaker.Success
@@ -115,40 +115,40 @@
 	return &peerv1.CallResponse{Status: uint32(answer.Status), ContentType: answer.ContentType, Body: answer.Body, Replayed: true}
 }
 
-// claim takes the right to run a call that may not be repeated. Without a key
-// there is nothing to claim.
-func (s *Sidecar) claim(ctx context.Context, o own, workspace string, m *peerv1.OnceKey) (*once.Ticket, *once.Answer, *errkind.Error) {
+// claim claims the idempotency key of an at-most-once call. It does nothing
+// for a call without a key.
+func (s *Sidecar) claim(ctx context.Context, a assignment, workspace string, m *peerv1.OnceKey) (*once.Ticket, *once.Answer, *errkind.Error) {
 	if m == nil {
 		return nil, nil, nil
 	}
-	return s.ledgerFor(o.service.Name).Claim(ctx, onceKey(o, workspace, m), termsOf(o.service))
+	return s.ledgerFor(a.service.Name).Claim(ctx, onceKey(a, workspace, m), onceTerms(a.service))
 }
 
-func termsOf(s *config.Service) once.Terms {
+func onceTerms(s *config.Service) once.Terms {
 	return once.Terms{Opaque: s.OpaqueKeys, Lifetime: s.KeyLifetime.Duration}
 }
 
-func onceKey(o own, workspace string, m *peerv1.OnceKey) once.Key {
-	return once.NewKey(workspace, o.service.Name, m.Key, m.IssuedUnixMs, m.Digest)
+func onceKey(a assignment, workspace string, m *peerv1.OnceKey) once.Key {
+	return once.NewKey(workspace, a.service.Name, m.Key, m.IssuedUnixMs, m.Digest)
 }
 
-// refuseOnce turns the gate's refusal of a call that may not be repeated into
-// one that is true for its key: overload closes the key, so that "not run"
-// holds; every other refusal leaves the key open for another target.
-func (s *Sidecar) refuseOnce(ctx context.Context, o own, workspace string, m *peerv1.OnceKey, refusal *errkind.Error) *errkind.Error {
+// refuseAtMostOnce returns the refusal of an at-most-once call for its key.
+// Overload closes the key, which guarantees that the call does not run later.
+// Other refusals leave the key open for another target.
+func (s *Sidecar) refuseAtMostOnce(ctx context.Context, a assignment, workspace string, m *peerv1.OnceKey, refusal *errkind.Error) *errkind.Error {
 	closes := refusal.Kind == errkind.Overloaded || refusal.Kind == errkind.DeadlineUnmeetable
 	if m == nil || !closes {
 		return refusal
 	}
-	ledger := s.ledgerFor(o.service.Name)
-	answer, closed := ledger.Close(context.WithoutCancel(ctx), onceKey(o, workspace, m), termsOf(o.service), refusal.RetryAfter, refusal.Error())
+	ledger := s.ledgerFor(a.service.Name)
+	answer, closed := ledger.Close(context.WithoutCancel(ctx), onceKey(a, workspace, m), onceTerms(a.service), refusal.RetryAfter, refusal.Error())
 	if answer != nil {
-		return errkind.After(errkind.InProgress, 0, "the call has run; ask again with the same key for its answer")
+		return errkind.After(errkind.InProgress, 0, "the call has run; retry with the same key for its response")
 	}
 	return closed
 }
 
-// ledgerFor returns the record of calls of a service.
+// ledgerFor returns the ledger of at-most-once calls for a service.
 func (s *Sidecar) ledgerFor(service string) *once.Ledger {
 	s.ledgerMu.Lock()
 	defer s.ledgerMu.Unlock()
--- a/internal/sidecar/gate.go
+++ b/internal/sidecar/gate.go
@@ -15,92 +15,94 @@
 )
 
 const (
-	// rateSmoothing is the weight of the newest measured prefill rate.
+	// rateSmoothing is the weight of the latest sample in the moving average of
+	// the prefill rate.
 	rateSmoothing = 0.1
-	// minRateTokens is the fewest computed tokens that say something of a rate.
+	// minRateTokens is the minimum number of prefilled tokens in a rate sample.
 	minRateTokens = 256
-	// decodeShare is the part of a token's decode time that a request of a
-	// full batch costs its target; it weighs long answers in fairness.
-	decodeShare = 2 * time.Millisecond
+	// decodeTokenCost is the share of target time that one decoded token costs
+	// in a full batch. It is used for fairness between workspaces.
+	decodeTokenCost = 2 * time.Millisecond
 )
 
-// Work describes a request to the gate.
+// GateRequest describes a request for admission.
 type GateRequest struct {
 	Workspace string
 	Weight    float64
 	Class     config.Class
 	Blocks    []uint64
-	// BlockTokens is the size of a block; PromptTokens the prompt's length.
+	// BlockTokens is the number of tokens in a block, PromptTokens in the prompt.
 	BlockTokens  int
 	PromptTokens int
 	MaxTokens    int
-	// Budget is the time left until the first token must be there.
+	// Budget is the time left until the deadline for the first token.
 	Budget time.Duration
 }
 
-// Quote is what a request would cost at this target now.
+// Quote estimates the cost of a request at this target.
 type Quote struct {
 	Wait          time.Duration
 	Prefill       time.Duration
 	MatchedTokens int
-	// Busy is the share of recent time that the target spent prefilling.
+	// Busy is the fraction of recent time that the target spent on prefill.
 	Busy float64
 }
 
-// Gate is the state of the one way to a target: its queue, its breaker, the
-// index of its cache and its measured rate. It decides and does no I/O. It is
+// Gate controls admission to a target. It holds the target's queue, circuit
+// breaker, prefix cache index and measured prefill rate. It does no I/O and is
 // safe for concurrent use.
 type Gate struct {
-	mu       sync.Mutex
-	now      func() time.Duration
-	queue    *admission.Queue
-	breaker  *breaker.Breaker
-	index    *prefix.Index
-	rate     float64
-	busy     busyMeter
-	draining bool
-	lastID   uint64
-	waiters  map[uint64]*Admission
+	mu          sync.Mutex
+	now         func() time.Duration
+	queue       *admission.Queue
+	breaker     *breaker.Breaker
+	index       *prefix.Index
+	prefillRate float64
+	busy        busyMeter
+	draining    bool
+	lastID      uint64
+	waiting     map[uint64]*Admission
 }
 
-// Pass is one request's way through the gate.
+// Admission is a request that is queued or running at the gate.
 type Admission struct {
-	gate   *Gate
-	id     uint64
-	work   GateRequest
-	permit breaker.Permit
-	// Decided receives nil when the request may start, or its refusal.
+	gate    *Gate
+	id      uint64
+	request GateRequest
+	permit  breaker.Permit
+	// Decided receives nil when the request may start, or a refusal.
 	Decided chan *errkind.Error
-	// MatchedTokens and Prefill are what was expected when the request came.
+	// MatchedTokens and Prefill are the estimates made on arrival.
 	MatchedTokens int
 	Prefill       time.Duration
 	startedAt     time.Duration
-	// expecting is set while the index counts the pass's blocks as coming.
-	expecting bool
+	// inProgress is set while the index counts the request's blocks as in
+	// progress.
+	inProgress bool
 }
 
-// NewGate returns an open gate. now counts from any start; rate is the prefill
-// rate in tokens a second that is assumed until one is measured.
+// NewGate returns an open gate. now is a monotonic clock with any origin. rate
+// is the initial prefill rate in tokens per second.
 func NewGate(limits admission.Limits, maxBlocks int, rate float64, now func() time.Duration) *Gate {
 	return &Gate{
-		now:     now,
-		queue:   admission.NewQueue(limits),
-		breaker: breaker.New(breaker.DefaultPolicy),
-		index:   prefix.NewIndex(maxBlocks),
-		rate:    rate,
-		waiters: map[uint64]*Admission{},
+		now:         now,
+		queue:       admission.NewQueue(limits),
+		breaker:     breaker.New(breaker.DefaultPolicy),
+		index:       prefix.NewIndex(maxBlocks),
+		prefillRate: rate,
+		waiting:     map[uint64]*Admission{},
 	}
 }
 
-// Drain makes the gate refuse new work as leaving.
+// Drain makes the gate refuse new requests.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.draining = true
 }
 
-// closedTo returns why no new work is taken, or nil. The caller holds mu.
-func (g *Gate) closedTo() *errkind.Error {
+// refusal returns why new requests are refused, or nil. The caller holds mu.
+func (g *Gate) refusal() *errkind.Error {
 	if g.draining {
 		return errkind.New(errkind.Leaving, "the target is leaving")
 	}
@@ -110,20 +112,20 @@
 	return nil
 }
 
-// Question is what a probe asks.
+// QuoteInput describes a prospective request.
 type QuoteInput struct {
-	// Workspace is the hash of the workspace's name.
+	// Workspace is the hash of the workspace name.
 	Workspace    uint32
 	Class        config.Class
 	Points       []prefix.Point
 	PromptTokens int
 }
 
-// Quote answers a probe.
+// Quote returns the estimated cost of a request, or why it would be refused.
 func (g *Gate) Quote(q QuoteInput) (Quote, *errkind.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if refusal := g.closedTo(); refusal != nil {
+	if refusal := g.refusal(); refusal != nil {
 		return Quote{}, refusal
 	}
 	matched := min(g.index.MatchPoints(q.Points), q.PromptTokens)
@@ -135,176 +137,176 @@
 	}, nil
 }
 
-func (g *Gate) matched(w GateRequest) int {
-	return min(g.index.Match(w.Blocks)*w.BlockTokens, w.PromptTokens)
+func (g *Gate) matchedTokens(req GateRequest) int {
+	return min(g.index.Match(req.Blocks)*req.BlockTokens, req.PromptTokens)
 }
 
 func (g *Gate) prefillTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / g.rate * float64(time.Second))
+	return time.Duration(float64(tokens) / g.prefillRate * float64(time.Second))
 }
 
-// Enter asks for admission. The answer comes on the pass's channel, at once or
-// later; a refusal for leaving or an open breaker comes as the error.
-func (g *Gate) Enter(w GateRequest) (*Admission, *errkind.Error) {
+// Enter requests admission. The decision is sent on the Decided channel of the
+// result. Enter returns an error if the gate is draining or its breaker is open.
+func (g *Gate) Enter(req GateRequest) (*Admission, *errkind.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if refusal := g.closedTo(); refusal != nil {
+	if refusal := g.refusal(); refusal != nil {
 		return nil, refusal
 	}
 	permit, ok, notBefore := g.breaker.Acquire(g.now())
 	if !ok {
 		return nil, errkind.After(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
 	}
-	matched := g.matched(w)
-	prefill := g.prefillTime(w.PromptTokens - matched)
+	matched := g.matchedTokens(req)
+	prefill := g.prefillTime(req.PromptTokens - matched)
 	g.lastID++
-	p := &Admission{gate: g, id: g.lastID, work: w, permit: permit, MatchedTokens: matched, Prefill: prefill, expecting: true, Decided: make(chan *errkind.Error, 1)}
-	g.waiters[p.id] = p
-	g.index.AddInProgress(w.Blocks)
-	g.noteBusy()
+	a := &Admission{gate: g, id: g.lastID, request: req, permit: permit, MatchedTokens: matched, Prefill: prefill, inProgress: true, Decided: make(chan *errkind.Error, 1)}
+	g.waiting[a.id] = a
+	g.index.AddInProgress(req.Blocks)
+	g.updateBusy()
 	g.deliver(g.queue.Offer(g.now(), admission.Request{
-		ID:        p.id,
-		Workspace: probe.WorkspaceHash(w.Workspace),
-		Weight:    w.Weight,
-		Class:     w.Class,
+		ID:        a.id,
+		Workspace: probe.WorkspaceHash(req.Workspace),
+		Weight:    req.Weight,
+		Class:     req.Class,
 		Prefill:   prefill,
-		Cost:      prefill + time.Duration(w.MaxTokens)*decodeShare,
-		Deadline:  g.now() + w.Budget,
+		Cost:      prefill + time.Duration(req.MaxTokens)*decodeTokenCost,
+		Deadline:  g.now() + req.Budget,
 	}))
-	return p, nil
+	return a, nil
 }
 
-// busyMeter measures the share of recent time in which something was under way.
+// busyMeter is a moving average of the fraction of time that the target was busy.
 type busyMeter struct {
-	level float64
-	at    time.Duration
+	average   float64
+	updatedAt time.Duration
 }
 
-// busyWindow is the time over which the share is averaged.
+// busyWindow is the time constant of the average.
 const busyWindow = 5 * time.Second
 
-// share returns the average, after counting the time since the last call as
-// busy or idle.
+// share counts the time since the previous call as busy or idle and returns
+// the updated average.
 func (m *busyMeter) share(now time.Duration, busy bool) float64 {
-	keep := math.Exp(-float64(now-m.at) / float64(busyWindow))
+	decay := math.Exp(-float64(now-m.updatedAt) / float64(busyWindow))
 	target := 0.0
 	if busy {
 		target = 1
 	}
-	m.level = target + (m.level-target)*keep
-	m.at = now
-	return m.level
+	m.average = target + (m.average-target)*decay
+	m.updatedAt = now
+	return m.average
 }
 
-// noteBusy counts the time up to now, before the queue changes.
-func (g *Gate) noteBusy() { g.busy.share(g.now(), g.queue.Prefilling() > 0) }
+// updateBusy updates the busy average. It is called before the queue changes.
+func (g *Gate) updateBusy() { g.busy.share(g.now(), g.queue.Prefilling() > 0) }
 
-// deliver hands outcomes to their passes. The caller holds mu.
+// deliver sends outcomes to their admissions. The caller holds mu.
 func (g *Gate) deliver(outcomes []admission.Outcome) {
 	for _, o := range outcomes {
-		p, ok := g.waiters[o.ID]
+		a, ok := g.waiting[o.ID]
 		if !ok || o.Verdict == admission.Wait {
 			continue
 		}
-		delete(g.waiters, o.ID)
-		p.startedAt = g.now()
+		delete(g.waiting, o.ID)
+		a.startedAt = g.now()
 		if o.Verdict == admission.Refuse {
-			g.forget(p)
-			g.breaker.Complete(g.now(), p.permit, breaker.Neutral)
+			g.removeInProgress(a)
+			g.breaker.Complete(g.now(), a.permit, breaker.Neutral)
 		}
-		p.Decided <- o.Refusal
+		a.Decided <- o.Refusal
 	}
 }
 
-// forget takes back that the index expects a pass's blocks.
-func (g *Gate) forget(p *Admission) {
-	if p.expecting {
-		p.expecting = false
-		g.index.RemoveInProgress(p.work.Blocks)
+// removeInProgress removes the request's blocks in progress from the index.
+func (g *Gate) removeInProgress(a *Admission) {
+	if a.inProgress {
+		a.inProgress = false
+		g.index.RemoveInProgress(a.request.Blocks)
 	}
 }
 
-// Expire refuses waiting requests whose deadline can no longer be met.
+// Expire refuses queued requests whose deadline can no longer be met.
 func (g *Gate) Expire() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.deliver(g.queue.Expire(g.now()))
 }
 
-// FirstToken tells that the first token is there, from an incarnation of the
-// engine that said how many tokens it had cached.
-func (p *Admission) FirstToken(incarnation string, cached int) {
-	g := p.gate
+// FirstToken records the first token. incarnation is that of the engine, cached
+// the number of prompt tokens that it found in its cache.
+func (a *Admission) FirstToken(incarnation string, cached int) {
+	g := a.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.learnRate(p.work.PromptTokens-cached, g.now()-p.startedAt)
-	g.index.AddCached(incarnation, p.work.Blocks)
-	g.forget(p)
-	g.breaker.Complete(g.now(), p.permit, breaker.Success)
-	g.noteBusy()
-	g.deliver(g.queue.FirstToken(g.now(), p.id))
+	g.updateRate(a.request.PromptTokens-cached, g.now()-a.startedAt)
+	g.index.AddCached(incarnation, a.request.Blocks)
+	g.removeInProgress(a)
+	g.breaker.Complete(g.now(), a.permit, breaker.Success)
+	g.updateBusy()
+	g.deliver(g.queue.FirstToken(g.now(), a.id))
 }
 
-func (g *Gate) learnRate(tokens int, took time.Duration) {
+func (g *Gate) updateRate(tokens int, took time.Duration) {
 	if tokens < minRateTokens || took <= 0 {
 		return
 	}
 	rate := float64(tokens) / took.Seconds()
-	g.rate += rateSmoothing * (rate - g.rate)
+	g.prefillRate += rateSmoothing * (rate - g.prefillRate)
 }
 
-// Leave ends a pass that was started. result says what it tells of the
-// target's health.
-func (p *Admission) Release(result breaker.Result) {
-	g := p.gate
+// Release ends a request that was started and reports its result to the
+// breaker.
+func (a *Admission) Release(result breaker.Result) {
+	g := a.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.breaker.Complete(g.now(), p.permit, result)
-	g.forget(p)
-	g.noteBusy()
-	g.deliver(g.queue.Finish(g.now(), p.id))
+	g.breaker.Complete(g.now(), a.permit, result)
+	g.removeInProgress(a)
+	g.updateBusy()
+	g.deliver(g.queue.Finish(g.now(), a.id))
 }
 
-// Abandon ends a pass whose caller has gone, waiting or started.
-func (p *Admission) Abandon() {
-	g := p.gate
+// Abandon ends a queued or started request whose caller has disconnected.
+func (a *Admission) Abandon() {
+	g := a.gate
 	g.mu.Lock()
-	waiting := g.queue.Cancel(p.id)
+	waiting := g.queue.Cancel(a.id)
 	if waiting {
-		delete(g.waiters, p.id)
-		g.forget(p)
-		g.breaker.Complete(g.now(), p.permit, breaker.Neutral)
+		delete(g.waiting, a.id)
+		g.removeInProgress(a)
+		g.breaker.Complete(g.now(), a.permit, breaker.Neutral)
 	}
 	g.mu.Unlock()
 	if waiting {
 		return
 	}
-	if refusal := <-p.Decided; refusal == nil {
-		p.Release(breaker.Neutral)
+	if refusal := <-a.Decided; refusal == nil {
+		a.Release(breaker.Neutral)
 	}
 }
 
-// ApplyEvents updates the index by a page of cache events.
+// ApplyEvents applies a page of cache events to the index.
 func (g *Gate) ApplyEvents(page *external.EventPage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.index.Apply(page)
 }
 
-// NextEvent is the number of the first cache event not seen yet.
+// NextEventSeq returns the sequence number of the next cache event to read.
 func (g *Gate) NextEventSeq() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.index.NextSeq()
 }
 
-// Counts are the gate's figures for metrics.
+// Counts are the gauges that the gate exports as metrics.
 type Counts struct {
 	Waiting, Running, Blocks int
 	Gaps                     uint64
 }
 
-// Counts returns the gate's figures.
+// Counts returns the current values of the gauges.
 func (g *Gate) Counts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/sidecar/loader.go
+++ b/internal/sidecar/loader.go
@@ -14,93 +14,92 @@
 	"github.com/toucanwell/toucanwell/internal/loadslot"
 )
 
-const orderTimeout = 5 * time.Minute
+const loadTimeout = 5 * time.Minute
 
-// loader orders its engine to load the weights in force. It is a controller.
+// loader is the controller that makes its engine load the configured weights.
 //
-// Weights come from a store that bears few loads at once. The places are
-// tickets on a log stream (package loadslot): the offset of a sidecar's ticket
-// is its place in line and the fencing number of its order. No ticket lapses.
-// A holder that is frozen keeps its place, since it might still give its order
-// when it wakes, and beside an engine that ignores fencing numbers nothing
-// could refuse it. A holder that died is replaced by a process on the same
-// listening address, which can bind it only when the old one is gone; the new
-// one takes the dead one's tickets back, after its engine has said that it is
-// not loading.
+// The weights store supports few concurrent loads, so sidecars queue for load
+// slots with tickets on a log stream (package loadslot). The offset of a ticket
+// is its queue position and the fencing number of the load order. Tickets never
+// expire: a frozen holder may still send its order when it resumes, and an
+// engine that ignores fencing numbers would accept it. A crashed holder is
+// replaced by a process on the same listen address, which it can bind only
+// after the old process has ended. The new process releases the old tickets
+// once its engine reports that it is not loading.
 type loader struct {
-	sidecar *Sidecar
-	line    *loadslot.Line
-	nonce   string
-	busy    bool
-	// ordered is the highest fencing number given to the engine.
-	ordered uint64
-	// clean is set when the line was read and holds no ticket of an earlier
-	// process.
-	clean bool
-	// failedAt is when an order failed; zero when none did.
+	sidecar   *Sidecar
+	queue     *loadslot.Line
+	nonce     string
+	ioPending bool
+	// lastFence is the highest fencing number sent to the engine.
+	lastFence uint64
+	// recovered is set when the queue was read and holds no ticket of an earlier
+	// process of this sidecar.
+	recovered bool
+	// failedAt is when the load order failed, or zero.
 	failedAt time.Time
-	// drainSince is when the loader began to wait for runs to end.
-	drainSince time.Time
-	// inLine tells the timer whether there is a ticket.
-	inLine atomic.Bool
+	// drainStartedAt is when the loader began to wait for the engine's runs.
+	drainStartedAt time.Time
+	// queued is set while the loader has a ticket. Other goroutines read it.
+	queued atomic.Bool
 }
 
 func newLoader(s *Sidecar) *loader {
-	return &loader{sidecar: s, line: loadslot.NewLine()}
+	return &loader{sidecar: s, queue: loadslot.NewLine()}
 }
 
-// period is the time to the next step; any thread may ask.
+// period returns the time to the next step. It is safe for concurrent use.
 func (l *loader) period() time.Duration {
-	if l.inLine.Load() {
-		return loaderBusy
+	if l.queued.Load() {
+		return loaderQueuedPeriod
 	}
-	return loaderIdle
+	return loaderIdlePeriod
 }
 
-// step moves the loader by one action at most. It runs on the control thread.
+// step takes at most one action. It runs on the control thread.
 func (l *loader) step() {
 	s := l.sidecar
-	l.inLine.Store(l.nonce != "")
-	if l.busy {
+	l.queued.Store(l.nonce != "")
+	if l.ioPending {
 		return
 	}
-	o, refusal := s.own()
-	if refusal != nil || o.model == nil {
+	a, refusal := s.assignment()
+	if refusal != nil || a.model == nil {
 		return
 	}
 	engine, known := s.board.Engine.Get()
 	if !known || engine.Loading {
 		return
 	}
-	if l.clean && l.nonce == "" && engine.Weights == o.model.Weights {
+	if l.recovered && l.nonce == "" && engine.Weights == a.model.Weights {
 		return
 	}
-	l.busy = true
-	stream := loadslot.StreamOf(o.service.Name)
-	from := l.line.Next()
+	l.ioPending = true
+	stream := loadslot.StreamOf(a.service.Name)
+	from := l.queue.Next()
 	control.Do(s.loop, ioTimeout, func(ctx context.Context) (*external.Page, error) {
 		return s.log.Read(ctx, stream, from)
 	}, func(page *external.Page, err error) {
-		l.busy = false
+		l.ioPending = false
 		if err != nil {
 			s.metrics.LogError("read")
 			return
 		}
-		l.line.Read(page)
-		l.act(o, stream, engine)
+		l.queue.Read(page)
+		l.advance(a, stream, engine)
 	})
 }
 
-// act takes the next step: give back a dead holder's tickets, take a ticket,
-// wait in line, load, or give the ticket back.
-func (l *loader) act(o own, stream string, engine external.EngineStatus) {
+// advance takes the next action: release tickets of an earlier process, acquire
+// a ticket, wait for a slot, order the load, or release the ticket.
+func (l *loader) advance(a assignment, stream string, engine external.EngineStatus) {
 	name := l.sidecar.settings.Name
-	if stale := l.line.StaleOf(name, l.nonce); len(stale) > 0 {
+	if stale := l.queue.StaleOf(name, l.nonce); len(stale) > 0 {
 		l.append(stream, loadslot.Record{Type: loadslot.TypeRelease, Target: name, Nonce: stale[0]})
 		return
 	}
-	l.clean = true
-	if l.nonce == "" && engine.Weights == o.model.Weights {
+	l.recovered = true
+	if l.nonce == "" && engine.Weights == a.model.Weights {
 		return
 	}
 	if l.nonce == "" {
@@ -108,43 +107,43 @@
 		l.append(stream, loadslot.Record{Type: loadslot.TypeAcquire, Target: name, Nonce: l.nonce})
 		return
 	}
-	ticket, held := l.line.Ticket(l.nonce)
+	ticket, held := l.queue.Ticket(l.nonce)
 	switch {
-	case engine.Weights == o.model.Weights && held:
+	case engine.Weights == a.model.Weights && held:
 		l.failedAt = time.Time{}
 		l.append(stream, loadslot.Record{Type: loadslot.TypeRelease, Target: name, Nonce: l.nonce})
-	case engine.Weights == o.model.Weights:
+	case engine.Weights == a.model.Weights:
 		l.nonce = ""
 	case !held:
 		l.append(stream, loadslot.Record{Type: loadslot.TypeAcquire, Target: name, Nonce: l.nonce})
 	case !l.failedAt.IsZero():
-		l.giveWay(stream)
-	case l.line.Holds(l.nonce, o.service.MaxLoads, isListed(o)) && l.drained():
-		l.order(o, ticket)
+		l.requeue(stream)
+	case l.queue.Holds(l.nonce, a.service.MaxLoads, isListed(a)) && l.drained():
+		l.sendOrder(a, ticket)
 	}
 }
 
-// drained reports whether the engine's runs have ended. The gate takes none for
-// other weights than those in force, so that they do; a load under a run would
-// cut its answer. After a bound the load goes ahead, since the ticket keeps
-// others waiting, and what still runs is continued or refused like any run on an
-// engine that was lost.
+// drained reports whether the load may start. A load would cut off running
+// completions, so the loader waits for them; the gate admits no new ones for
+// outdated weights. After the drain timeout the load starts anyway, because the
+// ticket blocks other sidecars. Remaining runs are then handled like runs on a
+// crashed engine.
 func (l *loader) drained() bool {
 	if l.sidecar.gate.Counts().Running == 0 {
-		l.drainSince = time.Time{}
+		l.drainStartedAt = time.Time{}
 		return true
 	}
-	if l.drainSince.IsZero() {
-		l.drainSince = time.Now()
+	if l.drainStartedAt.IsZero() {
+		l.drainStartedAt = time.Now()
 	}
-	return time.Since(l.drainSince) > l.sidecar.settings.Timing.DrainTimeout.Duration
+	return time.Since(l.drainStartedAt) > l.sidecar.settings.Timing.DrainTimeout.Duration
 }
 
-// giveWay goes to the end of the line after a failed order, once the engine
-// has said since that it is not loading: the order's answer may have been lost
-// after it took effect, and a place given back early would let one load too
-// many run.
-func (l *loader) giveWay(stream string) {
+// requeue releases the ticket after a failed order, so that the loader queues
+// again at the end. It first waits for a later engine status that shows no load:
+// only the response to the order may have been lost, and an early release would
+// allow one load too many.
+func (l *loader) requeue(stream string) {
 	entry := l.sidecar.board.Engine.Entry()
 	if !entry.PostedAt.After(l.failedAt) || entry.Value.Loading {
 		return
@@ -155,12 +154,12 @@
 	l.append(stream, loadslot.Record{Type: loadslot.TypeRelease, Target: l.sidecar.settings.Name, Nonce: nonce})
 }
 
-// isListed tells which targets the configuration lists; tickets of others do
-// not count, which is how an operator frees the place of a host that is gone
-// for good.
-func isListed(o own) func(target string) bool {
-	listed := make(map[string]bool, len(o.service.Targets))
-	for _, t := range o.service.Targets {
+// isListed returns a function that reports whether the configuration lists a
+// target. Tickets of unlisted targets are ignored, so an operator can free the
+// slot of a lost host by removing its target.
+func isListed(a assignment) func(target string) bool {
+	listed := make(map[string]bool, len(a.service.Targets))
+	for _, t := range a.service.Targets {
 		listed[t.Name] = true
 	}
 	return func(target string) bool { return listed[target] }
@@ -171,43 +170,44 @@
 	if err != nil {
 		return
 	}
-	l.busy = true
+	l.ioPending = true
 	control.Do(l.sidecar.loop, ioTimeout, func(ctx context.Context) (uint64, error) {
 		return l.sidecar.log.Append(ctx, stream, data)
 	}, func(_ uint64, err error) {
-		// A lost answer needs no care: the next step reads the stream, and a
-		// repeated record with the same nonce changes nothing.
-		l.busy = false
+		// A lost response is harmless: the next step reads the stream, and a
+		// repeated record with the same nonce has no effect.
+		l.ioPending = false
 		if err != nil {
 			l.sidecar.metrics.LogError("append")
 		}
 	})
 }
 
-// order gives the load order, unless a newer one was given: a late order of an
-// earlier ticket must not reach an engine that ignores fencing numbers.
-func (l *loader) order(o own, fence uint64) {
+// sendOrder sends a load order to the engine, unless a newer one was sent. A late
+// order for an earlier ticket must not reach an engine that ignores fencing
+// numbers.
+func (l *loader) sendOrder(a assignment, fence uint64) {
 	s := l.sidecar
-	if fence < l.ordered {
+	if fence < l.lastFence {
 		return
 	}
-	l.ordered = fence
-	l.drainSince = time.Time{}
-	l.busy = true
-	s.logger.Info("load_order", "model", o.model.Name, "weights", o.model.Weights, "fence", fence)
-	order := external.LoadOrder{Model: o.model.Name, Weights: o.model.Weights, Fence: fence}
-	control.Do(s.loop, orderTimeout, func(ctx context.Context) (*external.EngineStatus, error) {
+	l.lastFence = fence
+	l.drainStartedAt = time.Time{}
+	l.ioPending = true
+	s.logger.Info("load_order", "model", a.model.Name, "weights", a.model.Weights, "fence", fence)
+	order := external.LoadOrder{Model: a.model.Name, Weights: a.model.Weights, Fence: fence}
+	control.Do(s.loop, loadTimeout, func(ctx context.Context) (*external.EngineStatus, error) {
 		if err := s.engine.LoadWeights(ctx, order); err != nil {
 			return nil, err
 		}
 		return s.engine.Status(ctx)
-	}, func(load *external.EngineStatus, err error) {
-		l.busy = false
+	}, func(status *external.EngineStatus, err error) {
+		l.ioPending = false
 		if err != nil {
 			l.failedAt = time.Now()
 			s.logger.Info("load_order_failed", "fence", fence, "stale", errors.Is(err, external.ErrStaleFence), "error", err.Error())
 			return
 		}
-		s.board.Engine.Post(*load, time.Now())
+		s.board.Engine.Post(*status, time.Now())
 	})
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -19,123 +19,123 @@
 )
 
 const (
-	// engineResumes is how often one run continues a cut engine stream without
-	// a new frame in between.
-	engineResumes = 3
-	resumePause   = 50 * time.Millisecond
-	cancelTimeout = 2 * time.Second
+	// maxEngineResumes is how often a run resumes an interrupted engine stream
+	// without a new frame in between.
+	maxEngineResumes  = 3
+	engineResumeDelay = 50 * time.Millisecond
+	cancelTimeout     = 2 * time.Second
 )
 
-// run is one completion at the engine. It goes on while its reader is away,
-// for the time of the resume grace.
+// run is a completion at the engine. It continues without a reader for the
+// resume grace period.
 type run struct {
 	engineID string
 	buffer   *stream.Buffer
 	cancel   context.CancelFunc
-	// finished is closed when the run has left the engine.
+	// finished is closed when the run has ended at the engine.
 	finished chan struct{}
 }
 
-// runKey names a run. The workspace is part of it, so that no caller reaches
-// another workspace's stream.
+// runKey identifies a run. It includes the workspace, so that callers cannot
+// read streams of other workspaces.
 type runKey struct{ workspace, requestID string }
 
-// engineID names the run at the engine in a way that a restarted sidecar can
-// work out again, and that another workspace cannot.
+// engineID returns the request ID of the run at the engine. It is derived from
+// the key, so that a restarted sidecar can resume the run, and differs between
+// workspaces.
 func (k runKey) engineID() string {
 	sum := sha256.Sum256([]byte(k.workspace + "\x00" + k.requestID))
 	return hex.EncodeToString(sum[:16])
 }
 
-// runs is the registry of a sidecar's runs. It is safe for concurrent use.
+// runs is the registry of runs of a sidecar. It is safe for concurrent use.
 type runs struct {
-	mu  sync.Mutex
-	all map[runKey]*run
+	mu    sync.Mutex
+	byKey map[runKey]*run
 }
 
-func newRuns() *runs { return &runs{all: map[runKey]*run{}} }
+func newRuns() *runs { return &runs{byKey: map[runKey]*run{}} }
 
 func (r *runs) get(key runKey) (*run, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	found, ok := r.all[key]
-	return found, ok
+	existing, ok := r.byKey[key]
+	return existing, ok
 }
 
-// add registers a run, or returns the one that is there.
-func (r *runs) add(key runKey, fresh *run) (*run, bool) {
+// add registers a run, or returns the existing run and false.
+func (r *runs) add(key runKey, newRun *run) (*run, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if found, ok := r.all[key]; ok {
-		return found, false
+	if existing, ok := r.byKey[key]; ok {
+		return existing, false
 	}
-	r.all[key] = fresh
-	return fresh, true
+	r.byKey[key] = newRun
+	return newRun, true
 }
 
-// unread counts the runs that have not ended.
-func (r *runs) unread() int {
+// active returns the number of runs that have not ended.
+func (r *runs) active() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, one := range r.all {
-		if !one.buffer.Ended() {
+	for _, current := range r.byKey {
+		if !current.buffer.Ended() {
 			n++
 		}
 	}
 	return n
 }
 
-// reap ends the runs that no reader follows for longer than the grace, and
-// forgets those that have ended.
+// reap cancels and removes runs that have had no reader for the grace period.
 func (r *runs) reap(now time.Time, grace time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for key, one := range r.all {
-		since, idle := one.buffer.IdleSince()
+	for key, current := range r.byKey {
+		since, idle := current.buffer.IdleSince()
 		if !idle || now.Sub(since) < grace {
 			continue
 		}
-		one.cancel()
-		delete(r.all, key)
+		current.cancel()
+		delete(r.byKey, key)
 	}
 }
 
-// startRun starts a completion whose pass was decided.
-func (s *Sidecar) startRun(one *run, pass *Admission, request *external.GenerateRequest, ticket *once.Ticket) {
+// startRun starts an admitted completion.
+func (s *Sidecar) startRun(r *run, admission *Admission, request *external.GenerateRequest, ticket *once.Ticket) {
 	ctx, cancel := context.WithCancel(s.ctx)
-	one.cancel = cancel
+	r.cancel = cancel
 	s.tasks.Add(1)
 	go func() {
 		defer s.tasks.Done()
 		defer cancel()
-		defer close(one.finished)
-		p := &pump{sidecar: s, run: one, pass: pass, ticket: ticket, request: request}
-		pass.Release(p.work(ctx))
+		defer close(r.finished)
+		p := &pump{sidecar: s, run: r, admission: admission, ticket: ticket, request: request}
+		admission.Release(p.pump(ctx))
 	}()
 }
 
-// pump moves an engine's tokens into a run's buffer.
+// pump copies the tokens of an engine stream to the buffer of a run.
 type pump struct {
-	sidecar *Sidecar
-	run     *run
-	pass    *Admission
-	ticket  *once.Ticket
-	request *external.GenerateRequest
-	first   bool
-	text    []byte
+	sidecar   *Sidecar
+	run       *run
+	admission *Admission
+	ticket    *once.Ticket
+	request   *external.GenerateRequest
+	started   bool
+	text      []byte
 }
 
-// work returns what the run says of the engine's health.
-func (p *pump) work(ctx context.Context) breaker.Result {
+// pump runs the completion and returns its result for the breaker.
+func (p *pump) pump(ctx context.Context) breaker.Result {
 	tokens, err := p.sidecar.engine.Generate(ctx, p.request)
 	if err != nil {
-		return p.refuseStart(ctx, err)
+		return p.startFailed(ctx, err)
 	}
-	err = p.copyAll(ctx, tokens)
+	err = p.copyToEnd(ctx, tokens)
 	switch {
 	case err == nil:
-		p.endTicket()
+		p.completeTicket()
 		return breaker.Success
 	case ctx.Err() != nil:
 		p.cancelEngine()
@@ -145,32 +145,32 @@
 	default:
 		p.loseTicket()
 		p.sidecar.logger.Info("run_failed", "request_id", p.run.engineID, "error", err.Error())
-		p.run.buffer.Refuse(&peerv1.Refusal{Kind: uint32(p.brokenKind()), Detail: err.Error()})
+		p.run.buffer.Refuse(&peerv1.Refusal{Kind: uint32(p.failureKind()), Detail: err.Error()})
 		return breaker.Failure
 	}
 }
 
-// brokenKind is the kind for an engine that was lost on the way: a call that
-// may not be repeated has an unknown outcome, another may run elsewhere.
-func (p *pump) brokenKind() errkind.Kind {
+// failureKind returns the error kind for a run whose engine failed. The outcome
+// of an at-most-once run is unknown; other runs may be retried elsewhere.
+func (p *pump) failureKind() errkind.Kind {
 	if p.ticket != nil {
 		return errkind.OutcomeUnknown
 	}
 	return errkind.TargetFailed
 }
 
-// refuseStart handles a generate call that gave no stream.
-func (p *pump) refuseStart(ctx context.Context, err error) breaker.Result {
+// startFailed handles a Generate call that returned no stream.
+func (p *pump) startFailed(ctx context.Context, err error) breaker.Result {
 	if errors.Is(err, external.ErrWrongWeights) {
-		p.refuseUnrun(errkind.New(errkind.WrongWeights, "the engine has other weights"))
+		p.refuseNotRun(errkind.New(errkind.WrongWeights, "the engine has different weights loaded"))
 		return breaker.Neutral
 	}
 	if errors.Is(err, external.ErrNotSent) {
-		p.refuseUnrun(errkind.New(errkind.TargetFailed, "%v", err))
+		p.refuseNotRun(errkind.New(errkind.TargetFailed, "%v", err))
 		return breaker.Failure
 	}
 	p.loseTicket()
-	p.run.buffer.Refuse(&peerv1.Refusal{Kind: uint32(p.brokenKind()), Detail: err.Error()})
+	p.run.buffer.Refuse(&peerv1.Refusal{Kind: uint32(p.failureKind()), Detail: err.Error()})
 	if ctx.Err() != nil {
 		p.cancelEngine()
 		return breaker.Neutral
@@ -178,9 +178,9 @@
 	return breaker.Failure
 }
 
-// refuseUnrun refuses a run that certainly did not start. A claimed key is
-// closed first, so that the refusal is true for the key.
-func (p *pump) refuseUnrun(refusal *errkind.Error) {
+// refuseNotRun refuses a run that did not start. A claimed key is voided first,
+// which guarantees that the run does not start later.
+func (p *pump) refuseNotRun(refusal *errkind.Error) {
 	if p.ticket != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
@@ -189,7 +189,7 @@
 	p.run.buffer.Refuse(refusalMessage(refusal))
 }
 
-func (p *pump) endTicket() {
+func (p *pump) completeTicket() {
 	if p.ticket != nil {
 		p.ticket.Done(once.Answer{Status: 200, ContentType: "text/plain", Body: p.text})
 	}
@@ -201,15 +201,14 @@
 	}
 }
 
-// copyAll copies tokens up to the end mark. A stream that is cut, or that
-// skips a number, is continued at the engine from the next frame: the failure
-// guarded against is a lost connection beside a living engine, which shows as
-// an error or a gap before the end mark.
-func (p *pump) copyAll(ctx context.Context, tokens external.TokenStream) error {
+// copyToEnd copies tokens up to the end mark. If the stream breaks or skips a
+// sequence number, it is resumed at the next frame: the connection may have been
+// lost while the engine still runs.
+func (p *pump) copyToEnd(ctx context.Context, tokens external.TokenStream) error {
 	failures := 0
 	for {
 		before := p.run.buffer.Next()
-		err := p.copy(tokens)
+		err := p.copyStream(tokens)
 		_ = tokens.Close()
 		if err == nil {
 			return nil
@@ -224,11 +223,11 @@
 	}
 }
 
-// resume opens the stream again. Only an engine that knows no such stream ends
-// the tries early: it has lost it.
+// resume reopens the stream, with retries. It stops early if the engine does not
+// know the stream.
 func (p *pump) resume(ctx context.Context, failures *int, cause error) (external.TokenStream, error) {
 	for {
-		if *failures++; *failures > engineResumes || !sleep.For(ctx, resumePause) {
+		if *failures++; *failures > maxEngineResumes || !sleep.For(ctx, engineResumeDelay) {
 			return nil, cause
 		}
 		tokens, err := p.sidecar.engine.Resume(ctx, p.run.engineID, p.run.buffer.Next())
@@ -239,30 +238,31 @@
 	}
 }
 
-// copy copies until the end mark, and fails at a cut or a gap.
-func (p *pump) copy(tokens external.TokenStream) error {
+// copyStream copies tokens up to the end mark. It fails if the stream breaks or
+// skips a sequence number.
+func (p *pump) copyStream(tokens external.TokenStream) error {
 	for {
 		token, err := tokens.Next()
 		if err != nil {
 			return err
 		}
 		if token.Seq > p.run.buffer.Next() {
-			return errors.Newf("frame %d came when %d was due", token.Seq, p.run.buffer.Next())
+			return errors.Newf("received frame %d, expected %d", token.Seq, p.run.buffer.Next())
 		}
 		if token.Seq < p.run.buffer.Next() {
 			continue
 		}
-		p.take(token)
+		p.handleToken(token)
 		if token.End {
 			return nil
 		}
 	}
 }
 
-func (p *pump) take(token external.Token) {
-	if !p.first {
-		p.first = true
-		p.pass.FirstToken(token.Incarnation, token.CachedTokens)
+func (p *pump) handleToken(token external.Token) {
+	if !p.started {
+		p.started = true
+		p.admission.FirstToken(token.Incarnation, token.CachedTokens)
 	}
 	frame := &peerv1.Frame{Seq: token.Seq, Text: token.Text}
 	if token.End {
@@ -279,7 +279,7 @@
 	p.run.buffer.Append(frame)
 }
 
-// cancelEngine frees the engine of a run that nobody reads.
+// cancelEngine cancels the run at the engine.
 func (p *pump) cancelEngine() {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
@@ -288,8 +288,8 @@
 	}
 }
 
-// adoptRun continues a run that this process does not know from the engine:
-// the sidecar was restarted while its engine lived.
+// adoptRun resumes a run that the engine started for an earlier process of this
+// sidecar.
 func (s *Sidecar) adoptRun(ctx context.Context, key runKey, from uint64) (*run, error) {
 	engineID := key.engineID()
 	runCtx, cancel := context.WithCancel(s.ctx)
@@ -298,25 +298,25 @@
 		cancel()
 		return nil, err
 	}
-	fresh := &run{engineID: engineID, buffer: stream.NewBuffer(from, time.Now), cancel: cancel, finished: make(chan struct{})}
-	one, added := s.runs.add(key, fresh)
+	newRun := &run{engineID: engineID, buffer: stream.NewBuffer(from, time.Now), cancel: cancel, finished: make(chan struct{})}
+	r, added := s.runs.add(key, newRun)
 	if !added {
 		cancel()
 		_ = tokens.Close()
-		return one, nil
+		return r, nil
 	}
 	s.logger.Info("run_adopted", "request_id", key.requestID, "from_seq", from)
 	s.tasks.Add(1)
 	go func() {
 		defer s.tasks.Done()
 		defer cancel()
-		defer close(one.finished)
-		p := &pump{sidecar: s, run: one, pass: &Admission{}, first: true, request: &external.GenerateRequest{}}
-		if err := p.copyAll(runCtx, tokens); err != nil {
-			one.buffer.Refuse(&peerv1.Refusal{Kind: uint32(errkind.TargetFailed), Detail: err.Error()})
+		defer close(r.finished)
+		p := &pump{sidecar: s, run: r, admission: &Admission{}, started: true, request: &external.GenerateRequest{}}
+		if err := p.copyToEnd(runCtx, tokens); err != nil {
+			r.buffer.Refuse(&peerv1.Refusal{Kind: uint32(errkind.TargetFailed), Detail: err.Error()})
 		}
 	}()
-	return one, nil
+	return r, nil
 }
 
 func refusalMessage(e *errkind.Error) *peerv1.Refusal {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -20,44 +20,44 @@
 
 const (
 	permille = 1000
-	// expiryMargin lets the queue's clock pass the deadline for certain.
+	// expiryMargin ensures that the deadline has passed when the timer fires.
 	expiryMargin = time.Millisecond
 )
 
-// own is this sidecar's part of the configuration in force.
-type own struct {
+// assignment is the configuration of this sidecar's target.
+type assignment struct {
 	snapshot configlog.Snapshot
 	service  *config.Service
 	model    *config.Model
 }
 
-// own returns this sidecar's part of the configuration, or why it has none.
-func (s *Sidecar) own() (own, *errkind.Error) {
+// assignment returns the current configuration of the target, or why there is
+// none.
+func (s *Sidecar) assignment() (assignment, *errkind.Error) {
 	snapshot, ok := s.board.Config.Get()
 	if !ok {
-		return own{}, errkind.After(errkind.ConfigurationMissing, time.Second, "")
+		return assignment{}, errkind.After(errkind.ConfigurationMissing, time.Second, "")
 	}
 	service, _ := snapshot.Config.FindTarget(s.settings.Name)
 	if service == nil {
-		return own{}, errkind.New(errkind.Leaving, "the configuration no longer lists this target")
+		return assignment{}, errkind.New(errkind.Leaving, "the configuration no longer lists this target")
 	}
-	return own{snapshot: snapshot, service: service, model: snapshot.Config.ModelOf(service.Name)}, nil
+	return assignment{snapshot: snapshot, service: service, model: snapshot.Config.ModelOf(service.Name)}, nil
 }
 
-// readyFor refuses work for other weights than those in force, also when the
-// engine still has them: they are to be replaced, and entries that ask for them
-// have an old configuration.
-func (s *Sidecar) readyFor(o own, weights string) *errkind.Error {
-	if o.service.Kind != config.KindEngine {
+// checkWeights refuses requests for weights other than the configured ones, even
+// if the engine still has them loaded, because they are about to be replaced.
+func (s *Sidecar) checkWeights(a assignment, weights string) *errkind.Error {
+	if a.service.Kind != config.KindEngine {
 		return nil
 	}
-	if weights != o.model.Weights {
-		return errkind.New(errkind.WrongWeights, "%q is in force, asked for %q", o.model.Weights, weights)
+	if weights != a.model.Weights {
+		return errkind.New(errkind.WrongWeights, "the configured weights are %q, requested %q", a.model.Weights, weights)
 	}
 	loaded, _ := s.board.Engine.Get()
 	if loaded.Weights != weights || loaded.Loading {
 		const loadRetry = 200 * time.Millisecond
-		return errkind.After(errkind.WrongWeights, loadRetry, "loaded %q, asked for %q", loaded.Weights, weights)
+		return errkind.After(errkind.WrongWeights, loadRetry, "the engine has %q loaded, requested %q", loaded.Weights, weights)
 	}
 	return nil
 }
@@ -79,13 +79,13 @@
 }
 
 func (s *Sidecar) quote(m *peerv1.ProbeRequest, resp *peerv1.ProbeResponse) (Quote, *errkind.Error) {
-	o, refusal := s.own()
+	a, refusal := s.assignment()
 	if refusal != nil {
 		return Quote{}, refusal
 	}
-	resp.ConfigVersion = o.snapshot.Version
-	if o.model != nil {
-		if refusal := s.readyFor(o, o.model.Weights); refusal != nil {
+	resp.ConfigVersion = a.snapshot.Version
+	if a.model != nil {
+		if refusal := s.checkWeights(a, a.model.Weights); refusal != nil {
 			return Quote{}, refusal
 		}
 	}
@@ -100,22 +100,22 @@
 // Run implements the Gate service.
 func (s *Sidecar) Run(ctx context.Context, req *connect.Request[peerv1.RunRequest], out *connect.ServerStream[peerv1.Frame]) error {
 	m := req.Msg
-	s.noteVersion(m.ConfigVersion)
+	s.observeVersion(m.ConfigVersion)
 	key := runKey{m.Workspace, m.RequestId}
-	if one, ok := s.runs.get(key); ok {
-		return s.follow(ctx, one, m.FromSeq, out)
+	if r, ok := s.runs.get(key); ok {
+		return s.follow(ctx, r, m.FromSeq, out)
 	}
-	one, refusal := s.admitRun(ctx, key, m)
+	r, refusal := s.admitRun(ctx, key, m)
 	if refusal != nil {
 		snapshot, _ := s.board.Config.Get()
 		return out.Send(&peerv1.Frame{Refusal: refusalMessage(refusal), ConfigVersion: snapshot.Version})
 	}
-	return s.follow(ctx, one, m.FromSeq, out)
+	return s.follow(ctx, r, m.FromSeq, out)
 }
 
-func (s *Sidecar) follow(ctx context.Context, one *run, from uint64, out *connect.ServerStream[peerv1.Frame]) error {
+func (s *Sidecar) follow(ctx context.Context, r *run, from uint64, out *connect.ServerStream[peerv1.Frame]) error {
 	snapshot, _ := s.board.Config.Get()
-	return one.buffer.Follow(ctx, from, func(f *peerv1.Frame) error {
+	return r.buffer.Follow(ctx, from, func(f *peerv1.Frame) error {
 		if f.Seq == from || f.End != nil {
 			f = &peerv1.Frame{Seq: f.Seq, Text: f.Text, End: f.End, Refusal: f.Refusal, ConfigVersion: snapshot.Version}
 		}
@@ -123,52 +123,52 @@
 	})
 }
 
-// admitRun takes a completion through the gate and starts it.
+// admitRun waits for admission of a completion and starts it.
 func (s *Sidecar) admitRun(ctx context.Context, key runKey, m *peerv1.RunRequest) (*run, *errkind.Error) {
-	o, refusal := s.own()
+	a, refusal := s.assignment()
 	if refusal != nil {
 		return nil, refusal
 	}
-	if o.service.Kind != config.KindEngine || o.service.Name != m.Service {
-		return nil, errkind.New(errkind.UnknownService, "this target serves %q", o.service.Name)
+	if a.service.Kind != config.KindEngine || a.service.Name != m.Service {
+		return nil, errkind.New(errkind.UnknownService, "this target serves %q", a.service.Name)
 	}
-	if refusal := s.readyFor(o, m.Weights); refusal != nil {
+	if refusal := s.checkWeights(a, m.Weights); refusal != nil {
 		return nil, refusal
 	}
-	pass, refusal := s.enter(ctx, GateRequest{
+	admission, refusal := s.awaitAdmission(ctx, GateRequest{
 		Workspace:    m.Workspace,
-		Weight:       weightOf(o, m.Workspace),
+		Weight:       workspaceWeight(a, m.Workspace),
 		Class:        config.Class(m.Class),
 		Blocks:       m.Blocks,
-		BlockTokens:  o.service.BlockTokens,
+		BlockTokens:  a.service.BlockTokens,
 		PromptTokens: int(m.PromptTokens),
 		MaxTokens:    int(m.MaxTokens),
 		Budget:       time.Duration(m.BudgetMs) * time.Millisecond,
 	})
 	if refusal != nil {
-		return nil, s.refuseOnce(ctx, o, m.Workspace, m.Once, refusal)
+		return nil, s.refuseAtMostOnce(ctx, a, m.Workspace, m.Once, refusal)
 	}
-	ticket, answer, refusal := s.claim(ctx, o, m.Workspace, m.Once)
+	ticket, answer, refusal := s.claim(ctx, a, m.Workspace, m.Once)
 	if refusal != nil || answer != nil {
-		pass.Release(breaker.Neutral)
+		admission.Release(breaker.Neutral)
 		return replayRun(answer, key), refusal
 	}
 	request := &external.GenerateRequest{
 		RequestID: key.engineID(), Prompt: m.Prompt, TextSoFar: m.TextSoFar, From: max(m.FromSeq, 1),
 		MaxTokens: int(m.MaxTokens), Priority: int(m.Class), Blocks: m.Blocks,
-		BlockTokens: o.service.BlockTokens, PromptTokens: int(m.PromptTokens), Weights: m.Weights, Adapter: m.Adapter,
+		BlockTokens: a.service.BlockTokens, PromptTokens: int(m.PromptTokens), Weights: m.Weights, Adapter: m.Adapter,
 	}
-	one := &run{engineID: request.RequestID, buffer: stream.NewBuffer(request.From, time.Now), cancel: func() {}, finished: make(chan struct{})}
-	found, added := s.runs.add(key, one)
+	r := &run{engineID: request.RequestID, buffer: stream.NewBuffer(request.From, time.Now), cancel: func() {}, finished: make(chan struct{})}
+	existing, added := s.runs.add(key, r)
 	if !added {
-		pass.Release(breaker.Neutral)
-		return found, nil
+		admission.Release(breaker.Neutral)
+		return existing, nil
 	}
-	s.startRun(one, pass, request, ticket)
-	return one, nil
+	s.startRun(r, admission, request, ticket)
+	return r, nil
 }
 
-// replayRun makes a run out of a kept answer; nil of none.
+// replayRun returns a finished run with a recorded answer, or nil.
 func replayRun(answer *once.Answer, key runKey) *run {
 	if answer == nil {
 		return nil
@@ -179,34 +179,34 @@
 	return &run{engineID: key.engineID(), buffer: buffer, cancel: func() {}, finished: make(chan struct{})}
 }
 
-func weightOf(o own, workspace string) float64 {
-	if w := o.snapshot.Config.Workspace(workspace); w != nil {
+func workspaceWeight(a assignment, workspace string) float64 {
+	if w := a.snapshot.Config.Workspace(workspace); w != nil {
 		return w.Weight
 	}
 	return 1
 }
 
-// enter waits for the gate's decision.
-func (s *Sidecar) enter(ctx context.Context, w GateRequest) (*Admission, *errkind.Error) {
-	pass, refusal := s.gate.Enter(w)
+// awaitAdmission requests admission and waits for the decision.
+func (s *Sidecar) awaitAdmission(ctx context.Context, req GateRequest) (*Admission, *errkind.Error) {
+	admission, refusal := s.gate.Enter(req)
 	if refusal != nil {
 		return nil, refusal
 	}
-	// The request refuses itself as soon as its deadline can no longer be met.
-	expiry := time.NewTimer(w.Budget - pass.Prefill + expiryMargin)
+	// Expire the request as soon as its deadline can no longer be met.
+	expiry := time.NewTimer(req.Budget - admission.Prefill + expiryMargin)
 	defer expiry.Stop()
 	for {
 		select {
-		case refusal := <-pass.Decided:
+		case refusal := <-admission.Decided:
 			if refusal != nil {
 				return nil, refusal
 			}
-			return pass, nil
+			return admission, nil
 		case <-expiry.C:
 			s.gate.Expire()
 		case <-ctx.Done():
-			pass.Abandon()
-			return nil, errkind.New(errkind.Cancelled, "the caller has gone")
+			admission.Abandon()
+			return nil, errkind.New(errkind.Cancelled, "the caller disconnected")
 		}
 	}
 }
@@ -214,24 +214,24 @@
 // Resume implements the Gate service.
 func (s *Sidecar) Resume(ctx context.Context, req *connect.Request[peerv1.ResumeRequest], out *connect.ServerStream[peerv1.Frame]) error {
 	key := runKey{req.Msg.Workspace, req.Msg.RequestId}
-	one, ok := s.runs.get(key)
+	r, ok := s.runs.get(key)
 	if !ok && s.hasEngine() {
 		adopted, err := s.adoptRun(ctx, key, req.Msg.FromSeq)
 		if err != nil && !errors.Is(err, external.ErrUnknownStream) {
 			s.logger.Info("resume_failed", "request_id", key.requestID, "error", err.Error())
 		}
-		one, ok = adopted, err == nil
+		r, ok = adopted, err == nil
 	}
 	if !ok {
 		return out.Send(&peerv1.Frame{Refusal: refusalMessage(errkind.New(errkind.UnknownRun, ""))})
 	}
-	return s.follow(ctx, one, req.Msg.FromSeq, out)
+	return s.follow(ctx, r, req.Msg.FromSeq, out)
 }
 
 // Cancel implements the Gate service.
 func (s *Sidecar) Cancel(_ context.Context, req *connect.Request[peerv1.CancelRequest]) (*connect.Response[peerv1.CancelResponse], error) {
-	if one, ok := s.runs.get(runKey{req.Msg.Workspace, req.Msg.RequestId}); ok {
-		one.cancel()
+	if r, ok := s.runs.get(runKey{req.Msg.Workspace, req.Msg.RequestId}); ok {
+		r.cancel()
 	}
 	return connect.NewResponse(&peerv1.CancelResponse{}), nil
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,21 +1,18 @@
-// Package sidecar is the role that stands beside a target, as the one way to
-// it.
+// Package sidecar implements the sidecar process. It runs beside a target and
+// forwards all requests to it.
 //
-// # What a sidecar guards against
+// # Failure handling
 //
-// An engine that crashes comes back empty: its new incarnation empties the
-// prefix index, and runs that were on it end with a refusal that lets the
-// entry run them elsewhere. A connection that breaks, on either side of the
-// sidecar, loses nothing: frames are numbered and kept until read, and the
-// engine's stream is continued at the next number. A sidecar that is killed
-// beside a living engine is replaced by one that takes its runs over from the
-// engine. Calls that may not be repeated are claimed on the platform's log
-// before they start (package once). A sidecar that stops refuses new work and
-// finishes what it has.
+// A new engine incarnation clears the prefix index. Runs on a crashed engine end
+// with a refusal, and the entry retries them elsewhere. Streams have sequence
+// numbers and are resumed after a broken connection on either side. A restarted
+// sidecar resumes its runs from the engine. At-most-once calls are claimed on
+// the platform's log before they start (package once). A stopping sidecar
+// refuses new requests and completes the running ones.
 //
-// Traffic threads use the gate, the registry of runs and immutable facts on
-// the blackboard; controllers on the control thread follow the configuration,
-// the engine's events and its state.
+// Request handlers use the gate, the registry of runs and the facts on the
+// blackboard. Controllers on the control thread follow the configuration, the
+// engine's cache events and its status.
 package sidecar
 
 import (
@@ -40,18 +37,18 @@
 )
 
 const (
-	reapPeriod   = time.Second
-	forgetPeriod = time.Minute
-	loadPeriod   = 500 * time.Millisecond
-	// loaderIdle and loaderBusy are the loader's periods without and with a
-	// ticket in line; it also steps with each word of the engine.
-	loaderIdle = time.Second
-	loaderBusy = 100 * time.Millisecond
-	ioTimeout  = 2 * time.Second
-	drainPoll  = 20 * time.Millisecond
+	reapPeriod      = time.Second
+	keyExpiryPeriod = time.Minute
+	statusPeriod    = 500 * time.Millisecond
+	// loaderIdlePeriod and loaderQueuedPeriod are the times between steps of the
+	// loader without and with a ticket. It also steps on each engine status.
+	loaderIdlePeriod   = time.Second
+	loaderQueuedPeriod = 100 * time.Millisecond
+	ioTimeout          = 2 * time.Second
+	drainPollPeriod    = 20 * time.Millisecond
 )
 
-// Board is a sidecar's blackboard.
+// Board is the blackboard of a sidecar.
 type Board struct {
 	// Config is owned by the configuration follower.
 	Config blackboard.Fact[configlog.Snapshot]
@@ -59,7 +56,7 @@
 	Engine blackboard.Fact[external.EngineStatus]
 }
 
-// Sidecar is one process of the role. Make it with New.
+// Sidecar is a sidecar process.
 type Sidecar struct {
 	settings *settings.Settings
 	logger   logr.Logger
@@ -84,18 +81,18 @@
 	calls sync.WaitGroup
 }
 
-// Deps are what a sidecar needs from outside.
+// Deps are the dependencies of a sidecar.
 type Deps struct {
 	Log    external.Log
 	Engine external.Engine
 	Plain  external.Plain
-	// Peers calls other processes.
+	// Peers is the client for calls to other processes.
 	Peers   *http.Client
 	Logger  logr.Logger
 	Metrics *metrics.Metrics
 }
 
-// New returns a sidecar that has not started.
+// New returns a sidecar. Start starts it.
 func New(s *settings.Settings, d Deps) *Sidecar {
 	ctx, stop := context.WithCancel(context.Background())
 	start := time.Now()
@@ -113,7 +110,7 @@
 	c.follower = configlog.NewFollower(c.loop, d.Log, &c.board.Config, configlog.FollowerOptions{
 		Address: s.Listen, Peers: s.Peers, LogPolls: s.Timing.LogPolls, SyncPeriod: s.Timing.SyncPeriod.Duration,
 		Retention: s.Platform.LogRetention.Duration, Client: d.Peers, Logger: d.Logger, LogError: d.Metrics.LogError,
-		OnChange: c.inForce,
+		OnChange: c.configChanged,
 	})
 	c.watcher = &engineWatcher{sidecar: c}
 	c.loader = newLoader(c)
@@ -128,23 +125,23 @@
 		s.loop.Run()
 	}()
 	s.follower.Start()
-	s.every(reapPeriod, func() {
+	s.runEvery(reapPeriod, func() {
 		s.runs.reap(time.Now(), s.settings.Timing.ResumeGrace.Duration)
-		s.showCounts()
+		s.reportCounts()
 	})
-	s.every(forgetPeriod, s.forgetKeys)
-	s.every(s.settings.Timing.EventsPeriod.Duration, s.watcher.readEvents)
-	s.every(loadPeriod, s.watcher.readLoad)
+	s.runEvery(keyExpiryPeriod, s.expireKeys)
+	s.runEvery(s.settings.Timing.EventsPeriod.Duration, s.watcher.readEvents)
+	s.runEvery(statusPeriod, s.watcher.readStatus)
 	s.loop.Every(s.loader.period, s.loader.step)
 }
 
-// inForce is told of each new configuration, on the control thread.
-func (s *Sidecar) inForce(snapshot configlog.Snapshot) {
+// configChanged handles a new configuration. It runs on the control thread.
+func (s *Sidecar) configChanged(snapshot configlog.Snapshot) {
 	s.metrics.ConfigVersion(snapshot.Version)
-	s.watcher.readLoad()
+	s.watcher.readStatus()
 }
 
-func (s *Sidecar) every(period time.Duration, event func()) {
+func (s *Sidecar) runEvery(period time.Duration, event func()) {
 	s.loop.Every(func() time.Duration { return period }, event)
 }
 
@@ -157,13 +154,13 @@
 	return mux
 }
 
-// Drain refuses new work and waits until all that runs has ended and was read,
-// or the context ends.
+// Drain refuses new requests and waits until the running ones have completed or
+// the context ends.
 func (s *Sidecar) Drain(ctx context.Context) {
 	s.gate.Drain()
-	s.logger.Info("draining", "runs", s.runs.unread())
+	s.logger.Info("draining", "runs", s.runs.active())
 	for !s.idle() {
-		if !sleep.For(ctx, drainPoll) {
+		if !sleep.For(ctx, drainPollPeriod) {
 			return
 		}
 	}
@@ -172,10 +169,10 @@
 
 func (s *Sidecar) idle() bool {
 	counts := s.gate.Counts()
-	return s.runs.unread() == 0 && counts.Running == 0 && counts.Waiting == 0
+	return s.runs.active() == 0 && counts.Running == 0 && counts.Waiting == 0
 }
 
-// Close ends the sidecar. Runs that are left are cancelled.
+// Close stops the sidecar and cancels its remaining runs.
 func (s *Sidecar) Close() {
 	s.stop()
 	s.loop.Stop()
@@ -185,42 +182,42 @@
 // Board returns the blackboard, for the administration API.
 func (s *Sidecar) Board() *Board { return s.board }
 
-// Ready reports whether the sidecar has a configuration and, beside an engine,
-// knows the engine's state.
+// Ready reports whether the sidecar has a configuration and, if its target is an
+// engine, the engine's status.
 func (s *Sidecar) Ready() bool {
-	if _, refusal := s.own(); refusal != nil {
+	if _, refusal := s.assignment(); refusal != nil {
 		return false
 	}
 	return !s.hasEngine() || s.board.Engine.Entry() != nil
 }
 
-// InFlight is the number of requests at the gate and the target.
+// InFlight returns the number of queued and running requests.
 func (s *Sidecar) InFlight() int {
 	counts := s.gate.Counts()
 	return counts.Running + counts.Waiting
 }
 
-// noteVersion reacts to a caller with a newer configuration: the log has it.
-func (s *Sidecar) noteVersion(version uint64) {
+// observeVersion triggers the follower if a caller has a newer configuration.
+func (s *Sidecar) observeVersion(version uint64) {
 	if current, _ := s.board.Config.Get(); version > current.Version {
 		s.follower.Trigger()
 	}
 }
 
-func (s *Sidecar) showCounts() {
+func (s *Sidecar) reportCounts() {
 	counts := s.gate.Counts()
 	s.metrics.Queue(counts.Waiting, counts.Running)
 	s.metrics.Index(counts.Blocks, counts.Gaps)
 }
 
-func (s *Sidecar) forgetKeys() {
-	o, refusal := s.own()
+func (s *Sidecar) expireKeys() {
+	a, refusal := s.assignment()
 	if refusal != nil {
 		return
 	}
 	s.ledgerMu.Lock()
 	defer s.ledgerMu.Unlock()
 	for _, l := range s.ledgers {
-		l.Forget(termsOf(o.service))
+		l.Forget(onceTerms(a.service))
 	}
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -9,25 +9,25 @@
 	"github.com/toucanwell/toucanwell/internal/external"
 )
 
-// engineWatcher follows an engine's cache events and its state. It is a
-// controller and owns the Engine fact.
+// engineWatcher is the controller that polls an engine's cache events and its
+// status. It owns the Engine fact.
 type engineWatcher struct {
 	sidecar       *Sidecar
-	readingEvents bool
-	readingLoad   bool
+	eventsPending bool
+	statusPending bool
 }
 
 func (w *engineWatcher) readEvents() {
 	s := w.sidecar
-	if !s.hasEngine() || w.readingEvents {
+	if !s.hasEngine() || w.eventsPending {
 		return
 	}
-	w.readingEvents = true
+	w.eventsPending = true
 	from := s.gate.NextEventSeq()
 	control.Do(s.loop, ioTimeout, func(ctx context.Context) (*external.EventPage, error) {
 		return s.engine.Events(ctx, from)
 	}, func(page *external.EventPage, err error) {
-		w.readingEvents = false
+		w.eventsPending = false
 		if err != nil {
 			return
 		}
@@ -35,29 +35,28 @@
 	})
 }
 
-func (w *engineWatcher) readLoad() {
+func (w *engineWatcher) readStatus() {
 	s := w.sidecar
-	if !s.hasEngine() || w.readingLoad {
+	if !s.hasEngine() || w.statusPending {
 		return
 	}
-	w.readingLoad = true
-	control.Do(s.loop, ioTimeout, s.engine.Status, func(load *external.EngineStatus, err error) {
-		w.readingLoad = false
+	w.statusPending = true
+	control.Do(s.loop, ioTimeout, s.engine.Status, func(status *external.EngineStatus, err error) {
+		w.statusPending = false
 		if err != nil {
 			return
 		}
 		old, _ := s.board.Engine.Get()
-		if old.Incarnation != load.Incarnation {
-			s.logger.Info("engine_incarnation", "old", old.Incarnation, "new", load.Incarnation, "weights", load.Weights)
+		if old.Incarnation != status.Incarnation {
+			s.logger.Info("engine_incarnation", "old", old.Incarnation, "new", status.Incarnation, "weights", status.Weights)
 		}
-		s.board.Engine.Post(*load, time.Now())
+		s.board.Engine.Post(*status, time.Now())
 		s.loader.step()
 	})
 }
 
-// hasEngine reports whether the configuration makes this sidecar's target an
-// engine.
+// hasEngine reports whether the configured target is an engine.
 func (s *Sidecar) hasEngine() bool {
-	o, refusal := s.own()
-	return refusal == nil && o.service.Kind == config.KindEngine
+	a, refusal := s.assignment()
+	return refusal == nil && a.service.Kind == config.KindEngine
 }
--- a/internal/stream/buffer.go
+++ b/internal/stream/buffer.go
@@ -13,28 +13,28 @@
 // Buffer holds the frames of one answer in order, each once. It is safe for
 // concurrent use: one writer, any number of readers.
 type Buffer struct {
-	mu      sync.Mutex
-	frames  []*peerv1.Frame
-	next    uint64
-	first   uint64
-	ended   bool
-	changed chan struct{}
-	readers int
-	idle    time.Time
-	now     func() time.Time
+	mu        sync.Mutex
+	frames    []*peerv1.Frame
+	nextSeq   uint64
+	firstSeq  uint64
+	ended     bool
+	changed   chan struct{}
+	readers   int
+	idleSince time.Time
+	now       func() time.Time
 }
 
 // NewBuffer returns an empty buffer whose first frame has the number from.
 func NewBuffer(from uint64, now func() time.Time) *Buffer {
 	from = max(from, 1)
-	return &Buffer{first: from, next: from, changed: make(chan struct{}), idle: now(), now: now}
+	return &Buffer{firstSeq: from, nextSeq: from, changed: make(chan struct{}), idleSince: now(), now: now}
 }
 
 // Next is the number of the frame that is expected next.
 func (b *Buffer) Next() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.next
+	return b.nextSeq
 }
 
 // Append takes the next frame and reports whether it was taken. A frame with
@@ -43,13 +43,13 @@
 func (b *Buffer) Append(frame *peerv1.Frame) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.ended || frame.Seq != b.next {
+	if b.ended || frame.Seq != b.nextSeq {
 		return false
 	}
 	b.frames = append(b.frames, frame)
-	b.next++
+	b.nextSeq++
 	b.ended = frame.End != nil
-	b.wake()
+	b.notifyReaders()
 	return true
 }
 
@@ -60,13 +60,13 @@
 	if b.ended {
 		return
 	}
-	b.frames = append(b.frames, &peerv1.Frame{Seq: b.next, Refusal: refusal})
-	b.next++
+	b.frames = append(b.frames, &peerv1.Frame{Seq: b.nextSeq, Refusal: refusal})
+	b.nextSeq++
 	b.ended = true
-	b.wake()
+	b.notifyReaders()
 }
 
-func (b *Buffer) wake() {
+func (b *Buffer) notifyReaders() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -82,17 +82,17 @@
 func (b *Buffer) IdleSince() (since time.Time, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.idle, b.readers == 0
+	return b.idleSince, b.readers == 0
 }
 
 // Follow sends the frames from a number on, up to the last one. It returns
 // when that is sent, when send fails, or when the context ends.
 func (b *Buffer) Follow(ctx context.Context, from uint64, send func(*peerv1.Frame) error) error {
-	b.enter()
-	defer b.leave()
-	at := int(max(from, b.first) - b.first)
+	b.addReader()
+	defer b.removeReader()
+	at := int(max(from, b.firstSeq) - b.firstSeq)
 	for {
-		frames, changed, ended := b.after(at)
+		frames, changed, ended := b.framesFrom(at)
 		for _, frame := range frames {
 			if err := send(frame); err != nil {
 				return err
@@ -110,7 +110,7 @@
 	}
 }
 
-func (b *Buffer) after(at int) (frames []*peerv1.Frame, changed chan struct{}, ended bool) {
+func (b *Buffer) framesFrom(at int) (frames []*peerv1.Frame, changed chan struct{}, ended bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if at < len(b.frames) {
@@ -119,15 +119,15 @@
 	return frames, b.changed, b.ended
 }
 
-func (b *Buffer) enter() {
+func (b *Buffer) addReader() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.readers++
 }
 
-func (b *Buffer) leave() {
+func (b *Buffer) removeReader() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.readers--
-	b.idle = b.now()
+	b.idleSince = b.now()
 }
