--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -21,27 +21,26 @@
 const (
 	readTimeout = 5 * time.Second
 	syncTimeout = 2 * time.Second
-	// hintPeers is how many peers hear at once of a new version. Each of them
-	// tells as many, so that a few rounds reach every process.
+	// hintPeers is how many peers a process contacts about a new version. Each of
+	// them does the same, so a few rounds reach every process.
 	hintPeers = 4
-	// minPoll is the shortest time between two polls by one process.
+	// minPollPeriod is the minimum time between polls by one process.
 	minPollPeriod = 500 * time.Millisecond
-	// startPeers is how many peers a starting process asks.
+	// startPeers is how many peers a starting process contacts.
 	startPeers = 3
-	// startPatience is how long a starting process waits for a peer before it
-	// reads the log from its start.
+	// startMaxWait is how long a starting process waits for a peer before it reads
+	// the log from the start.
 	startMaxWait = 300 * time.Millisecond
-	// nudgeSpacing is the shortest time between two nudges.
+	// minTriggerInterval is the minimum time between two triggers.
 	minTriggerInterval = 200 * time.Millisecond
 )
 
-// Follower keeps the configuration in force of one process. It is a
-// controller: it owns the fact that it posts.
+// Follower is the controller that keeps a process's configuration up to date. It
+// owns the fact that it posts.
 //
-// It hears of a new version in three ways: it polls the log, at a rate that
-// the whole fleet shares; a peer hints at it; and it asks one random peer
-// regularly. The first makes the system learn it, the second spreads it in a
-// few round trips, the third reaches who missed the second.
+// It learns of new versions in three ways: it polls the log, at a rate limited
+// for the whole fleet; peers send hints about new versions; and it regularly
+// syncs with a random peer, in case hints were missed.
 type Follower struct {
 	loop    *control.Loop
 	log     external.Log
@@ -49,49 +48,48 @@
 	machine *StateMachine
 	fact    *blackboard.Fact[Snapshot]
 	reading bool
-	// mayRead is set when a peer has answered, or none has in time.
+	// logReadAllowed is set once a peer has responded or startMaxWait has passed.
 	logReadAllowed bool
 	hintPending    bool
-	// carrying is set while a carry is on its way: until it is read back, the
-	// newest copy still looks old.
+	// republishing is set from the append of a republish until it is read back.
 	republishing    bool
 	republishJitter float64
 	triggered       atomic.Bool
 }
 
-// FollowerOptions are a follower's surroundings.
+// FollowerOptions configure a follower.
 type FollowerOptions struct {
-	// Address is where this process serves Peer.
+	// Address is the address of this process's Peer service.
 	Address string
-	// Peers are addresses known from the settings.
+	// Peers are the peer addresses from the settings.
 	Peers []string
-	// LogPolls is the fleet's polls of the log a second.
+	// LogPolls is the fleet's total number of log polls per second.
 	LogPolls float64
-	// SyncPeriod is the time between two questions to peers.
+	// SyncPeriod is the time between two syncs with a random peer.
 	SyncPeriod time.Duration
-	// Retention of the log.
+	// Retention is how long the log keeps records.
 	Retention time.Duration
-	// Client calls peers.
+	// Client is the client for calls to peers.
 	Client *http.Client
 	Logger logr.Logger
-	// LogError is told of failed calls of the log.
+	// LogError counts failed calls of the log.
 	LogError func(call string)
-	// InForce is told on the control thread of each new version.
+	// OnChange is called on the control thread for each new version.
 	OnChange func(Snapshot)
 }
 
 // NewFollower returns a follower that posts to fact.
 func NewFollower(loop *control.Loop, log external.Log, fact *blackboard.Fact[Snapshot], options FollowerOptions) *Follower {
-	const spreadSteps = 1000
+	const jitterSteps = 1000
 	return &Follower{
 		loop: loop, log: log, fact: fact, options: options, machine: NewStateMachine(),
-		republishJitter: float64(loop.Intn(spreadSteps)) / spreadSteps,
+		republishJitter: float64(loop.Intn(jitterSteps)) / jitterSteps,
 	}
 }
 
-// Start asks peers, reads the log, and sets the timers. Peers come first: what
-// one of them says covers the stream up to now, and spares the log a reader of
-// all that it keeps, which at a restart of many processes would be most of them.
+// Start syncs with peers, reads the log and starts the timers. Peers are asked
+// first, so that a restart of many processes does not make all of them read the
+// whole stream.
 func (f *Follower) Start() {
 	f.loop.Post(func() {
 		if len(f.options.Peers) == 0 {
@@ -110,7 +108,8 @@
 	f.loop.Every(func() time.Duration { return f.options.SyncPeriod }, f.syncRandomPeer)
 }
 
-// pollPeriod is this process's part of the fleet's polls.
+// pollPeriod returns the time between polls. It grows with the fleet, so that the
+// total poll rate stays constant.
 func (f *Follower) pollPeriod() time.Duration {
 	processes := 1 + len(f.options.Peers)
 	if s, ok := f.fact.Get(); ok {
@@ -122,7 +121,7 @@
 	return max(period, minPollPeriod)
 }
 
-// readFromStart lets the log be read though no peer has answered.
+// allowLogRead starts reading the log if it has not started yet.
 func (f *Follower) allowLogRead() {
 	if f.logReadAllowed {
 		return
@@ -160,7 +159,7 @@
 	}
 }
 
-// post puts the folder's version in force when it is newer.
+// postIfNewer posts the current version if it is newer than the posted one.
 func (f *Follower) postIfNewer() {
 	s := f.machine.Snapshot()
 	old, _ := f.fact.Get()
@@ -175,7 +174,7 @@
 	}
 }
 
-// sync asks a random peer for its version and tells it ours.
+// syncRandomPeer syncs with a random peer.
 func (f *Follower) syncRandomPeer() {
 	peer, ok := f.randomPeer()
 	if !ok {
@@ -184,8 +183,8 @@
 	f.SyncWith(peer)
 }
 
-// Ask fetches the configuration of a peer if it is newer. It runs on the
-// control thread.
+// SyncWith sends our version to a peer and adopts the peer's configuration if it
+// is newer. It runs on the control thread.
 func (f *Follower) SyncWith(peer string) {
 	current, _ := f.fact.Get()
 	request := &peerv1.SyncRequest{ConfigVersion: current.Version, Address: f.options.Address}
@@ -219,7 +218,7 @@
 	f.allowLogRead()
 }
 
-// Hint is told, from any thread, that a peer has a version.
+// Hint syncs with a peer if its version is newer. It is safe for concurrent use.
 func (f *Follower) Hint(version uint64, peer string) {
 	if peer == "" {
 		return
@@ -230,16 +229,17 @@
 	f.loop.Post(func() { f.syncWithHinter(peer) })
 }
 
-// pull asks a hinting peer back; many hints at once make one question.
+// syncWithHinter syncs with a peer that sent a hint. Concurrent hints cause only one
+// sync.
 func (f *Follower) syncWithHinter(peer string) {
-	const hintSpacing = 50 * time.Millisecond
+	const hintInterval = 50 * time.Millisecond
 	if f.hintPending {
 		return
 	}
 	f.hintPending = true
 	f.SyncWith(peer)
 	f.loop.Go(func(ctx context.Context) {
-		sleep.For(ctx, hintSpacing)
+		sleep.For(ctx, hintInterval)
 		f.loop.Post(func() { f.hintPending = false })
 	})
 }
@@ -266,9 +266,9 @@
 	return all
 }
 
-// carryIfOld appends the configuration again when its newest copy in the log
-// nears its end. Each process waits a part of its own, so that the first one
-// to append spares the others.
+// republishIfOld republishes the configuration before its newest copy in the log
+// expires. Processes use different ages, so that usually only one of them
+// republishes.
 func (f *Follower) republishIfOld() {
 	s := f.machine.Snapshot()
 	if s.Version == 0 || f.machine.Undecided() {
@@ -299,18 +299,20 @@
 	})
 }
 
-// carryAge is between a half and three quarters of the retention.
+// republishAge returns the age at which to republish: between half and three
+// quarters of the retention.
 func republishAge(retention time.Duration, seed float64) time.Duration {
 	return time.Duration((0.5 + seed/4) * float64(retention))
 }
 
-// PeerServer answers other processes.
+// PeerServer implements the Peer service.
 type PeerServer struct {
 	fact *blackboard.Fact[Snapshot]
 	hint func(version uint64, peer string)
 }
 
-// NewPeerServer returns a server of the fact; hint is told of newer versions.
+// NewPeerServer returns a server for the fact. It calls hint with the version of
+// each peer that syncs.
 func NewPeerServer(fact *blackboard.Fact[Snapshot], hint func(version uint64, peer string)) *PeerServer {
 	return &PeerServer{fact: fact, hint: hint}
 }
@@ -326,8 +328,8 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Nudge makes the follower read the log and ask a peer soon. Any thread may
-// call it.
+// Trigger makes the follower poll the log and sync with a peer soon. It is safe
+// for concurrent use.
 func (f *Follower) Trigger() {
 	if !f.triggered.CompareAndSwap(false, true) {
 		return
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -15,7 +15,7 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// slowLog takes several polls' time for an append.
+// slowAppendLog delays each append by several poll periods.
 type slowAppendLog struct{ *standin.Log }
 
 func (l *slowAppendLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
@@ -27,8 +27,8 @@
 	return l.ReadNow(stream, from), nil
 }
 
-// The only copy of the configuration grows old while the log is slow. The
-// process that carries it forward must not do so again at each poll meanwhile.
+// Guards against a process that republishes again at each poll while the first
+// append is slow.
 func TestSlowRepublishIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &slowAppendLog{standin.NewLog()}
@@ -48,7 +48,7 @@
 		loop.Stop()
 		<-done
 		if n := len(log.ReadNow(Stream, 1).Records) - 1; n != 1 {
-			t.Errorf("carried %d times", n)
+			t.Errorf("republished %d times, want 1", n)
 		}
 	})
 }
--- a/internal/configlog/publish.go
+++ b/internal/configlog/publish.go
@@ -11,41 +11,41 @@
 	"github.com/toucanwell/toucanwell/internal/sleep"
 )
 
-// ErrConflict says that another publish came first.
+// ErrConflict is returned if another publish was accepted first.
 var ErrConflict = errors.New("another version was published first")
 
-// ErrUndecided says that the log's start is cut and no carry tells what was in
-// force.
-var ErrUndecided = errors.New("the log does not tell which version is in force")
+// ErrUndecided is returned if the start of the stream has expired and no record
+// shows the version in force.
+var ErrUndecided = errors.New("the log does not show which version is in force")
 
 const (
 	maxAppends       = 5
 	appendRetryDelay = 200 * time.Millisecond
 )
 
-// ReadAll folds the stream from its start to its end.
+// ReadAll applies the whole stream to a new state machine.
 func ReadAll(ctx context.Context, log external.Log) (*StateMachine, error) {
-	f := NewStateMachine()
-	return f, CatchUp(ctx, log, f)
+	m := NewStateMachine()
+	return m, CatchUp(ctx, log, m)
 }
 
-// ReadOn folds what has come since, to the stream's end.
-func CatchUp(ctx context.Context, log external.Log, f *StateMachine) error {
+// CatchUp applies the records up to the end of the stream.
+func CatchUp(ctx context.Context, log external.Log, m *StateMachine) error {
 	for {
-		page, err := log.Read(ctx, Stream, f.NextOffset())
+		page, err := log.Read(ctx, Stream, m.NextOffset())
 		if err != nil {
 			return errors.Wrap(err, "read configuration stream")
 		}
-		f.Apply(page)
-		if f.NextOffset() >= page.Next {
+		m.Apply(page)
+		if m.NextOffset() >= page.Next {
 			return nil
 		}
 	}
 }
 
-// Publish appends a text that was edited from base and reports what became of
-// it. An append whose answer is lost is looked up by its nonce before it is
-// repeated, so that one call makes one version at most.
+// Publish appends a text that was edited from base and returns the verdict. If
+// the response to an append is lost, Publish looks for its nonce before it
+// appends again, so that one call creates at most one version.
 func Publish(ctx context.Context, log external.Log, nonce string, base uint64, text string) (Verdict, error) {
 	if _, err := config.Parse("configuration", text); err != nil {
 		return Verdict{}, err
@@ -54,13 +54,13 @@
 	if err != nil {
 		return Verdict{}, err
 	}
-	var last error
-	for try := 0; try < maxAppends; try++ {
+	var lastErr error
+	for attempt := 0; attempt < maxAppends; attempt++ {
 		verdict, found, err := appendOnce(ctx, log, nonce, data)
 		if found {
 			return verdict, verdictError(verdict, base)
 		}
-		last = err
+		lastErr = err
 		if errors.Is(err, ErrUndecided) {
 			return Verdict{}, err
 		}
@@ -68,29 +68,29 @@
 			return Verdict{}, ctx.Err()
 		}
 	}
-	return Verdict{}, errors.Wrap(last, "publish: no answer; the text may be in the log, look with 'toucanwell show'")
+	return Verdict{}, errors.Wrap(lastErr, "publish: no response; the text may be in the log, check with 'toucanwell show'")
 }
 
-// appendAndLook looks for the nonce, appends when it is not there, and looks
-// again.
+// appendOnce appends the record unless its nonce is in the stream, and returns
+// the verdict.
 func appendOnce(ctx context.Context, log external.Log, nonce string, data []byte) (Verdict, bool, error) {
-	f, err := ReadAll(ctx, log)
+	m, err := ReadAll(ctx, log)
 	if err != nil {
 		return Verdict{}, false, err
 	}
-	if f.Undecided() {
+	if m.Undecided() {
 		return Verdict{}, false, ErrUndecided
 	}
-	if v, found := verdictFor(f.TakeVerdicts(), nonce); found {
+	if v, found := verdictFor(m.TakeVerdicts(), nonce); found {
 		return v, true, nil
 	}
 	_, appendErr := log.Append(ctx, Stream, data)
-	if err := CatchUp(ctx, log, f); err != nil {
+	if err := CatchUp(ctx, log, m); err != nil {
 		return Verdict{}, false, errors.CombineErrors(err, appendErr)
 	}
-	v, found := verdictFor(f.TakeVerdicts(), nonce)
+	v, found := verdictFor(m.TakeVerdicts(), nonce)
 	if !found && appendErr == nil {
-		appendErr = errors.New("the append is not in the stream yet")
+		appendErr = errors.New("the record is not in the stream yet")
 	}
 	return v, found, appendErr
 }
@@ -102,12 +102,13 @@
 	if v.Err != nil {
 		return v.Err
 	}
-	return errors.Wrapf(ErrConflict, "edited from version %d, but version %d is in force; fetch it with 'toucanwell show configuration', apply your change to it, publish with --base %d",
+	return errors.Wrapf(ErrConflict, "edited from version %d, but version %d is in force; fetch it with 'toucanwell show configuration', apply the change to it and publish with --base %d",
 		base, v.InForce, v.InForce)
 }
 
-// Recover appends a carry of a text when no process and no record knows what
-// was in force. The version is past every offset used so far.
+// Recover republishes a text as a new version. It is for the case that no process
+// and no record has the version in force. The new version is higher than all
+// earlier offsets.
 func Recover(ctx context.Context, log external.Log, nonce, text string) (uint64, error) {
 	if _, err := config.Parse("configuration", text); err != nil {
 		return 0, err
--- a/internal/configlog/fold_test.go
+++ b/internal/configlog/statemachine_test.go
@@ -14,7 +14,7 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// textNumber returns a small good text that differs by its number.
+// configText returns a small valid configuration that is unique to n.
 func configText(n int) string {
 	return fmt.Sprintf(`schema = 1
 [[region]]
@@ -34,7 +34,7 @@
 	return log.AppendNow(Stream, data)
 }
 
-// reader is a process that reads the stream now and then.
+// reader is a process that follows the stream.
 type reader struct {
 	machine        *StateMachine
 	highestVersion uint64
@@ -43,15 +43,13 @@
 func (r *reader) checkVersion(t *rapid.T) {
 	v := r.machine.Snapshot().Version
 	if v < r.highestVersion {
-		t.Fatalf("version %d in force after %d", v, r.highestVersion)
+		t.Fatalf("version %d in force after version %d", v, r.highestVersion)
 	}
 	r.highestVersion = v
 }
 
-// Operators race each other to publish, the log drops its oldest records, a
-// process carries forward what it knew long ago, others start with a cut log,
-// sleep through a gap and ask their peers. No process may go back to an older
-// version, and all must agree in the end.
+// Guards against a version that decreases and against readers that disagree, under
+// concurrent publishes, late republishes, expired records, gaps and restarts.
 func TestReadersConvergeAndVersionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := standin.NewLog()
@@ -60,7 +58,7 @@
 		accepted := map[uint64]string{}
 		steps := rapid.IntRange(5, 60).Draw(rt, "steps")
 		for n := range steps {
-			switch rapid.SampledFrom([]string{"publish", "read", "carry", "trim", "ask", "replace"}).Draw(rt, "step") {
+			switch rapid.SampledFrom([]string{"publish", "read", "republish", "trim", "sync", "replace"}).Draw(rt, "step") {
 			case "publish":
 				base := reference.machine.Snapshot().Version
 				if rapid.Bool().Draw(rt, "stale") {
@@ -70,9 +68,9 @@
 				reference.machine.Apply(log.ReadNow(Stream, reference.machine.NextOffset()))
 				s := reference.machine.Snapshot()
 				accepted[s.Version] = s.Text
-			case "carry":
-				// Any reader carries what it has, however old.
-				s := rapid.SampledFrom(readers).Draw(rt, "carrier").machine
+			case "republish":
+				// Any reader republishes its version, however old.
+				s := rapid.SampledFrom(readers).Draw(rt, "republisher").machine
 				if snapshot := s.Snapshot(); snapshot.Version > 0 && !s.Undecided() {
 					appendRecord(rt, log, Record{Type: TypeRepublish, Version: snapshot.Version, AsOf: snapshot.AsOf, Text: snapshot.Text})
 				}
@@ -83,8 +81,8 @@
 				r := rapid.SampledFrom(readers).Draw(rt, "reader")
 				r.machine.Apply(log.ReadNow(Stream, r.machine.NextOffset()))
 				r.checkVersion(rt)
-			case "ask":
-				r := rapid.SampledFrom(readers).Draw(rt, "asker")
+			case "sync":
+				r := rapid.SampledFrom(readers).Draw(rt, "syncing reader")
 				peer := rapid.SampledFrom(readers).Draw(rt, "peer").machine.Snapshot()
 				if peer.Version > r.machine.Snapshot().Version {
 					r.machine.Adopt(peer)
@@ -106,17 +104,16 @@
 				rt.Fatalf("reader %d has version %d in force, which was never accepted", i, s.Version)
 			}
 			if want.Version > 0 && r.machine.Undecided() {
-				rt.Fatalf("reader %d cannot decide although the log tells what is in force", i)
+				rt.Fatalf("reader %d is undecided although the log shows the version in force", i)
 			}
 			if s.Version != want.Version {
-				rt.Fatalf("reader %d has version %d in force, the others %d", i, s.Version, want.Version)
+				rt.Fatalf("reader %d has version %d in force, want %d", i, s.Version, want.Version)
 			}
 		}
 	})
 }
 
-// trim drops old records, but never the newest copy of what is in force: a
-// process carries it before its time is over.
+// trim drops old records, but not the newest copy of the version in force.
 func trim(rt *rapid.T, log *standin.Log, inForce Snapshot) {
 	page := log.ReadNow(Stream, 1)
 	keepFrom := page.Next
@@ -131,8 +128,8 @@
 	log.TrimTo(Stream, rapid.Uint64Range(page.First, keepFrom).Draw(rt, "trim"))
 }
 
-// lossyLog loses the answers of its first appends after they took effect, and
-// then that of the next read.
+// lossyResponseLog fails the first appends after they took effect, and the read
+// after each of them.
 type lossyResponseLog struct {
 	*standin.Log
 	appendFailures int
@@ -144,7 +141,7 @@
 	if l.appendFailures > 0 {
 		l.appendFailures--
 		l.failNextRead = true
-		return 0, errors.New("answer lost")
+		return 0, errors.New("response lost")
 	}
 	return offset, nil
 }
@@ -152,13 +149,13 @@
 func (l *lossyResponseLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
 	if l.failNextRead {
 		l.failNextRead = false
-		return nil, errors.New("answer lost")
+		return nil, errors.New("response lost")
 	}
 	return l.ReadNow(stream, from), nil
 }
 
-// The log takes an operator's publish and loses its answer. The operator must
-// be told that it was accepted, and it must not be published twice.
+// Guards against a duplicate or falsely failed publish after the response to the
+// append was lost.
 func TestPublishWithLostResponseIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &lossyResponseLog{Log: standin.NewLog(), appendFailures: 1}
@@ -167,13 +164,13 @@
 			t.Fatalf("%+v %v", verdict, err)
 		}
 		if n := len(log.ReadNow(Stream, 1).Records); n != 1 {
-			t.Fatalf("%d records", n)
+			t.Fatalf("%d records, want 1", n)
 		}
 	})
 }
 
-// Two operators edit the same version. The second to publish is told which
-// version won and how to go on, and nothing of its text is in force.
+// Guards against a lost update when two operators edit the same version. The error
+// names the version to start from.
 func TestConflictingPublishIsRejected(t *testing.T) {
 	log := &lossyResponseLog{Log: standin.NewLog()}
 	first, err := Publish(context.Background(), log, "n1", 0, configText(1))
@@ -190,8 +187,8 @@
 	}
 }
 
-// The log has dropped everything and no process lives that knew the text. The
-// operator's recovery puts one in force that every reader takes.
+// Guards against a configuration that cannot be recovered after the log and all
+// processes have lost it.
 func TestRecoverWithoutAnyCopy(t *testing.T) {
 	log := &lossyResponseLog{Log: standin.NewLog()}
 	for n := range 3 {
@@ -199,16 +196,16 @@
 	}
 	log.TrimTo(Stream, 4)
 	if _, err := Publish(context.Background(), log, "n", 0, configText(9)); err == nil {
-		t.Fatal("a publish was accepted although nobody knows what is in force")
+		t.Fatal("a publish was accepted while the version in force is unknown")
 	}
 	log.TrimTo(Stream, log.ReadNow(Stream, 1).Next)
 	version, err := Recover(context.Background(), log, "r", configText(7))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := ReadAll(context.Background(), log)
-	if err != nil || f.Snapshot().Version != version || f.Undecided() {
-		t.Fatalf("%+v %v", f.Snapshot(), err)
+	m, err := ReadAll(context.Background(), log)
+	if err != nil || m.Snapshot().Version != version || m.Undecided() {
+		t.Fatalf("%+v %v", m.Snapshot(), err)
 	}
 }
 
@@ -216,10 +213,10 @@
 	log := standin.NewLog()
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "a", Text: configText(1)})
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "b", Base: 1, Text: "schema = 2"})
-	f := NewStateMachine()
-	f.Apply(log.ReadNow(Stream, 1))
-	verdicts := f.TakeVerdicts()
-	if f.Snapshot().Version != 1 || verdicts[1].Accepted || verdicts[1].Err == nil {
-		t.Fatalf("%+v %+v", f.Snapshot(), verdicts)
+	m := NewStateMachine()
+	m.Apply(log.ReadNow(Stream, 1))
+	verdicts := m.TakeVerdicts()
+	if m.Snapshot().Version != 1 || verdicts[1].Accepted || verdicts[1].Err == nil {
+		t.Fatalf("%+v %+v", m.Snapshot(), verdicts)
 	}
 }
