--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -20,9 +20,8 @@
 	sha256Bytes    = 32
 )
 
-// Parse checks a text whole. The error lists every problem found, each with
-// the file, the line where it can be told, the key, what was found and what is
-// allowed. name stands for the file.
+// Parse parses and validates a text. The error lists all problems, each with the
+// file name, the line if known, the key, the value found and the values allowed.
 func Parse(name, text string) (*Config, error) {
 	if len(text) > maxTextBytes {
 		return nil, errors.Newf("%s: %d bytes found; allowed are %d", name, len(text), maxTextBytes)
@@ -59,7 +58,7 @@
 	}
 }
 
-// checker gathers the problems of one text.
+// checker collects the problems of a text.
 type checker struct {
 	file     string
 	lines    []string
@@ -67,8 +66,8 @@
 	problems []string
 }
 
-// lineOf returns the first line that holds the quoted value, or 0. Names are
-// unique, so that the line of a name is the line of its table.
+// lineOf returns the first line that contains the quoted value, or 0. Names are
+// unique, so the line of a name is usually in its table.
 func (k *checker) lineOf(value string) int {
 	if value == "" {
 		return 0
@@ -82,12 +81,12 @@
 	return 0
 }
 
-func (k *checker) report(near, key, format string, args ...any) {
-	place := k.file
-	if line := k.lineOf(near); line > 0 {
-		place = fmt.Sprintf("%s:%d", k.file, line)
+func (k *checker) report(nearValue, key, format string, args ...any) {
+	position := k.file
+	if line := k.lineOf(nearValue); line > 0 {
+		position = fmt.Sprintf("%s:%d", k.file, line)
 	}
-	k.problems = append(k.problems, fmt.Sprintf("%s: %s: %s", place, key, fmt.Sprintf(format, args...)))
+	k.problems = append(k.problems, fmt.Sprintf("%s: %s: %s", position, key, fmt.Sprintf(format, args...)))
 }
 
 func (k *checker) run() {
@@ -189,38 +188,37 @@
 	}
 }
 
-// checkCycles walks the dependencies depth first and reports each cycle where
-// it closes.
+// checkCycles reports dependency cycles, found by a depth-first search.
 func (k *checker) checkCycles() {
 	const (
-		unseen = iota
-		open
-		closed
+		unvisited = iota
+		visiting
+		visited
 	)
-	needs := map[string][]string{}
+	dependencies := map[string][]string{}
 	for _, s := range k.config.Services {
-		needs[s.Name] = s.DependsOn
+		dependencies[s.Name] = s.DependsOn
 	}
 	state := map[string]int{}
-	var walk func(name string, path []string)
-	walk = func(name string, path []string) {
+	var visit func(name string, path []string)
+	visit = func(name string, path []string) {
 		path = append(path, name)
-		if state[name] == open {
+		if state[name] == visiting {
 			start := slices.Index(path, name)
 			k.report(name, "service.depends_on", "cycle %s", strings.Join(path[start:], " -> "))
 			return
 		}
-		if state[name] == closed {
+		if state[name] == visited {
 			return
 		}
-		state[name] = open
-		for _, d := range needs[name] {
-			walk(d, path)
+		state[name] = visiting
+		for _, d := range dependencies[name] {
+			visit(d, path)
 		}
-		state[name] = closed
+		state[name] = visited
 	}
 	for _, s := range k.config.Services {
-		walk(s.Name, nil)
+		visit(s.Name, nil)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,7 @@
-// Package config holds the operators' configuration: the one text that lists
-// services, what each depends on, targets, models, workspaces and objectives.
+// Package config defines the operators' configuration: services with their
+// dependencies and targets, models, workspaces and objectives.
 //
-// A text is checked whole by [Parse]. Either all of it is good or none of it
-// takes effect.
+// [Parse] validates a text as a whole. An invalid text has no effect.
 package config
 
 import (
@@ -14,28 +13,28 @@
 // Kind is the kind of a service.
 type Kind string
 
-// The kinds of service.
+// Kinds of service.
 const (
 	KindEngine Kind = "engine"
 	KindPlain  Kind = "plain"
 	KindKV     Kind = "kv"
 )
 
-// Class is the priority class of a request. A lower number goes first.
+// Class is the priority class of a request. Lower values have higher priority.
 type Class uint8
 
-// The classes.
+// Priority classes.
 const (
 	ClassAlert Class = iota
 	ClassInteractive
 	ClassBatch
-	// Classes is how many there are.
+	// NumClasses is the number of classes.
 	NumClasses = 3
 )
 
 var classNames = [NumClasses]string{"alert", "interactive", "batch"}
 
-// String returns the name of the class in texts and headers.
+// String returns the name of the class in configurations and headers.
 func (c Class) String() string {
 	if int(c) >= NumClasses {
 		return "unknown"
@@ -43,7 +42,7 @@
 	return classNames[c]
 }
 
-// ParseClass returns the class of a name; ok is false for another word.
+// ParseClass returns the class with the name; ok is false if there is none.
 func ParseClass(name string) (class Class, ok bool) {
 	for i, n := range classNames {
 		if n == name {
@@ -53,19 +52,19 @@
 	return 0, false
 }
 
-// Config is one version of the operators' text.
+// Config is a version of the configuration.
 type Config struct {
-	// Schema is the version of this format. Only 1 is known.
+	// Schema is the version of the format. It must be 1.
 	Schema int `toml:"schema"`
-	// Regions lists where hosts stand.
+	// Regions lists the regions with hosts.
 	Regions []Region `toml:"region"`
-	// Services lists what is routed to.
+	// Services lists the services that requests are routed to.
 	Services []Service `toml:"service"`
-	// Models lists what engines serve.
+	// Models lists the models that engines serve.
 	Models []Model `toml:"model"`
-	// Workspaces lists who may call.
+	// Workspaces lists the workspaces whose callers are accepted.
 	Workspaces []Workspace `toml:"workspace"`
-	// Objectives lists what the burn report measures against.
+	// Objectives lists the service-level objectives of the burn report.
 	Objectives []Objective `toml:"objective"`
 	// Limits bounds requests and retries.
 	Limits Limits `toml:"limits"`
@@ -80,84 +79,84 @@
 type Region struct {
 	// Name of the region, unique.
 	Name string `toml:"name"`
-	// AvailabilityZones of the region, each in one region only.
+	// AvailabilityZones of the region, unique across regions.
 	AvailabilityZones []string `toml:"availability_zones"`
 }
 
-// Service is one service and its targets.
+// Service is a service and its targets.
 type Service struct {
 	// Name of the service, unique.
 	Name string `toml:"name"`
 	// Kind is "engine", "plain" or "kv".
 	Kind Kind `toml:"kind"`
-	// DependsOn names services that this one needs. No cycles.
+	// DependsOn names the services that this one needs, without cycles.
 	DependsOn []string `toml:"depends_on"`
-	// AtMostOnce makes each call need an idempotency key and run at most once.
+	// AtMostOnce requires an idempotency key for each call, which runs at most
+	// once.
 	AtMostOnce bool `toml:"at_most_once"`
-	// OpaqueKeys takes idempotency keys without an issue time. The promise
-	// then ends with the log's retention: a key repeated later runs again.
+	// OpaqueKeys allows idempotency keys without an issue time. A key that is
+	// repeated after the log's retention then runs again.
 	OpaqueKeys bool `toml:"opaque_keys"`
-	// KeyLifetime is how long an idempotency key is taken after it was made.
-	// Default and at most three quarters of the log's retention. The sidecars
-	// hold every key for as long.
+	// KeyLifetime is how long an idempotency key is accepted after it was issued.
+	// Sidecars store every key for that time. Default and maximum: three quarters
+	// of the log's retention.
 	KeyLifetime settings.Duration `toml:"key_lifetime"`
-	// ChecksFence says whether the targets refuse an order with an old fencing
-	// number by themselves.
+	// ChecksFence is set if the targets refuse load orders with an old fencing
+	// number.
 	ChecksFence bool `toml:"checks_fence"`
 	// MaxLoads is how many targets may load weights at once. Default 1.
 	MaxLoads int `toml:"max_loads"`
-	// BlockTokens is the size of a cached block in tokens. Default 64.
+	// BlockTokens is the number of tokens in a cache block. Default 64.
 	BlockTokens int `toml:"block_tokens"`
-	// Timeout bounds one call of a plain service. Default 10s.
+	// Timeout of a call of a plain service. Default 10s.
 	Timeout settings.Duration `toml:"timeout"`
 	// Targets of the service.
 	Targets []Target `toml:"target"`
 }
 
-// Target is one target, reached through its sidecar.
+// Target is a target, which is reached through its sidecar.
 type Target struct {
 	// Name of the target, unique over all services.
 	Name string `toml:"name"`
-	// Address of its sidecar, as IP number and port.
+	// Address of its sidecar, as IP address and port.
 	Address string `toml:"address"`
 	// AvailabilityZone of its host.
 	AvailabilityZone string `toml:"availability_zone"`
 }
 
-// Model is a model that an engine service has loaded.
+// Model is a model that an engine service serves.
 type Model struct {
-	// Name as callers write it, unique.
+	// Name in requests, unique.
 	Name string `toml:"name"`
 	// Service that serves it, of kind "engine".
 	Service string `toml:"service"`
-	// Weights is the version in force. A change makes the sidecars load it.
+	// Weights is the version to serve. A change makes the sidecars load it.
 	Weights string `toml:"weights"`
-	// Adapters that callers may name.
+	// Adapters that requests may use.
 	Adapters []string `toml:"adapters"`
 }
 
-// Workspace is one customer.
+// Workspace is a customer's workspace.
 type Workspace struct {
 	// Name of the workspace, unique.
 	Name string `toml:"name"`
-	// TokenSHA256 is the hex digest of the token its callers send.
+	// TokenSHA256 is the hex digest of its callers' token.
 	TokenSHA256 string `toml:"token_sha256"`
-	// Weight is its share when targets are busy, against the others' weights.
-	// Default 1.
+	// Weight is its share of busy targets, relative to other workspaces. Default 1.
 	Weight float64 `toml:"weight"`
-	// Class of its requests that name none. Default "interactive".
+	// Class of its requests that specify none. Default "interactive".
 	Class string `toml:"class"`
 }
 
 // Objective is a service-level objective.
 type Objective struct {
-	// Service and Class it speaks of.
+	// Service and Class of the requests that it applies to.
 	Service string `toml:"service"`
 	Class   string `toml:"class"`
-	// TTFT is the time within which the first token (or whole answer of a
-	// plain service) counts as good.
+	// TTFT is the maximum time to first token of a good request, or to the
+	// response of a plain service.
 	TTFT settings.Duration `toml:"ttft"`
-	// Goal is the share of good requests, between 0 and 1.
+	// Goal is the required fraction of good requests, between 0 and 1.
 	Goal float64 `toml:"goal"`
 }
 
@@ -165,28 +164,28 @@
 type Limits struct {
 	// MaxBodyBytes of a request. Default 4 MiB.
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
-	// DefaultDeadline of a request that names none. Default 30s.
+	// DefaultDeadline of requests that specify none. Default 30s.
 	DefaultDeadline settings.Duration `toml:"default_deadline"`
-	// RetryShare is how many retries an entry makes, as a share of its
-	// requests. Default 0.1.
+	// RetryShare limits the retries of an entry to a fraction of its requests.
+	// Default 0.1.
 	RetryShare float64 `toml:"retry_share"`
 }
 
-// Service returns the service of a name, or nil.
+// Service returns the service with the name, or nil.
 func (c *Config) Service(name string) *Service { return c.services[name] }
 
-// Model returns the model of a name, or nil.
+// Model returns the model with the name, or nil.
 func (c *Config) Model(name string) *Model { return c.models[name] }
 
-// Workspace returns the workspace of a name, or nil.
+// Workspace returns the workspace with the name, or nil.
 func (c *Config) Workspace(name string) *Workspace { return c.workspaces[name] }
 
-// WorkspaceByTokenDigest returns the workspace whose token has this hex
-// digest, or nil. The lookup is by digest, so that its timing tells nothing
-// about the token.
+// WorkspaceByTokenDigest returns the workspace whose token has the hex digest, or
+// nil. The lookup uses the digest so that its timing reveals nothing about the
+// token.
 func (c *Config) WorkspaceByTokenDigest(digest string) *Workspace { return c.byTokenDigest[digest] }
 
-// ModelOf returns the model that an engine service serves, or nil.
+// ModelOf returns the model of an engine service, or nil.
 func (c *Config) ModelOf(service string) *Model {
 	for i := range c.Models {
 		if c.Models[i].Service == service {
@@ -196,7 +195,7 @@
 	return nil
 }
 
-// TargetNamed returns a target and its service, or nils.
+// FindTarget returns the target with the name and its service, or nils.
 func (c *Config) FindTarget(name string) (*Service, *Target) {
 	for i := range c.Services {
 		s := &c.Services[i]
@@ -209,7 +208,7 @@
 	return nil, nil
 }
 
-// ObjectiveFor returns the objective of a service and class, or nil.
+// ObjectiveFor returns the objective for a service and class, or nil.
 func (c *Config) ObjectiveFor(service string, class Class) *Objective {
 	for i := range c.Objectives {
 		o := &c.Objectives[i]
@@ -220,8 +219,8 @@
 	return nil
 }
 
-// HasAdapter reports whether callers may name the adapter; the empty name is
-// the model itself.
+// HasAdapter reports whether requests may use the adapter. The empty name stands
+// for the model without an adapter.
 func (m *Model) HasAdapter(name string) bool {
 	if name == "" {
 		return true
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/toucanwell/toucanwell/examples"
 )
 
-// base is a good text that the cases of testdata/check change.
+// validConfig is the configuration that the cases in testdata/check modify.
 const validConfig = `schema = 1
 [[region]]
 name = "r"
@@ -45,7 +45,8 @@
 retry_share = 0.1
 `
 
-// Each case replaces one line of a good text and shows the refusal.
+// Guards against invalid configurations that are accepted and against errors that do
+// not show the problem.
 func TestCheck(t *testing.T) {
 	datadriven.RunTest(t, "testdata/check", func(t *testing.T, d *datadriven.TestData) string {
 		text := validConfig
@@ -80,7 +81,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := Parse("text.toml", text)
 		if err == nil && (c.Schema != 1 || len(c.Services) == 0) {
-			t.Error("a bad text passed")
+			t.Error("an invalid text was accepted")
 		}
 	})
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -1,8 +1,9 @@
-// Package control runs the controllers of a process on one thread.
+// Package control runs the controllers of a process on one goroutine, the control
+// thread.
 //
-// Controllers react to events and timers; what they know, they post on the
-// blackboard. Input and output run on goroutines of their own and come back as
-// events, so that a slow platform never holds up the control thread.
+// Controllers handle events and timers and post their results on the blackboard.
+// I/O runs on other goroutines and its results are delivered as events, so slow
+// I/O does not block the control thread.
 package control
 
 import (
@@ -16,25 +17,24 @@
 
 const eventQueueSize = 1024
 
-// Loop is the control thread.
+// Loop is the event loop of the control thread.
 type Loop struct {
 	events chan func()
 	ctx    context.Context
 	stop   context.CancelFunc
 	tasks  sync.WaitGroup
-	// tasksMu guards stopped, so that no task begins once Run waits for the end
-	// of the others.
+	// stoppedMu guards stopped. No task may start once Run waits for the tasks.
 	stoppedMu sync.Mutex
 	stopped   bool
-	// observe is told how long each event took.
+	// observe is called with the duration of each event.
 	observe func(time.Duration)
-	// seedMu guards random, which timers of several controllers draw from.
+	// randomMu guards random.
 	randomMu sync.Mutex
 	random   *rand.Rand
 }
 
-// NewLoop returns a loop whose jitter comes from the seed. observe is told how
-// long each event held the thread.
+// NewLoop returns a loop. seed determines its jitter. observe is called with the
+// duration of each event.
 func NewLoop(seed uint64, observe func(time.Duration)) *Loop {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Loop{
@@ -46,7 +46,7 @@
 	}
 }
 
-// Run handles events until Stop. It returns when all tasks have ended.
+// Run handles events until Stop is called, and returns when all tasks have ended.
 func (l *Loop) Run() {
 	for {
 		select {
@@ -69,11 +69,11 @@
 	l.stop()
 }
 
-// Context is cancelled by Stop.
+// Context returns a context that Stop cancels.
 func (l *Loop) Context() context.Context { return l.ctx }
 
-// Post queues an event for the control thread. It waits while the queue is
-// full and gives up when the loop stops.
+// Post queues an event for the control thread. It blocks while the queue is full,
+// until the loop stops.
 func (l *Loop) Post(event func()) {
 	select {
 	case l.events <- event:
@@ -81,14 +81,13 @@
 	}
 }
 
-// spreadStarts is how many first waits are drawn from a whole period. The
-// period of a process that has just started may change once it has its
-// configuration, so that one is not enough.
+// initialWaits is how many initial waits are random over the whole period. One is
+// not enough: the period may change once the process has its configuration.
 const initialWaits = 2
 
-// Every runs event on the control thread after each period, spread by a quarter
-// to either side. The first waits are drawn from the whole period, so that
-// processes that started together do not act together.
+// Every runs event on the control thread once per period, with jitter. The initial
+// waits are random over the whole period, which desynchronizes processes that
+// start together.
 func (l *Loop) Every(period func() time.Duration, event func()) {
 	l.Go(func(ctx context.Context) {
 		for n := 0; ; n++ {
@@ -104,7 +103,7 @@
 	})
 }
 
-// Go runs a task off the control thread until it ends or the loop stops.
+// Go runs a task on its own goroutine. The task's context ends when the loop stops.
 func (l *Loop) Go(task func(ctx context.Context)) {
 	l.stoppedMu.Lock()
 	defer l.stoppedMu.Unlock()
@@ -118,7 +117,8 @@
 	}()
 }
 
-// Do runs io off the control thread and then hands its result to done on it.
+// Do runs io on its own goroutine and calls done with the result on the control
+// thread.
 func Do[T any](l *Loop, timeout time.Duration, io func(ctx context.Context) (T, error), done func(T, error)) {
 	l.Go(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -128,12 +128,12 @@
 	})
 }
 
-// Spread returns d changed by up to a quarter to either side.
+// Jitter returns a random duration within a quarter of d.
 func (l *Loop) Jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + l.randomFloat()/2))
 }
 
-// Intn returns a number from 0 to n-1.
+// Intn returns a random number from 0 to n-1.
 func (l *Loop) Intn(n int) int {
 	l.randomMu.Lock()
 	defer l.randomMu.Unlock()
@@ -146,16 +146,16 @@
 	return l.random.Float64()
 }
 
-// Ask runs a question on the control thread and returns its answer; false when the
-// context ends before.
-func Call[T any](ctx context.Context, loop *Loop, question func() T) (T, bool) {
-	answer := make(chan T, 1)
-	loop.Post(func() { answer <- question() })
+// Call runs fn on the control thread and returns its result, or false if the
+// context ends first.
+func Call[T any](ctx context.Context, loop *Loop, fn func() T) (T, bool) {
+	result := make(chan T, 1)
+	loop.Post(func() { result <- fn() })
 	select {
-	case v := <-answer:
+	case v := <-result:
 		return v, true
 	case <-ctx.Done():
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
