--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -1,8 +1,9 @@
-// Package blackboard holds the facts that the controllers of a process share.
+// Package blackboard shares state between the controllers and the request handlers
+// of a process.
 //
-// A fact has one owning controller, which posts it from the control thread.
-// Anyone reads it, traffic included, as an immutable value behind an atomic
-// pointer: a reader sees the old value or the new one, never a mixture.
+// Each fact is an immutable value behind an atomic pointer. Only the controller
+// that owns the fact posts new values, from the control thread. Any goroutine may
+// read it.
 package blackboard
 
 import (
@@ -10,22 +11,22 @@
 	"time"
 )
 
-// Entry is one posted value with its stamp.
+// Entry is a posted value with its revision and time.
 type Entry[T any] struct {
 	Value T
-	// Revision counts the posts to this fact.
+	// Revision is the number of posts so far.
 	Revision uint64
-	// At is when it was posted.
+	// PostedAt is when the value was posted.
 	PostedAt time.Time
 }
 
-// Fact is one typed place on the blackboard. The zero Fact is empty.
+// Fact is a value on the blackboard. The zero Fact is empty.
 type Fact[T any] struct {
 	entry atomic.Pointer[Entry[T]]
 }
 
-// Post replaces the value. Only the owning controller calls it, on the control
-// thread; the value must not change afterwards.
+// Post replaces the value, which must not be modified afterwards. Only the owning
+// controller may call it, on the control thread.
 func (f *Fact[T]) Post(value T, now time.Time) {
 	next := &Entry[T]{Value: value, Revision: 1, PostedAt: now}
 	if old := f.entry.Load(); old != nil {
@@ -34,7 +35,7 @@
 	f.entry.Store(next)
 }
 
-// Get returns the value; ok is false when none was posted.
+// Get returns the value; ok is false if none was posted.
 func (f *Fact[T]) Get() (value T, ok bool) {
 	e := f.entry.Load()
 	if e == nil {
@@ -43,5 +44,5 @@
 	return e.Value, true
 }
 
-// Entry returns the value with its stamp, or nil.
+// Entry returns the latest entry, or nil.
 func (f *Fact[T]) Entry() *Entry[T] { return f.entry.Load() }
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -1,5 +1,5 @@
-// Package burn counts good and bad requests against the service-level
-// objectives, minute by minute, and works out how fast each error budget burns.
+// Package burn counts good and bad requests per minute and computes burn rates of
+// the error budgets of service-level objectives.
 package burn
 
 import (
@@ -9,25 +9,26 @@
 )
 
 const (
-	// Minutes is how many minutes a counter keeps.
+	// Minutes is the number of minutes that a counter covers.
 	Minutes = 60
-	// maxKeys bounds a counter's rows; further workspaces count as Other.
+	// maxKeys limits the rows of a counter. Further workspaces are counted as
+	// OtherWorkspaces.
 	maxKeys = 2000
-	// Other stands for workspaces beyond the bound.
+	// OtherWorkspaces is the name for workspaces beyond the limit.
 	OtherWorkspaces = "other"
 )
 
-// Key names what is counted.
+// Key identifies a row of a counter.
 type Key struct {
 	Service   string
 	Class     string
 	Workspace string
 }
 
-// Count holds the requests of one minute.
+// Count is the number of requests in a minute.
 type Count struct {
 	Key
-	// Minute is Unix time in minutes.
+	// Minute is the Unix time in minutes.
 	Minute int64
 	Good   int64
 	Bad    int64
@@ -38,7 +39,7 @@
 	good, bad int64
 }
 
-// Counter counts the requests of one process. It is safe for concurrent use.
+// Counter counts the requests of a process. It is safe for concurrent use.
 type Counter struct {
 	mu    sync.Mutex
 	now   func() time.Time
@@ -51,10 +52,10 @@
 	return &Counter{now: now, since: now(), rows: map[Key]*[Minutes]cell{}}
 }
 
-// Since is when the counter began; what came before is not in it.
+// Since returns when the counter started.
 func (c *Counter) Since() time.Time { return c.since }
 
-// Add counts one request.
+// Add counts a request.
 func (c *Counter) Add(key Key, good bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,27 +69,27 @@
 		c.rows[key] = row
 	}
 	minute := c.now().Unix() / 60
-	at := &row[minute%Minutes]
-	if at.minute != minute {
-		*at = cell{minute: minute}
+	current := &row[minute%Minutes]
+	if current.minute != minute {
+		*current = cell{minute: minute}
 	}
 	if good {
-		at.good++
+		current.good++
 		return
 	}
-	at.bad++
+	current.bad++
 }
 
-// Counts returns the counts of the minutes kept, in a fixed order.
+// Counts returns the counts of the last Minutes minutes, sorted.
 func (c *Counter) Counts() []Count {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	oldest := c.now().Unix()/60 - Minutes
 	var counts []Count
 	for key, row := range c.rows {
-		for _, at := range row {
-			if at.minute > oldest && at.good+at.bad > 0 {
-				counts = append(counts, Count{key, at.minute, at.good, at.bad})
+		for _, c := range row {
+			if c.minute > oldest && c.good+c.bad > 0 {
+				counts = append(counts, Count{key, c.minute, c.good, c.bad})
 			}
 		}
 	}
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// The windows of a report.
+// Windows of a report.
 const (
 	FastWindow = 5 * time.Minute
 	SlowWindow = time.Hour
 )
 
-// Goal is the share of good requests that an objective asks for.
+// Goal is the fraction of good requests that an objective requires.
 type Goal struct {
 	Service string
 	Class   string
 	Goal    float64
 }
 
-// Row is one line of a report.
+// Row is a row of a report.
 type Row struct {
 	Key
 	Goal float64 `json:"goal"`
 	// Good and Bad requests in the slow window.
 	Good int64 `json:"good"`
 	Bad  int64 `json:"bad"`
-	// FastBurn and SlowBurn are how many times faster than allowed the error
-	// budget burns in the window; 1 uses it up exactly.
+	// FastBurn and SlowBurn are the burn rates in the two windows. A rate of 1 uses
+	// up the error budget exactly.
 	FastBurn float64 `json:"fast_burn"`
 	SlowBurn float64 `json:"slow_burn"`
-	// BudgetLeft is the part of the slow window's error budget that is left;
-	// below 0 it is overspent.
+	// BudgetLeft is the remaining fraction of the error budget of the slow window.
+	// It is negative if the budget is exceeded.
 	BudgetLeft float64 `json:"budget_left"`
 }
 
-// AllWorkspaces stands in a row that sums over workspaces.
+// AllWorkspaces is the workspace of a row that sums over all workspaces.
 const AllWorkspaces = "*"
 
-// Report works out the rows for each objective: one over all workspaces and
-// one for each workspace.
+// Report returns the rows for each goal: one for all workspaces together and one
+// for each workspace.
 func Report(goals []Goal, counts []Count, now time.Time) []Row {
 	sums := map[Key]*windowCounts{}
 	for _, c := range counts {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs one process of the system: the role that its settings
-// name, its listeners, and its planned stop.
+// Package daemon runs a process of the system: the role given in its settings, its
+// listeners and its graceful shutdown.
 package daemon
 
 import (
@@ -35,14 +35,14 @@
 	peerPingTimeout   = time.Second
 )
 
-// role is what the two roles have in common.
+// role is an entry or a sidecar.
 type role interface {
 	Start()
 	Handler() http.Handler
 	Close()
 }
 
-// Daemon is one process.
+// Daemon is a running process.
 type Daemon struct {
 	settings *settings.Settings
 	logger   logr.Logger
@@ -50,7 +50,7 @@
 	drain    func(ctx context.Context)
 	traffic  *http.Server
 	admin    *http.Server
-	// datagrams sends or answers probes.
+	// probes is the probe client of an entry or the probe server of a sidecar.
 	probes   io.Closer
 	peers    *http.Client
 	platform *http.Client
@@ -58,9 +58,8 @@
 	failed   chan error
 }
 
-// New builds the process and binds its listeners. Binding comes before
-// anything else: the listening address is the proof that no earlier process of
-// this name is alive.
+// New binds the listeners and starts the process. It binds first, because owning
+// the listen address proves that no earlier process of this name is running.
 func New(s *settings.Settings, logOutput io.Writer) (*Daemon, error) {
 	d := &Daemon{
 		settings: s, logger: logging.New(logOutput, s.Name),
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// textInForce reads the version and the text off a snapshot.
+// activeConfig returns a function that returns the version and text in force.
 func activeConfig(get func() (configlog.Snapshot, bool)) func() (int64, string, bool) {
 	return func() (int64, string, bool) {
 		s, ok := get()
@@ -181,7 +180,7 @@
 	routing.Suspect: oas.TargetStateSuspect,
 }
 
-// listing turns targets into those of the administration API.
+// adminTargets converts targets to those of the administration API.
 func adminTargets(targets func() []routing.Target) func() []oas.Target {
 	return func() []oas.Target {
 		var all []oas.Target
@@ -217,13 +216,12 @@
 	go func() { d.failed <- d.admin.Serve(adminListener) }()
 }
 
-// Failed yields the error of a listener that ended by itself.
+// Failed returns a channel with the errors of listeners that stopped.
 func (d *Daemon) Failed() <-chan error { return d.failed }
 
-// Stop is the planned stop: not ready at once, so that the balancer and the
-// entries turn away; then, after a moment in which late requests are still
-// taken, the end of what runs; then the end of the process. No request is cut
-// that ends within the drain timeout.
+// Stop shuts the process down gracefully. It reports not ready at once, accepts
+// late requests for the drain delay, waits for running requests and then closes
+// the process. Requests that end within the drain timeout complete.
 func (d *Daemon) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Timing.DrainTimeout.Duration)
 	defer cancel()
@@ -243,7 +241,7 @@
 	d.logger.Info("stopped")
 }
 
-// Close ends the process at once.
+// Close stops the process immediately.
 func (d *Daemon) Close() {
 	_ = d.traffic.Close()
 	_ = d.admin.Close()
@@ -253,7 +251,7 @@
 	d.platform.CloseIdleConnections()
 }
 
-// newServer returns a server of HTTP/1.1 and HTTP/2 without TLS.
+// newServer returns a server for HTTP/1.1 and unencrypted HTTP/2.
 func newServer(h http.Handler) *http.Server {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -262,8 +260,8 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, Protocols: protocols}
 }
 
-// newPeerClient returns a client that keeps one HTTP/2 connection for each
-// peer. Pings find a connection whose other end was cut off or is frozen.
+// newPeerClient returns a client that uses one HTTP/2 connection per peer. Pings
+// detect connections to unreachable or frozen peers.
 func newPeerClient() *http.Client {
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
--- a/internal/datagram/datagram.go
+++ b/internal/datagram/datagram.go
@@ -1,4 +1,4 @@
-// Package datagram receives the small messages that processes send each other over UDP.
+// Package datagram receives UDP messages between processes.
 package datagram
 
 import (
@@ -8,18 +8,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Receive hands each datagram to take, with its sender, until the socket is closed. Of one
-// that is longer than most bytes the rest is lost. data is valid until take returns.
-func Receive(conn *net.UDPConn, most int, take func(data []byte, from netip.AddrPort)) {
-	buffer := make([]byte, most)
+// Receive calls handle with each datagram and its sender until the socket is closed.
+// Datagrams longer than maxSize bytes are truncated. data is valid until handle returns.
+func Receive(conn *net.UDPConn, maxSize int, handle func(data []byte, from netip.AddrPort)) {
+	buffer := make([]byte, maxSize)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an ICMP word of an earlier datagram
+			continue // ICMP error for an earlier datagram
 		}
-		take(buffer[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		handle(buffer[:n], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
--- a/internal/datagram/datagram_test.go
+++ b/internal/datagram/datagram_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Two processes send to a third, one of them more than a message may have. Each message is
-// handed on with its sender, as IPv4, and the receiver ends when its socket is closed.
+// Guards against lost or wrong sender addresses, untruncated datagrams and a receiver that
+// does not stop when its socket is closed.
 func TestReceiveReportsSendersAndStopsOnClose(t *testing.T) {
 	open := func() *net.UDPConn {
 		conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -1,6 +1,5 @@
-// Package external holds the interfaces to what the platform gives (its log,
-// its list of hosts, engines and plain services) and HTTP clients for them. A
-// test bench takes the stand-ins' place by the addresses in the settings.
+// Package external defines the interfaces to the platform's log and host list, to
+// engines and to plain services, with HTTP clients for them.
 package external
 
 import (
@@ -10,31 +9,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNotSent says that a call certainly had no effect: it never left.
+// ErrNotSent marks errors of calls that were not sent and thus had no effect.
 var ErrNotSent = errors.New("call not sent")
 
-// Record is one record of a log stream.
+// Record is a record of a log stream.
 type Record struct {
-	// Offset of the record in its stream; offsets only grow.
+	// Offset of the record in its stream. Offsets increase.
 	Offset uint64 `json:"offset"`
-	// UnixMs is the log's time of the append.
+	// UnixMs is the time of the append by the log's clock.
 	UnixMs int64 `json:"unix_ms"`
-	// Data is what was appended.
+	// Data is the content of the record.
 	Data []byte `json:"data"`
 }
 
-// Page is a piece of a stream.
+// Page is a range of a stream.
 type Page struct {
-	// First is the oldest offset that the log still keeps.
+	// First is the oldest offset that the log has.
 	First uint64 `json:"first"`
-	// Next is the offset that the next append will get.
+	// Next is the offset of the next append.
 	Next uint64 `json:"next"`
-	// Records from the asked offset on.
+	// Records from the requested offset on.
 	Records []Record `json:"records"`
 }
 
-// Log is the platform's append-only log. An error of Append other than
-// ErrNotSent leaves open whether the record was appended.
+// Log is the platform's append-only log. After an error of Append other than
+// ErrNotSent, the record may have been appended.
 type Log interface {
 	Append(ctx context.Context, stream string, data []byte) (offset uint64, err error)
 	Read(ctx context.Context, stream string, from uint64) (*Page, error)
@@ -43,13 +42,14 @@
 // HostState is the state of a host in the platform's list.
 type HostState string
 
-// The states of a host. A host that the list leaves out is gone.
+// States of a host. A host that is not listed has been removed.
 const (
 	HostLive    HostState = "live"
 	HostLeaving HostState = "leaving"
 )
 
-// Host is a row of the platform's lagging list; Name is a target's name.
+// Host is an entry of the platform's host list, which lags behind. Name is the name
+// of a target.
 type Host struct {
 	Name  string    `json:"name"`
 	State HostState `json:"state"`
@@ -60,18 +60,17 @@
 	List(ctx context.Context) ([]Host, error)
 }
 
-// GenerateRequest asks an engine for a completion.
+// GenerateRequest is a request for a completion by an engine.
 type GenerateRequest struct {
 	RequestID string `json:"request_id"`
 	Prompt    string `json:"prompt"`
-	// TextSoFar is text generated before, to be continued; its frames are
-	// numbered up to From-1.
+	// TextSoFar is the text generated so far, in the frames up to From-1.
 	TextSoFar string `json:"text_so_far,omitempty"`
 	From      uint64 `json:"from"`
 	MaxTokens int    `json:"max_tokens"`
 	Priority  int    `json:"priority"`
-	// Blocks are the chained hashes of the prompt's whole blocks; the engine's
-	// cache events name blocks by them.
+	// Blocks are the chained hashes of the prompt's full blocks. The engine's cache
+	// events identify blocks by these hashes.
 	Blocks       []uint64 `json:"blocks"`
 	BlockTokens  int      `json:"block_tokens"`
 	PromptTokens int      `json:"prompt_tokens"`
@@ -79,11 +78,11 @@
 	Adapter      string   `json:"adapter,omitempty"`
 }
 
-// Token is one event of an engine's stream.
+// Token is an event of an engine's stream.
 type Token struct {
 	Seq  uint64 `json:"seq"`
 	Text string `json:"text,omitempty"`
-	// End marks the last event of a whole stream.
+	// End marks the last event of a complete stream.
 	End          bool   `json:"end,omitempty"`
 	FinishReason string `json:"finish_reason,omitempty"`
 	CachedTokens int    `json:"cached_tokens,omitempty"`
@@ -94,21 +93,21 @@
 // EventKind is the kind of a cache event.
 type EventKind string
 
-// The kinds of cache event.
+// Kinds of cache event.
 const (
 	EventStored  EventKind = "stored"
 	EventRemoved EventKind = "removed"
 	EventCleared EventKind = "cleared"
 )
 
-// CacheEvent tells of blocks that an engine stored or evicted.
+// CacheEvent reports blocks that an engine stored or evicted.
 type CacheEvent struct {
 	Seq    uint64    `json:"seq"`
 	Kind   EventKind `json:"kind"`
 	Blocks []uint64  `json:"blocks,omitempty"`
 }
 
-// EventPage is a piece of an engine's event stream.
+// EventPage is a range of an engine's event stream.
 type EventPage struct {
 	Incarnation string       `json:"incarnation"`
 	First       uint64       `json:"first"`
@@ -116,7 +115,7 @@
 	Events      []CacheEvent `json:"events"`
 }
 
-// Load is an engine's lagging report.
+// EngineStatus is an engine's report of its load and weights. It may be outdated.
 type EngineStatus struct {
 	Incarnation string `json:"incarnation"`
 	// Weights loaded now; empty while loading.
@@ -126,24 +125,24 @@
 	Waiting int    `json:"waiting"`
 }
 
-// Order tells an engine to load weights. Fence is the fencing number.
+// LoadOrder tells an engine to load weights. Fence is the fencing number.
 type LoadOrder struct {
 	Model   string `json:"model"`
 	Weights string `json:"weights"`
 	Fence   uint64 `json:"fence"`
 }
 
-// ErrUnknownStream says that an engine has no stream of that request.
+// ErrUnknownStream is returned if an engine has no stream for the request.
 var ErrUnknownStream = errors.New("unknown stream")
 
-// ErrStaleFence says that an engine refused an order's fencing number.
+// ErrStaleFence is returned if an engine refused the fencing number of an order.
 var ErrStaleFence = errors.New("stale fencing number")
 
-// ErrWrongWeights says that an engine does not have the weights asked for.
+// ErrWrongWeights is returned if an engine does not have the requested weights.
 var ErrWrongWeights = errors.New("wrong weights")
 
-// TokenStream yields an engine's events. An error before the end mark means
-// that the stream was cut; Next returns io.EOF only after the end mark.
+// TokenStream is a stream of engine events. Next returns io.EOF after the end mark
+// and another error if the stream breaks before it.
 type TokenStream interface {
 	Next() (Token, error)
 	Close() error
@@ -161,7 +160,7 @@
 	LoadWeights(ctx context.Context, order LoadOrder) error
 }
 
-// PlainRequest is one call of a plain service.
+// PlainRequest is a call of a plain service.
 type PlainRequest struct {
 	Path        string
 	ContentType string
@@ -172,15 +171,15 @@
 	Timeout   time.Duration
 }
 
-// PlainResponse is a plain service's answer.
+// PlainResponse is the response of a plain service.
 type PlainResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Plain is a plain service. An error that is not ErrNotSent leaves open
-// whether the call took effect.
+// Plain is a plain service. After an error other than ErrNotSent, the call may have
+// taken effect.
 type Plain interface {
 	Call(ctx context.Context, req *PlainRequest) (*PlainResponse, error)
 }
--- a/internal/external/http.go
+++ b/internal/external/http.go
@@ -23,7 +23,7 @@
 	dialTimeout      = 2 * time.Second
 )
 
-// NewHTTPClient returns a client whose dial errors read as ErrNotSent.
+// NewHTTPClient returns a client for use with the types of this package.
 func NewHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -33,8 +33,8 @@
 	}}
 }
 
-// notSent marks an error that stopped the call before it left. Only a failed
-// dial counts: once a connection stands, a lost answer may hide an effect.
+// markNotSent marks dial errors as ErrNotSent. After other errors the call may have
+// taken effect.
 func markNotSent(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -48,7 +48,7 @@
 	http *http.Client
 }
 
-// statusError is an answer outside 2xx.
+// statusError is a response with a status other than 2xx.
 type statusError struct {
 	status int
 	body   string
@@ -107,7 +107,7 @@
 // HTTPLog is a Log over HTTP.
 type HTTPLog struct{ c jsonClient }
 
-// NewHTTPLog returns a Log at a base URL.
+// NewHTTPLog returns a client for the Log at a base URL.
 func NewHTTPLog(base string, client *http.Client) *HTTPLog {
 	return &HTTPLog{jsonClient{base, client}}
 }
@@ -133,7 +133,7 @@
 // HTTPHosts is a Hosts over HTTP.
 type HTTPHosts struct{ c jsonClient }
 
-// NewHTTPHosts returns a Hosts at a base URL.
+// NewHTTPHosts returns a client for the Hosts at a base URL.
 func NewHTTPHosts(base string, client *http.Client) *HTTPHosts {
 	return &HTTPHosts{jsonClient{base, client}}
 }
@@ -147,10 +147,10 @@
 	return out.Hosts, err
 }
 
-// HTTPEngine is an Engine over HTTP; its streams are server-sent events.
+// HTTPEngine is an Engine over HTTP. Its streams use server-sent events.
 type HTTPEngine struct{ c jsonClient }
 
-// NewHTTPEngine returns an Engine at a base URL.
+// NewHTTPEngine returns a client for the Engine at a base URL.
 func NewHTTPEngine(base string, client *http.Client) *HTTPEngine {
 	return &HTTPEngine{jsonClient{base, client}}
 }
@@ -196,14 +196,14 @@
 	return page, err
 }
 
-// Load implements Engine.
+// Status implements Engine.
 func (e *HTTPEngine) Status(ctx context.Context) (*EngineStatus, error) {
 	status := &EngineStatus{}
 	err := e.c.call(ctx, http.MethodGet, "/v1/load", nil, status)
 	return status, err
 }
 
-// Order implements Engine.
+// LoadWeights implements Engine.
 func (e *HTTPEngine) LoadWeights(ctx context.Context, order LoadOrder) error {
 	err := e.c.post(ctx, "/v1/orders", order, nil)
 	if statusCode(err) == http.StatusPreconditionFailed {
@@ -212,7 +212,7 @@
 	return err
 }
 
-// sse reads "data: {json}" events.
+// sseStream reads server-sent events with a JSON token each.
 type sseStream struct {
 	body  io.ReadCloser
 	lines *bufio.Scanner
@@ -254,14 +254,14 @@
 // HTTPPlain is a Plain over HTTP.
 type HTTPPlain struct{ c jsonClient }
 
-// NewHTTPPlain returns a Plain at a base URL.
+// NewHTTPPlain returns a client for the Plain at a base URL.
 func NewHTTPPlain(base string, client *http.Client) *HTTPPlain {
 	return &HTTPPlain{jsonClient{base, client}}
 }
 
-// Call implements Plain. It follows no redirect and sends each call once: the
-// request has no GetBody and a pooled connection's early close is an error, so
-// that net/http never repeats it.
+// Call implements Plain. It does not follow redirects and sends each call once:
+// without GetBody, net/http does not retry the request when a pooled connection
+// was closed.
 func (p *HTTPPlain) Call(ctx context.Context, in *PlainRequest) (*PlainResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, in.Timeout)
 	defer cancel()
@@ -282,7 +282,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "plain answer")
+		return nil, errors.Wrap(err, "plain response")
 	}
 	return &PlainResponse{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads the settings of one process: its role, its addresses
-// and where the platform is. The operators' configuration is another text; see
-// package config.
+// Package settings reads the settings file of a process: its role, its addresses
+// and those of the platform. Package config defines the operators' configuration.
 package settings
 
 import (
@@ -15,37 +14,38 @@
 	"github.com/toucanwell/toucanwell/internal/tomltext"
 )
 
-// Role is what a process does.
+// Role is the role of a process.
 type Role string
 
-// The roles.
+// Roles of a process.
 const (
 	RoleEntry   Role = "entry"
 	RoleSidecar Role = "sidecar"
 )
 
-// Settings are the settings of one process.
+// Settings are the settings of a process.
 type Settings struct {
-	// Name is unique among the system's processes. For a sidecar it is the
-	// name of its target in the configuration. Required.
+	// Name of the process, unique in the deployment. For a sidecar it is the name
+	// of its target in the configuration. Required.
 	Name string `toml:"name"`
 	// Role is "entry" or "sidecar". Required.
 	Role Role `toml:"role"`
-	// Region and AvailabilityZone are where the host stands. Required.
+	// Region and AvailabilityZone of the host. Required.
 	Region           string `toml:"region"`
 	AvailabilityZone string `toml:"availability_zone"`
-	// Listen is where callers (entry) or entries (sidecar) connect, as IP
-	// number and port. Required.
+	// Listen is the address for callers (entry) or entries (sidecar), as IP
+	// address and port. Required.
 	Listen string `toml:"listen"`
-	// AdminListen serves metrics, health and the administration API. Required.
+	// AdminListen is the address of metrics, health checks and the administration
+	// API. Required.
 	AdminListen string `toml:"admin_listen"`
 	// AdminTokenSHA256 is the hex digest of the administration token. Empty
-	// closes the administration API; metrics and health stay open.
+	// disables the administration API, but not metrics and health checks.
 	AdminTokenSHA256 string `toml:"admin_token_sha256"`
-	// Peers are listen addresses of a few other processes. They give the
-	// configuration to a process that starts while the log is down.
+	// Peers are the listen addresses of a few other processes. They provide the
+	// configuration if the log is down when the process starts.
 	Peers []string `toml:"peers"`
-	// Seed of the jitter of timers. Default: a hash of the name.
+	// Seed of timer jitter. Default: a hash of the name.
 	Seed uint64 `toml:"seed"`
 
 	Platform Platform `toml:"platform"`
@@ -55,70 +55,70 @@
 	Cache    Cache    `toml:"cache"`
 }
 
-// Platform says where the platform's services are, as base URLs.
+// Platform holds the base URLs of the platform's services.
 type Platform struct {
-	// LogURL is the append-only log. Required.
+	// LogURL is the URL of the append-only log. Required.
 	LogURL string `toml:"log_url"`
-	// HostsURL is the list of live and leaving hosts. Empty means none.
+	// HostsURL is the URL of the list of live and leaving hosts. Optional.
 	HostsURL string `toml:"hosts_url"`
-	// LogRetention is how long the log keeps a record. Default 24h.
+	// LogRetention is how long the log keeps records. Default 24h.
 	LogRetention Duration `toml:"log_retention"`
 }
 
-// Target says where a sidecar's own target is.
+// Target describes the target of a sidecar.
 type Target struct {
 	// URL is the base URL of the engine or plain service.
 	URL string `toml:"url"`
-	// MaxRunning is how many requests the target works on at once. Default 8.
+	// MaxRunning is the maximum number of concurrent requests. Default 8.
 	MaxRunning int `toml:"max_running"`
-	// MaxPrefilling is how many of them may await their first token. Default 1, which keeps the order of classes in
-	// the gate's hands.
+	// MaxPrefilling is how many of them may await their first token. Default 1, so
+	// that the gate controls the order of prefills.
 	MaxPrefilling int `toml:"max_prefilling"`
-	// MaxQueued is how many requests may wait. Default 512.
+	// MaxQueued is the maximum number of queued requests. Default 512.
 	MaxQueued int `toml:"max_queued"`
-	// PrefillTokensPerSecond is the rate assumed until one is measured.
+	// PrefillTokensPerSecond is the initial estimate of the prefill rate.
 	// Default 8000.
 	PrefillTokensPerSecond float64 `toml:"prefill_tokens_per_second"`
 }
 
-// TLS turns on TLS for the callers' side of an entry.
+// TLS enables TLS for the callers of an entry.
 type TLS struct {
-	// CertFile and KeyFile are PEM files; both or none.
+	// CertFile and KeyFile are PEM files. Set both or neither.
 	CertFile string `toml:"cert_file"`
 	KeyFile  string `toml:"key_file"`
 }
 
-// Timing holds periods and bounds.
+// Timing holds periods and timeouts.
 type Timing struct {
-	// LogPolls is how many polls of the configuration stream a second the
-	// whole fleet may make; each process takes its part. Default 20.
+	// LogPolls is the fleet's total number of polls of the configuration stream
+	// per second. Default 20.
 	LogPolls float64 `toml:"log_polls"`
-	// SyncPeriod is how often a process asks one other for its version of the
-	// configuration. Default 2s.
+	// SyncPeriod is how often a process syncs its configuration with a random
+	// peer. Default 2s.
 	SyncPeriod Duration `toml:"sync_period"`
 	// HostsPeriod is how often the host list is read. Default 2s.
 	HostsPeriod Duration `toml:"hosts_period"`
-	// EventsPeriod is how often a sidecar reads cache events, which only
-	// correct the index. Default 500ms.
+	// EventsPeriod is how often a sidecar reads the engine's cache events.
+	// Default 500ms.
 	EventsPeriod Duration `toml:"events_period"`
-	// ClaimInterval is how long claims gather into one append. Default 10ms.
+	// ClaimInterval is how long claims are batched into one append. Default 10ms.
 	ClaimInterval Duration `toml:"claim_interval"`
-	// ResumeGrace is how long a run lives without a reader. Default 5s.
+	// ResumeGrace is how long a run continues without a reader. Default 5s.
 	ResumeGrace Duration `toml:"resume_grace"`
-	// DrainTimeout bounds a planned stop. Default 60s.
+	// DrainTimeout is the maximum duration of a graceful shutdown. Default 60s.
 	DrainTimeout Duration `toml:"drain_timeout"`
-	// DrainDelay is how long a stopping process still takes requests, so that
-	// the balancer or the entries notice first. Default 1s.
+	// DrainDelay is how long a stopping process still accepts requests, until the
+	// load balancer or the entries have noticed. Default 1s.
 	DrainDelay Duration `toml:"drain_delay"`
 }
 
-// Cache bounds a sidecar's prefix index.
+// Cache limits the prefix index of a sidecar.
 type Cache struct {
-	// MaxBlocks is the most blocks that the index holds. Default 200000.
+	// MaxBlocks is the maximum number of blocks in the index. Default 200000.
 	MaxBlocks int `toml:"max_blocks"`
 }
 
-// Duration is a time.Duration written like "250ms".
+// Duration is a time.Duration in text form, like "250ms".
 type Duration struct{ time.Duration }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -137,7 +137,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// Load reads and checks the settings file at path.
+// Load reads and validates the settings file at path.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -146,13 +146,13 @@
 	return Parse(path, string(text))
 }
 
-// Parse checks a settings text; name stands for the file in messages.
+// Parse parses and validates a settings text. Errors refer to it by name.
 func Parse(name, text string) (*Settings, error) {
 	s := defaults()
 	if err := tomltext.Decode(name, text, s); err != nil {
 		return nil, err
 	}
-	if problems := s.check(); len(problems) > 0 {
+	if problems := s.validate(); len(problems) > 0 {
 		return nil, errors.Newf("%s: %s", name, strings.Join(problems, "; "))
 	}
 	if s.Seed == 0 {
@@ -179,29 +179,29 @@
 	}
 }
 
-func (s *Settings) check() []string {
+func (s *Settings) validate() []string {
 	var problems []string
-	report := func(ok bool, problem string) {
+	require := func(ok bool, problem string) {
 		if !ok {
 			problems = append(problems, problem)
 		}
 	}
-	report(s.Name != "", "name: missing")
-	report(s.Role == RoleEntry || s.Role == RoleSidecar, `role: "`+string(s.Role)+`" found; allowed are "entry" and "sidecar"`)
-	report(s.Region != "", "region: missing")
-	report(s.AvailabilityZone != "", "availability_zone: missing")
-	report(isAddress(s.Listen), `listen: "`+s.Listen+`" found; allowed is an IP number with a port`)
-	report(isAddress(s.AdminListen), `admin_listen: "`+s.AdminListen+`" found; allowed is an IP number with a port`)
-	report(s.Platform.LogURL != "", "platform.log_url: missing")
-	report(s.Role != RoleSidecar || s.Target.URL != "", "target.url: missing; a sidecar needs its target")
-	report((s.TLS.CertFile == "") == (s.TLS.KeyFile == ""), "tls: cert_file and key_file go together")
-	report(s.Target.MaxRunning > 0, "target.max_running: must be above 0")
-	report(s.Target.MaxPrefilling > 0, "target.max_prefilling: must be above 0")
-	report(s.Target.MaxQueued > 0, "target.max_queued: must be above 0")
-	report(s.Target.PrefillTokensPerSecond > 0, "target.prefill_tokens_per_second: must be above 0")
-	report(s.Timing.LogPolls > 0, "timing.log_polls: must be above 0")
+	require(s.Name != "", "name: missing")
+	require(s.Role == RoleEntry || s.Role == RoleSidecar, `role: "`+string(s.Role)+`" found; allowed are "entry" and "sidecar"`)
+	require(s.Region != "", "region: missing")
+	require(s.AvailabilityZone != "", "availability_zone: missing")
+	require(isAddress(s.Listen), `listen: "`+s.Listen+`" found; allowed is an IP number with a port`)
+	require(isAddress(s.AdminListen), `admin_listen: "`+s.AdminListen+`" found; allowed is an IP number with a port`)
+	require(s.Platform.LogURL != "", "platform.log_url: missing")
+	require(s.Role != RoleSidecar || s.Target.URL != "", "target.url: missing; a sidecar needs its target")
+	require((s.TLS.CertFile == "") == (s.TLS.KeyFile == ""), "tls: cert_file and key_file go together")
+	require(s.Target.MaxRunning > 0, "target.max_running: must be above 0")
+	require(s.Target.MaxPrefilling > 0, "target.max_prefilling: must be above 0")
+	require(s.Target.MaxQueued > 0, "target.max_queued: must be above 0")
+	require(s.Target.PrefillTokensPerSecond > 0, "target.prefill_tokens_per_second: must be above 0")
+	require(s.Timing.LogPolls > 0, "timing.log_polls: must be above 0")
 	for _, peer := range s.Peers {
-		report(isAddress(peer), `peers: "`+peer+`" found; allowed are IP numbers with a port`)
+		require(isAddress(peer), `peers: "`+peer+`" found; allowed are IP numbers with a port`)
 	}
 	return problems
 }
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits in a way that a context can cut short.
+// Package sleep provides a sleep that ends early when a context is done.
 package sleep
 
 import (
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports whether it did so in full; false means that the
-// context ended first.
+// For sleeps for d. It returns false if the context ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/stream/buffer.go
+++ b/internal/stream/buffer.go
@@ -1,5 +1,5 @@
-// Package stream keeps the frames of a running answer, so that a reader whose
-// connection broke continues at the frame after its last.
+// Package stream buffers the frames of a response, so that a reader can resume
+// after a broken connection.
 package stream
 
 import (
@@ -10,8 +10,8 @@
 	peerv1 "github.com/toucanwell/toucanwell/api/peer/v1"
 )
 
-// Buffer holds the frames of one answer in order, each once. It is safe for
-// concurrent use: one writer, any number of readers.
+// Buffer holds the frames of a response in order. It is safe for concurrent use by
+// one writer and any number of readers.
 type Buffer struct {
 	mu        sync.Mutex
 	frames    []*peerv1.Frame
@@ -24,22 +24,22 @@
 	now       func() time.Time
 }
 
-// NewBuffer returns an empty buffer whose first frame has the number from.
+// NewBuffer returns an empty buffer whose first frame has the sequence number from.
 func NewBuffer(from uint64, now func() time.Time) *Buffer {
 	from = max(from, 1)
 	return &Buffer{firstSeq: from, nextSeq: from, changed: make(chan struct{}), idleSince: now(), now: now}
 }
 
-// Next is the number of the frame that is expected next.
+// Next returns the sequence number of the next frame.
 func (b *Buffer) Next() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.nextSeq
 }
 
-// Append takes the next frame and reports whether it was taken. A frame with
-// another number than the next is left out: a lower one is a repeat, a higher
-// one shows a loss, and its writer has to fetch what lies between.
+// Append appends the next frame and reports whether it did. It ignores frames with
+// other sequence numbers: a lower one is a duplicate, a higher one means that
+// frames are missing.
 func (b *Buffer) Append(frame *peerv1.Frame) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,34 +71,34 @@
 	b.changed = make(chan struct{})
 }
 
-// Ended reports whether the last frame is there.
+// Ended reports whether the last frame was appended.
 func (b *Buffer) Ended() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ended
 }
 
-// IdleSince returns since when no reader follows; ok is false while one does.
+// IdleSince returns since when the buffer has no reader; ok is false if it has one.
 func (b *Buffer) IdleSince() (since time.Time, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.idleSince, b.readers == 0
 }
 
-// Follow sends the frames from a number on, up to the last one. It returns
-// when that is sent, when send fails, or when the context ends.
+// Follow sends the frames from a sequence number on. It returns after the last
+// frame, when send fails or when the context ends.
 func (b *Buffer) Follow(ctx context.Context, from uint64, send func(*peerv1.Frame) error) error {
 	b.addReader()
 	defer b.removeReader()
-	at := int(max(from, b.firstSeq) - b.firstSeq)
+	index := int(max(from, b.firstSeq) - b.firstSeq)
 	for {
-		frames, changed, ended := b.framesFrom(at)
+		frames, changed, ended := b.framesFrom(index)
 		for _, frame := range frames {
 			if err := send(frame); err != nil {
 				return err
 			}
 		}
-		at += len(frames)
+		index += len(frames)
 		if ended {
 			return nil
 		}
@@ -110,11 +110,11 @@
 	}
 }
 
-func (b *Buffer) framesFrom(at int) (frames []*peerv1.Frame, changed chan struct{}, ended bool) {
+func (b *Buffer) framesFrom(index int) (frames []*peerv1.Frame, changed chan struct{}, ended bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if at < len(b.frames) {
-		frames = b.frames[at:]
+	if index < len(b.frames) {
+		frames = b.frames[index:]
 	}
 	return frames, b.changed, b.ended
 }
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed fixes the seed of property tests, so that CI gives the same
-// verdict on every run. Another seed is given by -rapid.seed.
+// Package testseed sets a fixed seed for property tests, so that CI runs are
+// reproducible. The flag -rapid.seed overrides it.
 package testseed
 
 import (
@@ -11,12 +11,12 @@
 
 const seedFlag = "rapid.seed"
 
-// Main runs a package's tests.
+// Main runs the tests of a package.
 func Main(m *testing.M) {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == seedFlag })
-	if !given {
+	isSet := false
+	flag.Visit(func(f *flag.Flag) { isSet = isSet || f.Name == seedFlag })
+	if !isSet {
 		if err := flag.Set(seedFlag, "20261202"); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(2)
--- a/internal/tomltext/tomltext.go
+++ b/internal/tomltext/tomltext.go
@@ -1,5 +1,5 @@
-// Package tomltext decodes TOML texts strictly: an unknown key, a wrong type
-// or a syntax error is refused with file, line and key.
+// Package tomltext decodes TOML strictly. Unknown keys, wrong types and syntax
+// errors are reported with file, line and key.
 package tomltext
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads text into v; name stands for the file in messages.
+// Decode decodes text into v. Errors refer to the text by name.
 func Decode(name, text string, v any) error {
 	dec := toml.NewDecoder(strings.NewReader(text))
 	dec.DisallowUnknownFields()
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,12 +1,12 @@
-// Package version tells which build this is.
+// Package version identifies the build.
 package version
 
 import "runtime/debug"
 
-// Number is the release.
+// Number is the release number.
 const Number = "0.1.0"
 
-// String returns the release and, when known, the revision it was built from.
+// String returns the release number and, if known, the revision of the build.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
