--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -87,9 +87,9 @@
 	oldest := c.now().Unix()/60 - Minutes
 	var counts []Count
 	for key, row := range c.rows {
-		for _, c := range row {
-			if c.minute > oldest && c.good+c.bad > 0 {
-				counts = append(counts, Count{key, c.minute, c.good, c.bad})
+		for _, m := range row {
+			if m.minute > oldest && m.good+m.bad > 0 {
+				counts = append(counts, Count{key, m.minute, m.good, m.bad})
 			}
 		}
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -14,7 +14,7 @@
 
 const (
 	schemaVersion  = 1
-	maxMaxLoads    = 64
+	maxLoadsLimit  = 64
 	maxBlockTokens = 4096
 	maxTextBytes   = 1 << 20
 	sha256Bytes    = 32
@@ -112,7 +112,7 @@
 		regions[r.Name] = true
 		for _, z := range r.AvailabilityZones {
 			if zones[z] {
-				k.report(z, "region.availability_zones", "%q stands twice", z)
+				k.report(z, "region.availability_zones", "%q is declared twice", z)
 			}
 			zones[z] = true
 		}
@@ -136,11 +136,11 @@
 		for _, t := range s.Targets {
 			k.checkTarget(s, t, zones)
 			if targets[t.Name] {
-				k.report(t.Name, "service.target.name", "%q stands twice", t.Name)
+				k.report(t.Name, "service.target.name", "%q is declared twice", t.Name)
 			}
 			targets[t.Name] = true
 			if other, taken := addresses[t.Address]; taken {
-				k.report(t.Name, "service.target.address", "%q is the address of %q already", t.Address, other)
+				k.report(t.Name, "service.target.address", "%q is already the address of %q", t.Address, other)
 			}
 			addresses[t.Address] = t.Name
 		}
@@ -162,8 +162,8 @@
 	if !slices.Contains(kinds, s.Kind) {
 		k.report(s.Name, "service.kind", `%q found; allowed are "engine", "plain" and "kv"`, s.Kind)
 	}
-	if s.MaxLoads < 1 || s.MaxLoads > maxMaxLoads {
-		k.report(s.Name, "service.max_loads", "%d found; allowed are 1 to %d", s.MaxLoads, maxMaxLoads)
+	if s.MaxLoads < 1 || s.MaxLoads > maxLoadsLimit {
+		k.report(s.Name, "service.max_loads", "%d found; allowed are 1 to %d", s.MaxLoads, maxLoadsLimit)
 	}
 	if s.BlockTokens < 1 || s.BlockTokens > maxBlockTokens {
 		k.report(s.Name, "service.block_tokens", "%d found; allowed are 1 to %d", s.BlockTokens, maxBlockTokens)
@@ -172,7 +172,7 @@
 		k.report(s.Name, "service.opaque_keys", "true found without at_most_once; it speaks of at_most_once services only")
 	}
 	if s.Kind == KindKV && s.AtMostOnce {
-		k.report(s.Name, "service.at_most_once", "true found; a kv service takes no calls")
+		k.report(s.Name, "service.at_most_once", "true found; a kv service has no calls")
 	}
 }
 
@@ -247,7 +247,7 @@
 	}
 	for _, s := range k.config.Services {
 		if s.Kind == KindEngine && served[s.Name] == "" {
-			k.report(s.Name, "model", "no model names the engine service %q", s.Name)
+			k.report(s.Name, "model", "no model uses the engine service %q", s.Name)
 		}
 	}
 }
@@ -265,7 +265,7 @@
 			k.report(w.Name, "workspace.token_sha256", "%q found; allowed are 64 hex digits", w.TokenSHA256)
 		}
 		if tokens[w.TokenSHA256] {
-			k.report(w.Name, "workspace.token_sha256", "stands twice; each workspace has a token of its own")
+			k.report(w.Name, "workspace.token_sha256", "duplicate; each workspace needs its own token")
 		}
 		tokens[w.TokenSHA256] = true
 		if w.Weight <= 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// HasAdapter reports whether requests may use the adapter. The empty name stands
-// for the model without an adapter.
+// HasAdapter reports whether requests may use the adapter. The empty name means
+// the model without an adapter.
 func (m *Model) HasAdapter(name string) bool {
 	if name == "" {
 		return true
--- a/internal/configlog/statemachine.go
+++ b/internal/configlog/statemachine.go
@@ -40,7 +40,7 @@
 // Record is one record of the stream.
 type Record struct {
 	Type RecordType `json:"type"`
-	// Nonce identifies an append whose response was lost.
+	// Nonce identifies the append, to find it if the response is lost.
 	Nonce string `json:"nonce"`
 	// Base is the version that a publish was edited from; 0 for the first.
 	Base uint64 `json:"base,omitempty"`
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -128,7 +128,7 @@
 	})
 }
 
-// Jitter returns a random duration within a quarter of d.
+// Jitter returns a random duration within 25% of d.
 func (l *Loop) Jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + l.randomFloat()/2))
 }
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -125,7 +125,7 @@
 	Waiting int    `json:"waiting"`
 }
 
-// LoadOrder tells an engine to load weights. Fence is the fencing number.
+// LoadOrder is an order to an engine to load weights. Fence is the fencing number.
 type LoadOrder struct {
 	Model   string `json:"model"`
 	Weights string `json:"weights"`
--- a/internal/external/http.go
+++ b/internal/external/http.go
@@ -23,7 +23,8 @@
 	dialTimeout      = 2 * time.Second
 )
 
-// NewHTTPClient returns a client for use with the types of this package.
+// NewHTTPClient returns an HTTP client whose dial errors are recognized as
+// ErrNotSent by the types of this package.
 func NewHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -128,7 +128,7 @@
 		return errors.Newf("%q is no duration; allowed are numbers with a unit, like \"250ms\" or \"10s\"", text)
 	}
 	if v <= 0 {
-		return errors.Newf("%q is not above zero", text)
+		return errors.Newf("%q must be above zero", text)
 	}
 	d.Duration = v
 	return nil
@@ -193,8 +193,8 @@
 	require(isAddress(s.Listen), `listen: "`+s.Listen+`" found; allowed is an IP number with a port`)
 	require(isAddress(s.AdminListen), `admin_listen: "`+s.AdminListen+`" found; allowed is an IP number with a port`)
 	require(s.Platform.LogURL != "", "platform.log_url: missing")
-	require(s.Role != RoleSidecar || s.Target.URL != "", "target.url: missing; a sidecar needs its target")
-	require((s.TLS.CertFile == "") == (s.TLS.KeyFile == ""), "tls: cert_file and key_file go together")
+	require(s.Role != RoleSidecar || s.Target.URL != "", "target.url: missing; required for a sidecar")
+	require((s.TLS.CertFile == "") == (s.TLS.KeyFile == ""), "tls: set both cert_file and key_file or neither")
 	require(s.Target.MaxRunning > 0, "target.max_running: must be above 0")
 	require(s.Target.MaxPrefilling > 0, "target.max_prefilling: must be above 0")
 	require(s.Target.MaxQueued > 0, "target.max_queued: must be above 0")
