--- a/cmd/toucanwell/demo.go
+++ b/cmd/toucanwell/demo.go
@@ -66,9 +66,9 @@
 	for i := range d.shape.Workspaces {
 		d.shape.Workspaces[i].Name = parsed.Workspaces[i].Name
 	}
-	costs := cluster.DefaultCosts
-	costs.CacheBlocks = cluster.DefaultCosts.CacheBlocks * 4
-	running, err := cluster.Start(ctx, cluster.Options{Text: d.text, Entries: 3, Costs: costs, LogOutput: logs})
+	costs := cluster.DefaultEngineCosts
+	costs.CacheBlocks = cluster.DefaultEngineCosts.CacheBlocks * 4
+	running, err := cluster.Start(ctx, cluster.Options{ConfigText: d.text, Entries: 3, EngineCosts: costs, LogOutput: logs})
 	if err != nil {
 		return err
 	}
@@ -111,8 +111,8 @@
 	whole, prompt, cached := 0, 0, 0
 	problems := map[string]int{}
 	for _, o := range outcomes {
-		if o.Problem != "" {
-			problems[o.Problem]++
+		if o.Failure != "" {
+			problems[o.Failure]++
 			continue
 		}
 		whole++
--- a/cmd/toucanwell/model.go
+++ b/cmd/toucanwell/model.go
@@ -62,14 +62,14 @@
 	if !ok {
 		return nil, errors.Newf("shape %q; there are %v", c.String("shape"), slices.Sorted(maps.Keys(batchmodel.Shapes)))
 	}
-	spec.Lag, spec.Length, spec.Seed = c.Duration("lag"), c.Duration("length"), c.Uint64("seed")
+	spec.CacheViewLag, spec.Duration, spec.Seed = c.Duration("lag"), c.Duration("length"), c.Uint64("seed")
 	var rows []modelRow
 	for _, text := range strings.Split(c.String("loads"), ",") {
 		load, err := strconv.ParseFloat(text, 64)
 		if err != nil || load <= 0 || load > 10 {
 			return nil, errors.Newf("load %q; allowed is above 0 and up to 10", text)
 		}
-		spec.Load = load
+		spec.LoadFactor = load
 		for _, policy := range strings.Split(c.String("policies"), ",") {
 			r, err := batchmodel.Run(spec, policy)
 			if err != nil {
--- a/cmd/toucanwell/standin.go
+++ b/cmd/toucanwell/standin.go
@@ -46,7 +46,7 @@
 	case "hosts":
 		return standin.NewHosts().Handler(), nil
 	case "engine":
-		return standin.NewEngine(cluster.DefaultCosts, weights, standin.NewWeightStore(storeBears)).Handler(), nil
+		return standin.NewEngine(cluster.DefaultEngineCosts, weights, standin.NewWeightStore(storeBears)).Handler(), nil
 	case "plain":
 		return standin.NewPlain().Handler(), nil
 	}
--- a/internal/batchmodel/engine.go
+++ b/internal/batchmodel/engine.go
@@ -17,24 +17,24 @@
 type EngineSpec struct {
 	// Slots is how many requests run at once, Memory the tokens that running
 	// requests and cached parts share.
-	Slots, Memory int
+	Slots, MemoryTokens int
 	// Step is the time of one step, StepPerRun what each running request adds.
-	Step, StepPerRun time.Duration
+	Step, StepPerRequest time.Duration
 	// ReadPerMs is how many prompt tokens are read in a millisecond, Chunk how many
 	// at most in one step.
-	ReadPerMs float64
-	Chunk     int
+	PrefillTokensPerMs float64
+	PrefillChunk       int
 	// PairsMs is what a million pairs of a chunk's tokens with those before them
 	// add to a step, in milliseconds.
-	PairsMs float64
+	AttentionMs float64
 	// First is the fixed time from a request's arrival to its admission.
-	First time.Duration
+	AdmissionDelay time.Duration
 	// FetchPerMs is how many cached tokens a link carries in a millisecond,
 	// FetchSetup the time before it begins.
-	FetchPerMs float64
-	FetchSetup time.Duration
+	FetchTokensPerMs float64
+	FetchLatency     time.Duration
 	// Load is how long weights take to load.
-	Load time.Duration
+	LoadTime time.Duration
 }
 
 // part is one cached part.
@@ -117,7 +117,7 @@
 	for len(e.loads) > 0 && e.loads[0].at <= e.now {
 		e.version = e.loads[0].version
 		e.loads = e.loads[1:]
-		e.now += e.spec.Load
+		e.now += e.spec.LoadTime
 		e.cache, e.cached = map[uint64]*part{}, 0
 	}
 }
@@ -180,7 +180,7 @@
 
 // makeRoom drops cached parts until so many tokens fit.
 func (e *engine) makeRoom(tokens int) bool {
-	for e.used()+tokens > e.spec.Memory {
+	for e.used()+tokens > e.spec.MemoryTokens {
 		key, found := e.oldest()
 		if !found {
 			return false
@@ -204,7 +204,7 @@
 
 // step reads one chunk, of the most urgent prompts first, and makes one token for each request that is read.
 func (e *engine) step() {
-	budget := e.spec.Chunk
+	budget := e.spec.PrefillChunk
 	pairs := 0.0
 	slices.SortStableFunc(e.running, func(a, b *run) int { return cmp.Compare(a.urgency, b.urgency) })
 	for _, r := range e.running {
@@ -220,8 +220,8 @@
 			e.keep(r)
 		}
 	}
-	took := e.spec.Step + time.Duration(len(e.running))*e.spec.StepPerRun
-	took += fromMs(float64(e.spec.Chunk-budget)/e.spec.ReadPerMs + pairs/1e6*e.spec.PairsMs)
+	took := e.spec.Step + time.Duration(len(e.running))*e.spec.StepPerRequest
+	took += fromMs(float64(e.spec.PrefillChunk-budget)/e.spec.PrefillTokensPerMs + pairs/1e6*e.spec.AttentionMs)
 	e.now += took
 	e.makeTokens()
 }
@@ -263,7 +263,7 @@
 
 // leaves reports whether the caller has left before the first token.
 func (r *run) leaves(now time.Duration) bool {
-	return r.made == 0 && now-r.request.at > r.request.class.Patience
+	return r.made == 0 && now-r.request.at > r.request.class.MaxWait
 }
 
 func (r *run) token(now time.Duration) {
--- a/internal/batchmodel/model.go
+++ b/internal/batchmodel/model.go
@@ -21,13 +21,13 @@
 	Entries        int
 	Classes        []Class
 	// Load multiplies the rates of the classes.
-	Load   float64
-	Length time.Duration
+	LoadFactor float64
+	Duration   time.Duration
 	// Versions are the times at which new weights are named.
-	Versions []time.Duration
+	WeightUpdates []time.Duration
 	// Lag is how old the policies' knowledge of caches is.
-	Lag  time.Duration
-	Seed uint64
+	CacheViewLag time.Duration
+	Seed         uint64
 }
 
 // Policies are the names of the policies, in the order of the table.
@@ -97,26 +97,26 @@
 	}
 	m.scheduleLoads()
 	// All policies meet the same traffic.
-	for _, q := range generate(spec.Classes, spec.Entries, spec.Length, spec.Load, rand.New(rand.NewPCG(spec.Seed, 2))) {
+	for _, q := range generate(spec.Classes, spec.Entries, spec.Duration, spec.LoadFactor, rand.New(rand.NewPCG(spec.Seed, 2))) {
 		m.advance(q.at)
 		m.place(q)
 	}
-	m.advance(spec.Length + time.Minute)
+	m.advance(spec.Duration + time.Minute)
 	return m.result(), nil
 }
 
 // scheduleLoads lets each named version roll a few engines at a time, in the order
 // of turns that sidecars go by.
 func (m *model) scheduleLoads() {
-	for v, at := range m.spec.Versions {
+	for v, at := range m.spec.WeightUpdates {
 		views := make([]weights.EngineView, len(m.engines))
 		for i := range views {
 			views[i] = weights.EngineView{Incarnation: fleet.Incarnation{Instance: strconv.Itoa(i)}}
 		}
-		for place, turn := range weights.Turns(views, int64(v+1)) {
+		for place, turn := range weights.RolloutOrder(views, int64(v+1)) {
 			i, _ := strconv.Atoi(turn.Instance) // it was made from a number above
-			round := place / weights.Parallel(len(views))
-			m.engines[i].loads = append(m.engines[i].loads, load{at: at + time.Duration(round)*m.spec.Engine.Load, version: v + 1})
+			round := place / weights.MaxParallelLoads(len(views))
+			m.engines[i].loads = append(m.engines[i].loads, load{at: at + time.Duration(round)*m.spec.Engine.LoadTime, version: v + 1})
 		}
 	}
 }
@@ -131,7 +131,7 @@
 
 // look renews what is known of the caches, once in each lag.
 func (m *model) look(now time.Duration) []snapshot {
-	if m.policy != "oracle" && m.seen != nil && now-m.seenAt < m.spec.Lag {
+	if m.policy != "oracle" && m.seen != nil && now-m.seenAt < m.spec.CacheViewLag {
 		return m.seen
 	}
 	m.seen, m.seenAt = make([]snapshot, len(m.engines)), now
@@ -164,11 +164,11 @@
 	seen := m.look(q.at)
 	switch m.policy {
 	case "random":
-		m.send(q, m.engines[m.random.IntN(len(m.engines))], placement.Choice{Priority: q.class.Urgency})
+		m.send(q, m.engines[m.random.IntN(len(m.engines))], placement.Choice{Priority: q.class.Priority})
 	case "least work":
-		m.send(q, m.least(q), placement.Choice{Priority: q.class.Urgency})
+		m.send(q, m.least(q), placement.Choice{Priority: q.class.Priority})
 	case "hash of the family":
-		m.send(q, m.engines[q.family()%uint64(len(m.engines))], placement.Choice{Priority: q.class.Urgency})
+		m.send(q, m.engines[q.family()%uint64(len(m.engines))], placement.Choice{Priority: q.class.Priority})
 	default:
 		m.decide(q, seen)
 	}
@@ -177,7 +177,7 @@
 func (m *model) least(q *request) *engine {
 	best := m.engines[0]
 	for _, e := range m.engines[1:] {
-		if e.waitingTokens(q.class.Urgency) < best.waitingTokens(q.class.Urgency) {
+		if e.waitingTokens(q.class.Priority) < best.waitingTokens(q.class.Priority) {
 			best = e
 		}
 	}
@@ -187,7 +187,7 @@
 // decide asks the product's own placement.
 func (m *model) decide(q *request, seen []snapshot) {
 	question := &placement.Input{
-		Family: q.family(), SharedTokens: q.sharedTokens(), OwnTokens: q.own, MaxTokens: q.answer, Objective: q.class.Aim, Priority: q.class.Urgency, LatePriority: ledger.Priorities/2 + q.class.Urgency,
+		Family: q.family(), SharedTokens: q.sharedTokens(), OwnTokens: q.own, MaxTokens: q.answer, Objective: q.class.TTFTObjective, Priority: q.class.Priority, LatePriority: ledger.Priorities/2 + q.class.Priority,
 		MaxStaleness: time.Hour, PrefillTime: m.readTime,
 	}
 	totals := m.ledger.Totals(m.time(q.at))
@@ -195,17 +195,17 @@
 	for i, e := range m.engines {
 		c := &candidates[i]
 		*c = placement.Candidate{
-			Hash: placement.Mix(uint64(i) + 1), SameZone: e.zone == q.entry%m.spec.Zones, Slots: e.spec.Slots, Memory: e.spec.Memory,
+			Hash: placement.Mix(uint64(i) + 1), SameZone: e.zone == q.entry%m.spec.Zones, Slots: e.spec.Slots, Memory: e.spec.MemoryTokens,
 			Work: totals[fleet.ID(i)], CachedTokens: seen[i].tokens(q),
 		}
 		if m.policy == "oracle" {
-			c.Work.Prefill = ledger.AtPriority(0, m.readTime(e.waitingTokens(q.class.Urgency)))
+			c.Work.Prefill = ledger.AtPriority(0, m.readTime(e.waitingTokens(q.class.Priority)))
 		}
-		c.FetchableTokens, c.Source.TokensPerMs = m.fetchable(q, i, seen), m.spec.Engine.FetchPerMs
+		c.FetchableTokens, c.Source.TokensPerMs = m.fetchable(q, i, seen), m.spec.Engine.FetchTokensPerMs
 		c.Source.SameZone = true
 	}
 	choice := placement.Pick(question, candidates)
-	if choice.Estimate > q.class.Patience {
+	if choice.Estimate > q.class.MaxWait {
 		m.stats.refused++
 		return
 	}
@@ -229,7 +229,7 @@
 func (m *model) send(q *request, e *engine, choice placement.Choice) {
 	held := e.held(q)
 	m.stats.shared += q.sharedTokens()
-	r := &run{request: q, engine: e, readyAt: q.at + e.spec.First, urgency: choice.Priority}
+	r := &run{request: q, engine: e, readyAt: q.at + e.spec.AdmissionDelay, urgency: choice.Priority}
 	if choice.FetchedTokens > 0 {
 		m.fetch(r, held+choice.FetchedTokens)
 	}
@@ -259,8 +259,8 @@
 	if tokens == 0 {
 		return
 	}
-	begin := max(e.linkAt, r.request.at) + e.spec.FetchSetup
-	e.linkAt = begin + fromMs(float64(tokens)/e.spec.FetchPerMs)
+	begin := max(e.linkAt, r.request.at) + e.spec.FetchLatency
+	e.linkAt = begin + fromMs(float64(tokens)/e.spec.FetchTokensPerMs)
 	r.readyAt = max(r.readyAt, e.linkAt)
 	m.stats.kept += tokens
 }
@@ -287,7 +287,7 @@
 		m.meter.Record(choice.PrefillTokens, took-choice.Fetch)
 	}
 	c := r.request.class
-	r.inTime = took <= c.Aim
+	r.inTime = took <= c.TTFTObjective
 	m.stats.first[c.Name] = append(m.stats.first[c.Name], took)
 }
 
@@ -301,7 +301,7 @@
 	switch {
 	case r.made == 0:
 		m.stats.left++
-	case r.inTime && r.longest <= c.Gap:
+	case r.inTime && r.longest <= c.MaxTokenGap:
 		m.stats.got += c.Worth
 		m.stats.inTime[c.Name]++
 	default:
--- a/internal/batchmodel/model_test.go
+++ b/internal/batchmodel/model_test.go
@@ -9,7 +9,7 @@
 func play(t *testing.T, shape, policy string, change func(*Spec)) *Result {
 	t.Helper()
 	spec := Shapes[shape]
-	spec.Length = 12 * time.Second
+	spec.Duration = 12 * time.Second
 	if change != nil {
 		change(&spec)
 	}
@@ -29,13 +29,13 @@
 
 // A lone prompt takes the fixed time, its reading in chunks, and a step a token.
 func TestLonePromptTakesItsTime(t *testing.T) {
-	spec := EngineSpec{Slots: 4, Memory: 10_000, Step: 4 * time.Millisecond, ReadPerMs: 100, Chunk: 2000, First: 10 * time.Millisecond}
+	spec := EngineSpec{Slots: 4, MemoryTokens: 10_000, Step: 4 * time.Millisecond, PrefillTokensPerMs: 100, PrefillChunk: 2000, AdmissionDelay: 10 * time.Millisecond}
 	e := newEngine(spec, 0, 0)
-	q := &request{class: &Class{Patience: time.Minute}, own: 4000, answer: 3}
+	q := &request{class: &Class{MaxWait: time.Minute}, own: 4000, answer: 3}
 	ended := time.Duration(0)
 	q.finish = func(r *run) { ended = r.lastToken }
 	var first time.Duration
-	e.waiting = []*run{{request: q, engine: e, readyAt: spec.First, onFirst: func(at time.Duration) { first = at }}}
+	e.waiting = []*run{{request: q, engine: e, readyAt: spec.AdmissionDelay, onFirst: func(at time.Duration) { first = at }}}
 	e.advance(time.Second)
 	if first != 58*time.Millisecond || ended != 66*time.Millisecond {
 		t.Errorf("first token at %s, end at %s", first, ended)
@@ -44,9 +44,9 @@
 
 // A cached part is not read again, until memory is short or weights are loaded.
 func TestPartsAreCached(t *testing.T) {
-	e := newEngine(EngineSpec{Slots: 4, Memory: 5000, Step: time.Millisecond, ReadPerMs: 100, Chunk: 1000, Load: 10 * time.Millisecond}, 0, 0)
+	e := newEngine(EngineSpec{Slots: 4, MemoryTokens: 5000, Step: time.Millisecond, PrefillTokensPerMs: 100, PrefillChunk: 1000, LoadTime: 10 * time.Millisecond}, 0, 0)
 	ask := func(name uint64) int {
-		q := &request{class: &Class{Patience: time.Minute}, shared: []shared{{name, 2000}}, own: 100, answer: 1, finish: func(*run) {}}
+		q := &request{class: &Class{MaxWait: time.Minute}, shared: []shared{{name, 2000}}, own: 100, answer: 1, finish: func(*run) {}}
 		held := e.held(q)
 		e.waiting = []*run{{request: q, engine: e, onFirst: func(time.Duration) {}}}
 		e.advance(e.now + time.Second)
@@ -64,7 +64,7 @@
 	if ask(1) != 2000 {
 		t.Error("the part is gone before the load")
 	}
-	if e.cached > e.spec.Memory || e.version != 1 {
+	if e.cached > e.spec.MemoryTokens || e.version != 1 {
 		t.Errorf("%d tokens cached, version %d", e.cached, e.version)
 	}
 }
@@ -75,7 +75,7 @@
 	for _, load := range []float64{1, 1.6} {
 		worth := map[string]float64{}
 		for _, policy := range Policies {
-			worth[policy] = play(t, "desk", policy, func(s *Spec) { s.Load = load }).Worth
+			worth[policy] = play(t, "desk", policy, func(s *Spec) { s.LoadFactor = load }).Worth
 		}
 		for _, simple := range Policies[:3] {
 			if worth["toucanwell"] <= worth[simple] {
--- a/internal/batchmodel/traffic.go
+++ b/internal/batchmodel/traffic.go
@@ -9,28 +9,28 @@
 )
 
 // Level is one level of a class's shared parts.
-type Level struct {
+type PrefixLevel struct {
 	// Tokens is the mean length of a part, Things how many there are; Skew is the
 	// exponent of their popularity.
-	Tokens, Things int
-	Skew           float64
+	Tokens, Count int
+	Skew          float64
 }
 
 // Class is one kind of request.
 type Class struct {
 	Name string
 	// PerSecond is the rate of the whole deployment.
-	PerSecond float64
-	Levels    []Level
+	PerSecond    float64
+	PrefixLevels []PrefixLevel
 	// Own and Answer are the mean tokens of a request's own part and of its answer;
 	// OwnSpread and AnswerSpread are the deviations of their logarithms.
-	Own, Answer             int
-	OwnSpread, AnswerSpread float64
+	OwnTokens, OutputTokens int
+	OwnSigma, OutputSigma   float64
 	// Aim is the time to the first token that is of full use, Patience the time
 	// after which callers leave, Gap the longest pause that is of full use.
-	Aim, Patience, Gap time.Duration
+	TTFTObjective, MaxWait, MaxTokenGap time.Duration
 	// Urgency ranks classes at an engine; 0 is the most urgent.
-	Urgency int
+	Priority int
 	// Worth in time, and late.
 	Worth, LateWorth float64
 }
@@ -109,9 +109,9 @@
 }
 
 func draw(c *Class, at time.Duration, entry int, r *rand.Rand) *request {
-	q := &request{class: c, at: at, entry: entry, own: lognormal(r, c.Own, c.OwnSpread), answer: lognormal(r, c.Answer, c.AnswerSpread)}
+	q := &request{class: c, at: at, entry: entry, own: lognormal(r, c.OwnTokens, c.OwnSigma), answer: lognormal(r, c.OutputTokens, c.OutputSigma)}
 	name := placement.Mix(uint64(len(c.Name))<<32 + uint64(c.Name[0]))
-	for _, l := range c.Levels {
+	for _, l := range c.PrefixLevels {
 		thing := popular(r, l)
 		name = placement.Mix(name + uint64(thing) + 1)
 		q.shared = append(q.shared, shared{name: name, tokens: sized(name, l.Tokens)})
@@ -120,18 +120,18 @@
 }
 
 // popular draws a thing by its popularity.
-func popular(r *rand.Rand, l Level) int {
+func popular(r *rand.Rand, l PrefixLevel) int {
 	sum := 0.0
-	for i := range l.Things {
+	for i := range l.Count {
 		sum += math.Pow(float64(i+1), -l.Skew)
 	}
 	x := r.Float64() * sum
-	for i := range l.Things {
+	for i := range l.Count {
 		if x -= math.Pow(float64(i+1), -l.Skew); x < 0 {
 			return i
 		}
 	}
-	return l.Things - 1
+	return l.Count - 1
 }
 
 // sized gives each part a length of its own, from a half to three halves of the mean.
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -305,8 +305,8 @@
 			for i := range n {
 				key := once.NewKey("workspace", "service", fmt.Sprint(i), 1_700_000_000_000, 7)
 				data, _ := json.Marshal([]once.Record{
-					{Type: once.TypeClaim, Key: key.Digest, Nonce: "0193a1f0-0000-7000-8000-000000000000", Digest: 1 << 60, IssuedMs: key.IssuedMs},
-					{Type: once.TypeDone, Key: key.Digest, Nonce: "0193a1f0-0000-7000-8000-000000000000", Answer: &once.Answer{Status: 200, Body: make([]byte, 200)}},
+					{Type: once.TypeClaim, Key: key.Digest, Nonce: "0193a1f0-0000-7000-8000-000000000000", RequestDigest: 1 << 60, IssuedMs: key.IssuedMs},
+					{Type: once.TypeDone, Key: key.Digest, Nonce: "0193a1f0-0000-7000-8000-000000000000", Response: &once.Response{Status: 200, Body: make([]byte, 200)}},
 				})
 				p.Records = append(p.Records, external.Record{Offset: uint64(i + 1), Data: data})
 			}
@@ -315,12 +315,12 @@
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
 			p := page()
 			for b.Loop() {
-				once.NewBook().Read(p)
+				once.NewKeyTable().Apply(p)
 			}
 			b.ReportMetric(float64(len(p.Records[0].Data)), "wire-B")
 			b.ReportMetric(heapOf(func() any {
-				book := once.NewBook()
-				book.Read(p)
+				book := once.NewKeyTable()
+				book.Apply(p)
 				return book
 			}), "heap-B")
 			runtime.KeepAlive(p)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -26,19 +26,19 @@
 // Options shape a cluster.
 type Options struct {
 	// Text is the configuration; target addresses are replaced by free ones.
-	Text string
+	ConfigText string
 	// Entries is the number of entry processes.
 	Entries int
 	// Costs of the engines.
-	Costs standin.EngineCosts
+	EngineCosts standin.EngineCosts
 	// Adjust may change the settings of each process before it starts.
-	Adjust func(*settings.Settings)
+	AdjustSettings func(*settings.Settings)
 	// LogOutput takes the processes' logs.
 	LogOutput io.Writer
 	// Launch starts a process; nil starts the daemon inside this one.
 	Launch func(*settings.Settings) (Process, error)
 	// MaxLoads is what the weight store bears at once. Default 2.
-	MaxLoads int
+	MaxWeightLoads int
 }
 
 // Process is a started process. Close ends it at once.
@@ -46,23 +46,23 @@
 
 // Cluster is a running deployment.
 type Cluster struct {
-	options  Options
-	Log      *standin.Log
-	Hosts    *standin.Hosts
-	Engines  map[string]*standin.Engine
-	Plains   map[string]*standin.Plain
-	Store    *standin.WeightStore
-	Entries  []Process
-	Sidecars map[string]Process
+	options      Options
+	Log          *standin.Log
+	Hosts        *standin.Hosts
+	Engines      map[string]*standin.Engine
+	PlainTargets map[string]*standin.Plain
+	WeightStore  *standin.WeightStore
+	Entries      []Process
+	Sidecars     map[string]Process
 	// EntrySettings and SidecarSettings allow to start a process again.
 	EntrySettings   []*settings.Settings
 	SidecarSettings map[string]*settings.Settings
-	Text            string
+	ConfigText      string
 	servers         []*http.Server
 }
 
 // DefaultCosts are an engine's costs in real time, small enough for a demo.
-var DefaultCosts = standin.EngineCosts{
+var DefaultEngineCosts = standin.EngineCosts{
 	PrefillTokensPerSecond: 20_000,
 	DecodeStep:             2 * time.Millisecond,
 	DecodePerPeer:          200 * time.Microsecond,
@@ -105,8 +105,8 @@
 func Start(ctx context.Context, o Options) (*Cluster, error) {
 	c := &Cluster{
 		options: o, Log: standin.NewLog(), Hosts: standin.NewHosts(),
-		Engines: map[string]*standin.Engine{}, Plains: map[string]*standin.Plain{},
-		Store: standin.NewWeightStore(max(o.MaxLoads, defaultMaxLoads)), Sidecars: map[string]Process{}, SidecarSettings: map[string]*settings.Settings{},
+		Engines: map[string]*standin.Engine{}, PlainTargets: map[string]*standin.Plain{},
+		WeightStore: standin.NewWeightStore(max(o.MaxWeightLoads, defaultMaxLoads)), Sidecars: map[string]Process{}, SidecarSettings: map[string]*settings.Settings{},
 	}
 	if err := c.start(ctx); err != nil {
 		c.Close()
@@ -116,21 +116,21 @@
 }
 
 func (c *Cluster) start(ctx context.Context) error {
-	parsed, err := config.Parse("configuration", c.options.Text)
+	parsed, err := config.Parse("configuration", c.options.ConfigText)
 	if err != nil {
 		return err
 	}
-	if c.Text, err = freshAddresses(c.options.Text, parsed); err != nil {
+	if c.ConfigText, err = freshAddresses(c.options.ConfigText, parsed); err != nil {
 		return err
 	}
-	if parsed, err = config.Parse("configuration", c.Text); err != nil {
+	if parsed, err = config.Parse("configuration", c.ConfigText); err != nil {
 		return err
 	}
-	data, err := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: "first", Text: c.Text})
+	data, err := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: "first", Text: c.ConfigText})
 	if err != nil {
 		return err
 	}
-	c.Log.AppendNow(configlog.Stream, data)
+	c.Log.AppendRecord(configlog.Stream, data)
 	logURL, err := c.Serve(c.Log.Handler())
 	if err != nil {
 		return err
@@ -201,12 +201,12 @@
 // newTarget makes the stand-in of a target.
 func (c *Cluster) newTarget(service *config.Service, model *config.Model, name string) http.Handler {
 	if service.Kind == config.KindEngine {
-		e := standin.NewEngine(c.options.Costs, model.Weights, c.Store)
+		e := standin.NewEngine(c.options.EngineCosts, model.Weights, c.WeightStore)
 		c.Engines[name] = e
 		return e.Handler()
 	}
 	p := standin.NewPlain()
-	c.Plains[name] = p
+	c.PlainTargets[name] = p
 	return p.Handler()
 }
 
@@ -265,8 +265,8 @@
 			break
 		}
 	}
-	if c.options.Adjust != nil {
-		c.options.Adjust(s)
+	if c.options.AdjustSettings != nil {
+		c.options.AdjustSettings(s)
 	}
 	return s, nil
 }
@@ -302,7 +302,7 @@
 func (c *Cluster) EntryURL(i int) string { return "http://" + c.EntrySettings[i].Listen }
 
 // Computed is the number of prompt tokens that the engines computed.
-func (c *Cluster) Computed() int {
+func (c *Cluster) PrefilledTokens() int {
 	n := 0
 	for _, e := range c.Engines {
 		n += e.Stats().PrefillTokens
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -44,8 +44,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{
-		Text: examples.Marktlizenz, Entries: 1, Costs: slowCosts, LogOutput: io.Discard,
-		Adjust: func(s *settings.Settings) { s.Platform.LogRetention.Duration = 4 * time.Second },
+		ConfigText: examples.Marktlizenz, Entries: 1, EngineCosts: slowCosts, LogOutput: io.Discard,
+		AdjustSettings: func(s *settings.Settings) { s.Platform.LogRetention.Duration = 4 * time.Second },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	t.Cleanup(c.Close)
 	carried := uint64(0)
 	eventually(t, "the configuration is carried forward", func() bool {
-		for _, r := range c.Log.ReadNow(configlog.Stream, 2).Records {
+		for _, r := range c.Log.ReadPage(configlog.Stream, 2).Records {
 			if strings.Contains(string(r.Data), `"type":"carry"`) {
 				carried = r.Offset
 			}
--- a/internal/cluster/failure_test.go
+++ b/internal/cluster/failure_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	c, err := cluster.Start(ctx, cluster.Options{Text: text, Entries: entries, Costs: slowCosts, LogOutput: io.Discard})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: text, Entries: entries, EngineCosts: slowCosts, LogOutput: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	for _, p := range c.Plains {
+	for _, p := range c.PlainTargets {
 		p.SetFaults(standin.PlainFaults{LoseAnswers: true})
 	}
 	key := uuid.Must(uuid.NewV7()).String()
@@ -121,23 +121,23 @@
 // publish publishes a changed text and returns its version.
 func publish(t *testing.T, c *cluster.Cluster, base uint64, old, new string) uint64 {
 	t.Helper()
-	text := strings.Replace(c.Text, old, new, 1)
-	if text == c.Text {
+	text := strings.Replace(c.ConfigText, old, new, 1)
+	if text == c.ConfigText {
 		t.Fatalf("%q is not in the text", old)
 	}
-	c.Text = text
+	c.ConfigText = text
 	data, err := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: uuid.NewString(), Base: base, Text: text})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c.Log.AppendNow(configlog.Stream, data)
+	return c.Log.AppendRecord(configlog.Stream, data)
 }
 
 // Two workspaces send the same text, and new weights are put in force between
 // two requests of one. Neither may find the other's blocks or the older ones.
 // The fleet's engines load the new weights no more than two at a time.
 func TestCacheIsNotSharedOverWorkspacesOrWeights(t *testing.T) {
-	c := startProcesses(t, examples.Marktlizenz, 1, cluster.DefaultCosts)
+	c := startProcesses(t, examples.Marktlizenz, 1, cluster.DefaultEngineCosts)
 	b := completionBody{Model: "pruefer-lm", Messages: nested(1, 1), MaxTokens: 2}
 	if cold := cachedTokens(t, c, "muenchen-token", b); cold != 0 {
 		t.Errorf("first request found %d tokens", cold)
@@ -150,7 +150,7 @@
 	}
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
 	allEnginesGet(t, c, "2026-12")
-	if peak, total := c.Store.Peak(); peak > 2 || total != len(c.Engines) {
+	if peak, total := c.WeightStore.FetchCounts(); peak > 2 || total != len(c.Engines) {
 		t.Errorf("%d of %d loads ran at once", peak, total)
 	}
 	if after := cachedTokens(t, c, "muenchen-token", b); after != 0 {
@@ -318,14 +318,14 @@
 		t.Fatalf("first try: %d %s", status, kind)
 	}
 	owner := ""
-	for name, p := range c.Plains {
+	for name, p := range c.PlainTargets {
 		if p.Runs()[key] > 0 {
 			owner = name
 		}
 	}
-	start := strings.LastIndex(c.Text[:strings.Index(c.Text, `"`+owner+`"`)], "[[service.target]]")
-	end := start + strings.Index(c.Text[start:], "\n\n")
-	version := publish(t, c, 1, c.Text[start:end], "")
+	start := strings.LastIndex(c.ConfigText[:strings.Index(c.ConfigText, `"`+owner+`"`)], "[[service.target]]")
+	end := start + strings.Index(c.ConfigText[start:], "\n\n")
+	version := publish(t, c, 1, c.ConfigText[start:end], "")
 	eventually(t, "the new set is in force", func() bool { return versionAt(c.EntrySettings[0].AdminListen) == version })
 	eventually(t, "another gate answers from the record", func() bool {
 		status, kind := callOnce(ctx, c.EntryURL(0), key, "renew")
@@ -358,7 +358,7 @@
 			}
 		}()
 	}
-	eventually(t, "engines generate", func() bool { return c.Computed() > 0 })
+	eventually(t, "engines generate", func() bool { return c.PrefilledTokens() > 0 })
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
 	allEnginesGet(t, c, "2026-12")
 	cancel()
--- a/internal/cluster/orders_test.go
+++ b/internal/cluster/orders_test.go
@@ -63,7 +63,7 @@
 	allEnginesGet(t, c, "2026-12")
 	proc(c.Sidecars[frozen]).signal(syscall.SIGCONT)
 	eventually(t, "the woken sidecar answers", func() bool { return isReady(c.SidecarSettings[frozen].AdminListen) })
-	if peak, total := c.Store.Peak(); peak > 2 || total != len(c.Engines) {
+	if peak, total := c.WeightStore.FetchCounts(); peak > 2 || total != len(c.Engines) {
 		t.Errorf("%d loads ran at once, %d in all for %d engines", peak, total, len(c.Engines))
 	}
 }
--- a/internal/cluster/path_bench_test.go
+++ b/internal/cluster/path_bench_test.go
@@ -23,7 +23,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
 	costs := standin.EngineCosts{PrefillTokensPerSecond: 1e9, MaxBatch: 64, CacheBlocks: 10_000}
-	c, err := cluster.Start(ctx, cluster.Options{Text: examples.Marktlizenz, Entries: 1, Costs: costs, LogOutput: io.Discard})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Marktlizenz, Entries: 1, EngineCosts: costs, LogOutput: io.Discard})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/cluster/path_test.go
+++ b/internal/cluster/path_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	c, err := cluster.Start(ctx, cluster.Options{Text: text, Entries: entries, Costs: cluster.DefaultCosts, LogOutput: io.Discard})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: text, Entries: entries, EngineCosts: cluster.DefaultEngineCosts, LogOutput: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 		}
 	}
 	runs := 0
-	for _, p := range c.Plains {
+	for _, p := range c.PlainTargets {
 		runs += p.Runs()[key]
 	}
 	if runs != 1 {
--- a/internal/cluster/process_bench_test.go
+++ b/internal/cluster/process_bench_test.go
@@ -40,7 +40,7 @@
 	const length = 15 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	c, err := cluster.Start(ctx, cluster.Options{Text: examples.Marktlizenz, Entries: 2, Costs: slowCosts, LogOutput: io.Discard, Launch: launcher(b)})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Marktlizenz, Entries: 2, EngineCosts: slowCosts, LogOutput: io.Discard, Launch: launcher(b)})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/cluster/process_test.go
+++ b/internal/cluster/process_test.go
@@ -116,7 +116,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	c, err := cluster.Start(ctx, cluster.Options{Text: text, Entries: entries, Costs: costs, LogOutput: io.Discard, Launch: launcher(t)})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: text, Entries: entries, EngineCosts: costs, LogOutput: io.Discard, Launch: launcher(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	c.Log.SetFaults(faults)
-	before := c.Computed()
+	before := c.PrefilledTokens()
 	for i := range c.Entries {
 		c.Entries[i].Close()
 	}
@@ -272,7 +272,7 @@
 		}
 	}
 	t.Logf("first answers %v after the kill", time.Since(start))
-	if computed := c.Computed() - before; computed > 200 {
+	if computed := c.PrefilledTokens() - before; computed > 200 {
 		t.Errorf("the restart made the engines compute %d tokens again", computed)
 	}
 }
@@ -289,7 +289,7 @@
 
 func runsOf(c *cluster.Cluster, key string) int {
 	runs := 0
-	for _, p := range c.Plains {
+	for _, p := range c.PlainTargets {
 		runs += p.Runs()[key]
 	}
 	return runs
@@ -302,7 +302,7 @@
 	c := startProcesses(t, examples.Marktlizenz, 2, slowCosts)
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	for _, p := range c.Plains {
+	for _, p := range c.PlainTargets {
 		p.SetFaults(standin.PlainFaults{Delay: 500 * time.Millisecond})
 	}
 	key := uuid.Must(uuid.NewV7()).String()
@@ -317,7 +317,7 @@
 	}()
 	owner := ""
 	eventually(t, "the service works on the call", func() bool {
-		for name, p := range c.Plains {
+		for name, p := range c.PlainTargets {
 			if p.Runs()[key] > 0 {
 				owner = name
 				return true
--- a/internal/cluster/restart_bench_test.go
+++ b/internal/cluster/restart_bench_test.go
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*bound)
 	defer cancel()
 	costs := standin.EngineCosts{PrefillTokensPerSecond: 40_000, DecodeStep: time.Millisecond, MaxBatch: 16, CacheBlocks: 4000, LoadTime: time.Second}
-	c, err := cluster.Start(ctx, cluster.Options{Text: examples.Olaje, Entries: 3, Costs: costs, LogOutput: io.Discard, Launch: launcher(b)})
+	c, err := cluster.Start(ctx, cluster.Options{ConfigText: examples.Olaje, Entries: 3, EngineCosts: costs, LogOutput: io.Discard, Launch: launcher(b)})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -53,8 +53,8 @@
 		outcomes := load.Run(ctx, load.Options{Entries: entries, Model: "oleaje-lm", MaxOpen: 200, Token: func(w string) string { return w + "-token" }}, shifted)
 		prompt, cached := 0, 0
 		for _, o := range outcomes {
-			if !o.Whole {
-				b.Fatal(o.Problem)
+			if !o.Correct {
+				b.Fatal(o.Failure)
 			}
 			prompt += o.Prompt
 			cached += o.Cached
--- a/internal/cluster/spread_bench_test.go
+++ b/internal/cluster/spread_bench_test.go
@@ -31,8 +31,8 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 2*bound)
 			defer cancel()
 			c, err := cluster.Start(ctx, cluster.Options{
-				Text: manyPlain(n), Costs: slowCosts, LogOutput: io.Discard,
-				Adjust: func(s *settings.Settings) { s.Timing.SyncPeriod.Duration = 2 * time.Second },
+				ConfigText: manyPlain(n), EngineCosts: slowCosts, LogOutput: io.Discard,
+				AdjustSettings: func(s *settings.Settings) { s.Timing.SyncPeriod.Duration = 2 * time.Second },
 			})
 			if err != nil {
 				b.Fatal(err)
@@ -43,10 +43,10 @@
 			rounds := 0
 			for b.Loop() {
 				rounds++
-				c.Text += "# changed\n"
-				data, _ := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: fmt.Sprint(version), Base: version, Text: c.Text})
+				c.ConfigText += "# changed\n"
+				data, _ := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: fmt.Sprint(version), Base: version, Text: c.ConfigText})
 				start := time.Now()
-				version = c.Log.AppendNow(configlog.Stream, data)
+				version = c.Log.AppendRecord(configlog.Stream, data)
 				for _, s := range c.SidecarSettings {
 					for versionAt(s.AdminListen) < version {
 						<-time.After(2 * time.Millisecond)
--- a/internal/cluster/tls_test.go
+++ b/internal/cluster/tls_test.go
@@ -65,8 +65,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
 	c, err := cluster.Start(ctx, cluster.Options{
-		Text: examples.Marktlizenz, Entries: 1, Costs: slowCosts, LogOutput: io.Discard,
-		Adjust: func(s *settings.Settings) {
+		ConfigText: examples.Marktlizenz, Entries: 1, EngineCosts: slowCosts, LogOutput: io.Discard,
+		AdjustSettings: func(s *settings.Settings) {
 			if s.Role == settings.RoleEntry {
 				pool = writeCertificate(t, s.Listen, certFile, keyFile)
 				s.TLS = settings.TLS{CertFile: certFile, KeyFile: keyFile}
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -20,11 +20,11 @@
 
 func (l *slowAppendLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	time.Sleep(4 * time.Second)
-	return l.AppendNow(stream, data), nil
+	return l.AppendRecord(stream, data), nil
 }
 
 func (l *slowAppendLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
-	return l.ReadNow(stream, from), nil
+	return l.ReadPage(stream, from), nil
 }
 
 // Guards against a process that republishes again at each poll while the first
@@ -47,7 +47,7 @@
 		time.Sleep(58 * time.Second)
 		loop.Stop()
 		<-done
-		if n := len(log.ReadNow(Stream, 1).Records) - 1; n != 1 {
+		if n := len(log.ReadPage(Stream, 1).Records) - 1; n != 1 {
 			t.Errorf("republished %d times, want 1", n)
 		}
 	})
--- a/internal/configlog/statemachine_test.go
+++ b/internal/configlog/statemachine_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return log.AppendNow(Stream, data)
+	return log.AppendRecord(Stream, data)
 }
 
 // reader is a process that follows the stream.
@@ -65,7 +65,7 @@
 					base = rapid.Uint64Range(0, base).Draw(rt, "base")
 				}
 				appendRecord(rt, log, Record{Type: TypePublish, Nonce: fmt.Sprint(n), Base: base, Text: configText(n)})
-				reference.machine.Apply(log.ReadNow(Stream, reference.machine.NextOffset()))
+				reference.machine.Apply(log.ReadPage(Stream, reference.machine.NextOffset()))
 				s := reference.machine.Snapshot()
 				accepted[s.Version] = s.Text
 			case "republish":
@@ -74,12 +74,12 @@
 				if snapshot := s.Snapshot(); snapshot.Version > 0 && !s.Undecided() {
 					appendRecord(rt, log, Record{Type: TypeRepublish, Version: snapshot.Version, AsOf: snapshot.AsOf, Text: snapshot.Text})
 				}
-				reference.machine.Apply(log.ReadNow(Stream, reference.machine.NextOffset()))
+				reference.machine.Apply(log.ReadPage(Stream, reference.machine.NextOffset()))
 			case "trim":
 				trim(rt, log, reference.machine.Snapshot())
 			case "read":
 				r := rapid.SampledFrom(readers).Draw(rt, "reader")
-				r.machine.Apply(log.ReadNow(Stream, r.machine.NextOffset()))
+				r.machine.Apply(log.ReadPage(Stream, r.machine.NextOffset()))
 				r.checkVersion(rt)
 			case "sync":
 				r := rapid.SampledFrom(readers).Draw(rt, "syncing reader")
@@ -97,7 +97,7 @@
 			appendRecord(rt, log, Record{Type: TypeRepublish, Version: want.Version, AsOf: want.AsOf, Text: want.Text})
 		}
 		for i, r := range readers {
-			r.machine.Apply(log.ReadNow(Stream, r.machine.NextOffset()))
+			r.machine.Apply(log.ReadPage(Stream, r.machine.NextOffset()))
 			r.checkVersion(rt)
 			s := r.machine.Snapshot()
 			if s.Version > 0 && accepted[s.Version] != s.Text {
@@ -115,7 +115,7 @@
 
 // trim drops old records, but not the newest copy of the version in force.
 func trim(rt *rapid.T, log *standin.Log, inForce Snapshot) {
-	page := log.ReadNow(Stream, 1)
+	page := log.ReadPage(Stream, 1)
 	keepFrom := page.Next
 	for _, r := range page.Records {
 		if strings.Contains(string(r.Data), fmt.Sprintf(`"version":%d,`, inForce.Version)) || r.Offset == inForce.Version {
@@ -137,7 +137,7 @@
 }
 
 func (l *lossyResponseLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
-	offset := l.AppendNow(stream, data)
+	offset := l.AppendRecord(stream, data)
 	if l.appendFailures > 0 {
 		l.appendFailures--
 		l.failNextRead = true
@@ -151,7 +151,7 @@
 		l.failNextRead = false
 		return nil, errors.New("response lost")
 	}
-	return l.ReadNow(stream, from), nil
+	return l.ReadPage(stream, from), nil
 }
 
 // Guards against a duplicate or falsely failed publish after the response to the
@@ -163,7 +163,7 @@
 		if err != nil || !verdict.Accepted {
 			t.Fatalf("%+v %v", verdict, err)
 		}
-		if n := len(log.ReadNow(Stream, 1).Records); n != 1 {
+		if n := len(log.ReadPage(Stream, 1).Records); n != 1 {
 			t.Fatalf("%d records, want 1", n)
 		}
 	})
@@ -198,7 +198,7 @@
 	if _, err := Publish(context.Background(), log, "n", 0, configText(9)); err == nil {
 		t.Fatal("a publish was accepted while the version in force is unknown")
 	}
-	log.TrimTo(Stream, log.ReadNow(Stream, 1).Next)
+	log.TrimTo(Stream, log.ReadPage(Stream, 1).Next)
 	version, err := Recover(context.Background(), log, "r", configText(7))
 	if err != nil {
 		t.Fatal(err)
@@ -214,7 +214,7 @@
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "a", Text: configText(1)})
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "b", Base: 1, Text: "schema = 2"})
 	m := NewStateMachine()
-	m.Apply(log.ReadNow(Stream, 1))
+	m.Apply(log.ReadPage(Stream, 1))
 	verdicts := m.TakeVerdicts()
 	if m.Snapshot().Version != 1 || verdicts[1].Accepted || verdicts[1].Err == nil {
 		t.Fatalf("%+v %+v", m.Snapshot(), verdicts)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -86,7 +86,7 @@
 func New(s *settings.Settings, d Deps) (*Entry, error) {
 	e := &Entry{
 		settings: s, logger: d.Logger, metrics: d.Metrics, hosts: d.Hosts,
-		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.Control), health: newTargetHealth(time.Now),
+		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.ControlTime), health: newTargetHealth(time.Now),
 		budget: retry.NewBudget(), burn: burn.NewCounter(time.Now), peers: d.Peers, prober: d.Prober,
 		location: routing.Location{Zone: s.AvailabilityZone, Region: s.Region},
 	}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -98,7 +98,7 @@
 		return nil, errkind.New(errkind.KeyInvalid, "the key has %d bytes; it must have %d to %d", len(h.key), minKeyLength, maxKeyLength)
 	}
 	issued := once.IssueTime(h.key, h.issuedMs)
-	if refusal := once.CheckAge(issued, once.Terms{Opaque: service.OpaqueKeys, Lifetime: service.KeyLifetime.Duration}, now, retention); refusal != nil {
+	if refusal := once.CheckAge(issued, once.KeyPolicy{AllowOpaque: service.OpaqueKeys, Lifetime: service.KeyLifetime.Duration}, now, retention); refusal != nil {
 		return nil, refusal
 	}
 	return &peerv1.OnceKey{Key: h.key, IssuedUnixMs: issued, Digest: digest}, nil
@@ -108,7 +108,7 @@
 func (e *Entry) newCompletion(id string, arrived time.Time, h *callHeader, req *oas.CompletionRequest) (*completion, *errkind.Error) {
 	c, _, ok := e.current()
 	if !ok {
-		return nil, errkind.After(errkind.ConfigurationMissing, suspectDuration, "")
+		return nil, errkind.NewRetryAfter(errkind.ConfigurationMissing, suspectDuration, "")
 	}
 	model := c.Model(req.Model)
 	if model == nil || !model.HasAdapter(req.Adapter.Or("")) {
--- a/internal/gateway/adminlimits.go
+++ b/internal/gateway/adminlimits.go
@@ -15,8 +15,8 @@
 		return nil
 	}
 	limiter := p.entry.limits.limiter
-	uses, share := limiter.Uses()
-	byName := make(map[string]ratelimit.Use, len(uses))
+	uses, share := limiter.Stats()
+	byName := make(map[string]ratelimit.BucketStats, len(uses))
 	for _, u := range uses {
 		byName[u.Workspace] = u
 	}
--- a/internal/gateway/estate/estate.go
+++ b/internal/gateway/estate/estate.go
@@ -153,7 +153,7 @@
 	// Isolated workspaces share no cached prompt parts with others.
 	Isolated bool
 	// Rate is the rate limit of the workspace over all entries.
-	Rate ratelimit.Terms
+	Rate ratelimit.Policy
 }
 
 // Limits bound the requests of callers.
@@ -272,7 +272,7 @@
 		if w.Name == "" || e.byName[w.Name] != nil {
 			return errors.Newf("workspace %q: the name is empty or declared twice", w.Name)
 		}
-		if w.Rate.PerSecond < 0 || w.Rate.Burst < 0 || w.Rate.Unstated < 0 {
+		if w.Rate.PerSecond < 0 || w.Rate.Burst < 0 || w.Rate.DefaultCost < 0 {
 			return errors.Newf("workspace %q: a rate limit is negative", w.Name)
 		}
 		e.byName[w.Name] = w
--- a/internal/gateway/forward/limited_test.go
+++ b/internal/gateway/forward/limited_test.go
@@ -45,7 +45,7 @@
 func newLimitedEnv(t *testing.T, limits *fixedLimits, targets ...*fakeTarget) *testEnv {
 	env := newTestEnv(t, targets...)
 	env.Limits = limits
-	env.view.Estate.Workspace("town").Rate = ratelimit.Terms{Limit: ratelimit.Limit{PerSecond: 1000, Burst: 1000}, Unit: ratelimit.Tokens, Unstated: 200}
+	env.view.Estate.Workspace("town").Rate = ratelimit.Policy{Limit: ratelimit.Limit{PerSecond: 1000, Burst: 1000}, Unit: ratelimit.Tokens, DefaultCost: 200}
 	return env
 }
 
@@ -136,9 +136,9 @@
 // The cost is the request's tokens, the configured default if they are not stated, or one
 // if the limit counts requests.
 func TestRateLimitCost(t *testing.T) {
-	tokens := ratelimit.Terms{Unit: ratelimit.Tokens, Unstated: 200}
+	tokens := ratelimit.Policy{Unit: ratelimit.Tokens, DefaultCost: 200}
 	for _, c := range []struct {
-		terms          ratelimit.Terms
+		terms          ratelimit.Policy
 		stated         bool
 		prompt, answer int
 		cost           float64
@@ -146,8 +146,8 @@
 		{tokens, true, 1460, 80, 1540},
 		{tokens, false, 0, 0, 200},
 		{tokens, true, 0, 0, 1},
-		{ratelimit.Terms{Unit: ratelimit.Tokens}, false, 0, 0, 1},
-		{ratelimit.Terms{Unit: ratelimit.Requests, Unstated: 200}, true, 1460, 80, 1},
+		{ratelimit.Policy{Unit: ratelimit.Tokens}, false, 0, 0, 1},
+		{ratelimit.Policy{Unit: ratelimit.Requests, DefaultCost: 200}, true, 1460, 80, 1},
 	} {
 		if got := c.terms.Cost(c.stated, c.prompt, c.answer); got != c.cost {
 			t.Errorf("%+v: cost %.0f", c, got)
@@ -157,7 +157,7 @@
 
 // A configuration with a negative rate limit must be rejected.
 func TestNegativeRateLimitIsRejected(t *testing.T) {
-	for _, terms := range []ratelimit.Terms{{Limit: ratelimit.Limit{PerSecond: -1}}, {Limit: ratelimit.Limit{Burst: -1}}, {Unstated: -1}} {
+	for _, terms := range []ratelimit.Policy{{Limit: ratelimit.Limit{PerSecond: -1}}, {Limit: ratelimit.Limit{Burst: -1}}, {DefaultCost: -1}} {
 		if _, err := estate.New(1, nil, nil, []estate.Workspace{{Name: "town", Rate: terms}}, estate.Limits{}); err == nil {
 			t.Errorf("%+v was accepted", terms)
 		}
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -171,16 +171,16 @@
 	}
 	if p.answered[i] {
 		c.Work, c.OfferedLoad, c.Slowdown, c.CachedTokens = a.Work, a.OfferedLoad, a.Slowdown, a.CachedTokens
-		c.Loading, c.Draining = a.Phase == weights.Loading, a.Phase == weights.Emptying
+		c.Loading, c.Draining = a.Phase == weights.Loading, a.Phase == weights.Draining
 		c.Ejected = a.Unhealthy || a.ReportAge > staleReportAge || t.Unconfirmed
-		c.Excluded = c.Excluded || a.Phase == weights.Silent
+		c.Excluded = c.Excluded || a.Phase == weights.Unresponsive
 		if version, ok := a.WeightVersions[fl.request.Model]; ok {
 			c.Version = version
 		}
 	} else {
 		c.Work, c.Ejected = fl.Ledger.OwnAt(t.ID, fl.Now()), true
 	}
-	c.StaleFor = fl.view.Wanted[fl.request.Model].Behind(c.Version, fl.Now())
+	c.StaleFor = fl.view.Wanted[fl.request.Model].StaleFor(c.Version, fl.Now())
 	return c
 }
 
@@ -198,7 +198,7 @@
 			continue
 		}
 		out.cached[t.ID] = a.CachedTokens
-		if a.Phase != weights.Silent && a.ReportAge <= staleReportAge {
+		if a.Phase != weights.Unresponsive && a.ReportAge <= staleReportAge {
 			out.sources = append(out.sources, source{
 				id: t.ID, address: t.Address, zone: t.Zone, peer: true, tokens: a.CachedTokens, rate: fl.linkRate(fl.service.Engine.LinkMbps),
 			})
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -179,7 +179,7 @@
 func TestLoadingAndUnresponsiveEnginesAreNotUsed(t *testing.T) {
 	loading, unresponsive := startStreamTarget(t, "loading"), startStreamTarget(t, "silent")
 	env, sidecars := newProbedEnv(t, loading, unresponsive)
-	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, unresponsive: weights.Silent} {
+	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, unresponsive: weights.Unresponsive} {
 		a := sidecars.answers[addressOf(tg)]
 		a.Phase = phase
 		sidecars.setAnswer(addressOf(tg), a)
@@ -229,7 +229,7 @@
 	defer close(release)
 	env, sidecars := newProbedEnv(t, tg)
 	env.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
-	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Response{Phase: weights.Silent} }
+	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Response{Phase: weights.Unresponsive} }
 	start := time.Now()
 	_, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err == nil {
--- a/internal/gateway/forward/unresponsive.go
+++ b/internal/gateway/forward/unresponsive.go
@@ -124,5 +124,5 @@
 		return false
 	}
 	answers, answered := fl.Sidecars.Ask(ctx, []netip.AddrPort{dst.target.Address}, probe.Prompt{})
-	return answered[0] && answers[0].Phase == weights.Silent
+	return answered[0] && answers[0].Phase == weights.Unresponsive
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -62,7 +62,7 @@
 func (l *limits) refresh() {
 	b := l.beliefs
 	known, silent := b.mesh.Known(true)
-	m := &ratelimit.Members{At: b.clock.Now(), StartedAt: l.startedAt, Known: 1 + known, Silent: silent, Self: l.at(b.settings.mesh())}
+	m := &ratelimit.Members{AsOf: b.clock.Now(), StartedAt: l.startedAt, Known: 1 + known, Unreachable: silent, Self: l.at(b.settings.mesh())}
 	if !b.stopping {
 		m.Live = append(m.Live, m.Self)
 	}
@@ -71,7 +71,7 @@
 			m.Live = append(m.Live, l.at(member.Address))
 		}
 	}
-	m.Heard = len(l.met) > 0 || b.settings.FirstStart
+	m.HeardPeer = len(l.met) > 0 || b.settings.FirstStart
 	l.limiter.SetMembers(m)
 }
 
--- a/internal/gateway/probe/probe.go
+++ b/internal/gateway/probe/probe.go
@@ -94,17 +94,17 @@
 const slowdownUnit = 1000
 
 var phaseToProto = map[weights.Phase]peerv1.EnginePhase{
-	weights.Serving:  peerv1.EnginePhase_ENGINE_PHASE_SERVING,
-	weights.Loading:  peerv1.EnginePhase_ENGINE_PHASE_LOADING,
-	weights.Emptying: peerv1.EnginePhase_ENGINE_PHASE_EMPTYING,
-	weights.Silent:   peerv1.EnginePhase_ENGINE_PHASE_SILENT,
+	weights.Serving:      peerv1.EnginePhase_ENGINE_PHASE_SERVING,
+	weights.Loading:      peerv1.EnginePhase_ENGINE_PHASE_LOADING,
+	weights.Draining:     peerv1.EnginePhase_ENGINE_PHASE_EMPTYING,
+	weights.Unresponsive: peerv1.EnginePhase_ENGINE_PHASE_SILENT,
 }
 
 var phaseFromProto = map[peerv1.EnginePhase]weights.Phase{
 	peerv1.EnginePhase_ENGINE_PHASE_SERVING:  weights.Serving,
 	peerv1.EnginePhase_ENGINE_PHASE_LOADING:  weights.Loading,
-	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Emptying,
-	peerv1.EnginePhase_ENGINE_PHASE_SILENT:   weights.Silent,
+	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Draining,
+	peerv1.EnginePhase_ENGINE_PHASE_SILENT:   weights.Unresponsive,
 }
 
 func toMs(d time.Duration) uint32 { return uint32(max(d, 0).Milliseconds()) }
--- a/internal/gateway/probe/probe_test.go
+++ b/internal/gateway/probe/probe_test.go
@@ -73,7 +73,7 @@
 // All fields of responses and notifications survive the wire.
 func TestMessagesSurviveTheWire(t *testing.T) {
 	response := Response{
-		Incarnation: fleet.Incarnation{Instance: "i-1", StartedMs: 1_700_000_000_123}, WeightVersions: map[string]int64{"m": 3}, Phase: weights.Emptying,
+		Incarnation: fleet.Incarnation{Instance: "i-1", StartedMs: 1_700_000_000_123}, WeightVersions: map[string]int64{"m": 3}, Phase: weights.Draining,
 		CachedTokens: 4870, Offloaded: true, Holder: netip.MustParseAddrPort("10.0.0.7:8000"), PrefillInProgress: true,
 		Slowdown: 1.25, Unhealthy: true, ReportAge: 120 * time.Millisecond,
 		Work:        ledger.Work{Running: 3, Prefill: ledger.AtPriority(2, 80*time.Millisecond), Memory: ledger.AtPriority(7, 12_000)},
--- a/internal/gateway/ratelimit/bench_test.go
+++ b/internal/gateway/ratelimit/bench_test.go
@@ -17,7 +17,7 @@
 	self := netip.MustParseAddrPort("10.0.0.1:7")
 	limit := Limit{PerSecond: 1e12, Burst: 1e12}
 	l := newLimiter(Options{Listen: self, Incarnation: 1, LimitOf: func(string) Limit { return limit }, Now: time.Now}, func([]byte, netip.AddrPort) {})
-	m := &Members{At: time.Now().Add(time.Hour), StartedAt: time.Now().Add(-time.Hour), Self: self, Known: entries, Heard: true}
+	m := &Members{AsOf: time.Now().Add(time.Hour), StartedAt: time.Now().Add(-time.Hour), Self: self, Known: entries, HeardPeer: true}
 	for i := range entries {
 		m.Live = append(m.Live, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i + 1)}), 7))
 	}
@@ -49,7 +49,7 @@
 			for b.Loop() {
 				n++
 				from := Holder{Address: l.members.Load().Live[int(n)%entries], Incarnation: 1}
-				c.Answer("w", from, Ask{Number: n, Need: 2400, Want: 10_000, Spent: float64(n)}, limit, now, now)
+				c.Handle("w", from, LeaseRequest{ID: n, RequestCost: 2400, Ahead: 10_000, Spent: float64(n)}, limit, now, now)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			l := benchLimiter(entries)
 			for b.Loop() {
-				l.members.Load().First("workspace-17")
+				l.members.Load().Coordinator("workspace-17")
 			}
 		})
 	}
@@ -69,8 +69,8 @@
 
 // A question and its answer each take less than a hundred bytes beside the workspace's name.
 func TestMessagesStaySmall(t *testing.T) {
-	ask := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Ask: askOut(Ask{Need: 70_000, Want: 300_000, Spent: 1e12, Returned: 70_000, Extra: 70_000, ComesBack: true, Patience: 5 * time.Second}, true)}
-	answer := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Answer: answerOut(Answer{Admitted: true, Leased: 300_000, Wait: 5 * time.Second, Level: 1e6})}
+	ask := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Ask: askOut(LeaseRequest{RequestCost: 70_000, Ahead: 300_000, Spent: 1e12, Refunded: 70_000, Overdraft: 70_000, IsRetry: true, MaxWait: 5 * time.Second}, true)}
+	answer := &peerv1.RateMessage{Id: 1 << 31, Incarnation: 1 << 63, Workspace: "w", Known: 420, Answer: answerOut(LeaseResponse{Admitted: true, Leased: 300_000, RetryDelay: 5 * time.Second, Level: 1e6})}
 	for _, m := range []*peerv1.RateMessage{ask, answer} {
 		if n := proto.Size(m); n > 100 {
 			t.Errorf("%d bytes: %v", n, m)
--- a/internal/gateway/ratelimit/coordinator.go
+++ b/internal/gateway/ratelimit/coordinator.go
@@ -36,35 +36,35 @@
 }
 
 // Ask is what an entry asks of a workspace's coordinator.
-type Ask struct {
+type LeaseRequest struct {
 	// Number names the question among those of its entry; one that comes twice is answered
 	// twice and counted once.
-	Number uint32
+	ID uint32
 	// Need is the cost of a request that waits; zero for none.
-	Need float64
+	RequestCost float64
 	// Want is what the entry would lease for the requests that follow.
-	Want float64
+	Ahead float64
 	// Spent is all that the entry's life has used of leases, Returned what it gives back of
 	// earlier needs that were not used.
 	Spent    float64
-	Returned float64
+	Refunded float64
 	// Extra is what it used beyond what it was granted.
-	Extra float64
+	Overdraft float64
 	// ComesBack is set for a caller who was refused before.
-	ComesBack bool
+	IsRetry bool
 	// Patience is the longest time after which the caller would come back.
-	Patience time.Duration
+	MaxWait time.Duration
 }
 
 // Answer is what the coordinator says.
-type Answer struct {
-	Number uint32
+type LeaseResponse struct {
+	ID uint32
 	// Admitted is set when the request that waits may go on.
 	Admitted bool
 	// Leased tokens may be used for leaseFor from before the question.
 	Leased float64
 	// Wait is after what time a request that is not admitted would be.
-	Wait time.Duration
+	RetryDelay time.Duration
 	// Level is what the bucket holds.
 	Level float64
 }
@@ -96,7 +96,7 @@
 	incarnation uint64
 	spent       float64
 	leases      []lease
-	answers     [answersKept]Answer
+	answers     [answersKept]LeaseResponse
 	next        int
 	heardAt     time.Time
 }
@@ -113,7 +113,7 @@
 
 // Answer answers an entry's question about a workspace with a limit. A new bucket holds what
 // the rate has brought since a time: nobody else has given any of it out since then.
-func (c *Coordinator) Answer(workspace string, from Holder, ask Ask, limit Limit, since, now time.Time) Answer {
+func (c *Coordinator) Handle(workspace string, from Holder, ask LeaseRequest, limit Limit, since, now time.Time) LeaseResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sweep(now)
@@ -125,20 +125,20 @@
 	return b.answer(from, ask, limit, now)
 }
 
-func (b *bucket) answer(from Holder, ask Ask, limit Limit, now time.Time) Answer {
+func (b *bucket) answer(from Holder, ask LeaseRequest, limit Limit, now time.Time) LeaseResponse {
 	h := b.holder(from, now)
-	if known, ok := h.answered(ask.Number); ok {
+	if known, ok := h.answered(ask.ID); ok {
 		return known
 	}
 	h.report(ask.Spent)
-	b.refill(limit, ask.Returned, now)
-	b.level -= ask.Extra
-	a := Answer{Number: ask.Number}
-	if ask.Need > 0 {
-		a.Admitted, a.Wait = b.admit(ask, limit, now)
+	b.refill(limit, ask.Refunded, now)
+	b.level -= ask.Overdraft
+	a := LeaseResponse{ID: ask.ID}
+	if ask.RequestCost > 0 {
+		a.Admitted, a.RetryDelay = b.admit(ask, limit, now)
 	}
-	if a.Admitted || ask.Need == 0 {
-		a.Leased = b.lease(h, ask.Want, limit, now)
+	if a.Admitted || ask.RequestCost == 0 {
+		a.Leased = b.lease(h, ask.Ahead, limit, now)
 	}
 	a.Level = b.level
 	h.keep(a)
@@ -171,21 +171,21 @@
 //
 // The bucket only has to hold something, and may go below zero by one request: a request
 // that is larger than the burst is served, and large ones wait no longer than small ones.
-func (b *bucket) admit(ask Ask, limit Limit, now time.Time) (bool, time.Duration) {
+func (b *bucket) admit(ask LeaseRequest, limit Limit, now time.Time) (bool, time.Duration) {
 	floor := 0.0
-	if !ask.ComesBack && now.Sub(b.refusedAt) < refusedLately {
+	if !ask.IsRetry && now.Sub(b.refusedAt) < refusedLately {
 		floor = reservedShare * limit.size()
 	}
 	if b.level > floor {
-		b.level -= ask.Need
+		b.level -= ask.RequestCost
 		b.used++
 		return true, 0
 	}
 	b.refused++
 	b.refusedAt = now
 	wait := limit.until(floor-b.level+b.queued) + leastWait
-	if wait <= ask.Patience && b.queued < limit.PerSecond*longestQueue.Seconds() {
-		b.queued += ask.Need
+	if wait <= ask.MaxWait && b.queued < limit.PerSecond*longestQueue.Seconds() {
+		b.queued += ask.RequestCost
 	}
 	return false, wait
 }
@@ -219,16 +219,16 @@
 	return h
 }
 
-func (h *holder) answered(number uint32) (Answer, bool) {
+func (h *holder) answered(number uint32) (LeaseResponse, bool) {
 	for _, a := range h.answers {
-		if a.Number == number && number != 0 {
+		if a.ID == number && number != 0 {
 			return a, true
 		}
 	}
-	return Answer{}, false
+	return LeaseResponse{}, false
 }
 
-func (h *holder) keep(a Answer) {
+func (h *holder) keep(a LeaseResponse) {
 	h.answers[h.next%answersKept] = a
 	h.next++
 }
@@ -272,7 +272,7 @@
 }
 
 // Use is what a coordinator knows of one workspace.
-type Use struct {
+type BucketStats struct {
 	Workspace string
 	// Level and Leased are tokens: in the bucket, and leased to entries.
 	Level, Leased float64
@@ -283,12 +283,12 @@
 }
 
 // Uses returns what is known of each workspace.
-func (c *Coordinator) Uses(now time.Time) []Use {
+func (c *Coordinator) Stats(now time.Time) []BucketStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var all []Use
+	var all []BucketStats
 	for workspace, b := range c.buckets {
-		all = append(all, Use{Workspace: workspace, Level: b.level, Leased: b.leased(now), Holders: len(b.holders), Admitted: b.used, Refused: b.refused})
+		all = append(all, BucketStats{Workspace: workspace, Level: b.level, Leased: b.leased(now), Holders: len(b.holders), Admitted: b.used, Refused: b.refused})
 	}
 	return all
 }
--- a/internal/gateway/ratelimit/credit.go
+++ b/internal/gateway/ratelimit/credit.go
@@ -117,14 +117,14 @@
 
 // ask is the question for a request that waits; with a cost of zero only tokens are asked
 // for ahead. What is given back leaves the record first: if the message is lost, so is it.
-func (c *credit) ask(number uint32, cost float64, now time.Time) Ask {
-	a := Ask{Number: number, Need: cost, Want: c.want(now), Spent: c.spent, Returned: c.returned, Extra: c.extra}
+func (c *credit) ask(number uint32, cost float64, now time.Time) LeaseRequest {
+	a := LeaseRequest{ID: number, RequestCost: cost, Ahead: c.want(now), Spent: c.spent, Refunded: c.returned, Overdraft: c.extra}
 	c.reported, c.returned, c.extra, c.askedAt = c.spent, 0, 0, now
 	return a
 }
 
 // take takes in an answer to a question that was asked at a time.
-func (c *credit) take(a Answer, asked time.Time) {
+func (c *credit) take(a LeaseResponse, asked time.Time) {
 	if a.Leased > 0 {
 		c.leases = append(c.leases, holding{tokens: a.Leased, until: asked.Add(leaseFor)})
 	}
--- a/internal/gateway/ratelimit/exchange.go
+++ b/internal/gateway/ratelimit/exchange.go
@@ -13,21 +13,21 @@
 )
 
 // nextAsk is the question for a request that waits.
-func (l *Limiter) nextAsk(r Request, now time.Time) Ask {
+func (l *Limiter) nextAsk(r Request, now time.Time) LeaseRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.number++
 	a := l.credit(r.Workspace).ask(l.number, r.Cost, now)
-	a.ComesBack, a.Patience = r.ComesBack, r.Patience
+	a.IsRetry, a.MaxWait = r.IsRetry, r.MaxWait
 	return a
 }
 
 // ask asks an entry for a request's cost and waits for the answer. It reports false when
 // there is none.
-func (l *Limiter) ask(ctx context.Context, to netip.AddrPort, r Request, inPlace bool) (Answer, bool) {
+func (l *Limiter) ask(ctx context.Context, to netip.AddrPort, r Request, inPlace bool) (LeaseResponse, bool) {
 	now := l.options.Now()
 	if !to.IsValid() {
-		return Answer{}, false
+		return LeaseResponse{}, false
 	}
 	a := l.nextAsk(r, now)
 	if to == l.options.Listen {
@@ -36,20 +36,20 @@
 		return answer, ok
 	}
 	q := &question{workspace: r.Workspace, to: to, cost: r.Cost, askedAt: now, answers: make(chan reply, 1)}
-	wait := l.begin(a.Number, q)
+	wait := l.begin(a.ID, q)
 	l.send(to, r.Workspace, a, inPlace)
 	if !wait {
-		return Answer{}, false
+		return LeaseResponse{}, false
 	}
 	timer := time.NewTimer(askTime)
 	defer timer.Stop()
 	select {
 	case got := <-q.answers:
-		return got.Answer, !got.notMine
+		return got.LeaseResponse, !got.notMine
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return l.giveUp(a.Number, q)
+	return l.giveUp(a.ID, q)
 }
 
 // begin notes a question, and reports whether its answer should be waited for.
@@ -67,23 +67,23 @@
 
 // giveUp stops to wait for an answer, unless it has just come. What it brings later is given
 // back.
-func (l *Limiter) giveUp(number uint32, q *question) (Answer, bool) {
+func (l *Limiter) giveUp(number uint32, q *question) (LeaseResponse, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
 	case got := <-q.answers:
-		return got.Answer, !got.notMine
+		return got.LeaseResponse, !got.notMine
 	default:
 	}
 	q.answers = nil
 	l.misses[q.to] = miss{count: l.misses[q.to].count + 1, last: l.options.Now()}
-	return Answer{}, false
+	return LeaseResponse{}, false
 }
 
 // askAhead asks a workspace's coordinator for tokens for the requests that follow, and
 // reports what was used. The caller holds mu.
 func (l *Limiter) askAhead(workspace string, c *credit, now time.Time) {
-	first := l.members.Load().First(workspace)
+	first := l.members.Load().Coordinator(workspace)
 	if !first.IsValid() {
 		return
 	}
@@ -95,12 +95,12 @@
 		}
 		return
 	}
-	l.open[a.Number] = &question{workspace: workspace, to: first, askedAt: now}
+	l.open[a.ID] = &question{workspace: workspace, to: first, askedAt: now}
 	l.send(first, workspace, a, false)
 }
 
 // takeAnswer takes in what an answer leases.
-func (l *Limiter) takeAnswer(workspace string, a Answer, asked time.Time) {
+func (l *Limiter) takeAnswer(workspace string, a LeaseResponse, asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.credit(workspace).take(a, asked)
@@ -108,32 +108,32 @@
 
 // answerFor answers as the workspace's coordinator, or in its place. It reports false when
 // this entry is not to.
-func (l *Limiter) answerFor(workspace string, from Holder, a Ask, inPlace bool, now time.Time) (Answer, bool) {
+func (l *Limiter) answerFor(workspace string, from Holder, a LeaseRequest, inPlace bool, now time.Time) (LeaseResponse, bool) {
 	m := l.members.Load()
-	settled := m.Settled(now)
-	if !settled && (inPlace || from.Address == l.options.Listen || now.Sub(m.At) >= staleAfter) {
-		return Answer{}, false
+	settled := m.CanCoordinate(now)
+	if !settled && (inPlace || from.Address == l.options.Listen || now.Sub(m.AsOf) >= staleAfter) {
+		return LeaseResponse{}, false
 	}
 	limit := l.options.LimitOf(workspace)
 	if !limit.Limited() {
-		return Answer{Number: a.Number, Admitted: true}, true
+		return LeaseResponse{ID: a.ID, Admitted: true}, true
 	}
 	limit = limit.Scaled(*l.share.Load())
 	switch {
-	case m.First(workspace) == l.options.Listen, !settled:
+	case m.Coordinator(workspace) == l.options.Listen, !settled:
 		// Who has just started has not heard all others; those who ask it have.
-		return l.mine.Answer(workspace, from, a, limit, *l.since.Load(), now), true
+		return l.mine.Handle(workspace, from, a, limit, *l.since.Load(), now), true
 	case inPlace:
-		a.Want = 0
+		a.Ahead = 0
 		part := Limit{PerSecond: limit.PerSecond * inPlaceShare, Burst: limit.Burst * inPlaceAtOnce}
-		return l.inPlace.Answer(workspace, from, a, part, now.Add(-inPlaceKept), now), true
+		return l.inPlace.Handle(workspace, from, a, part, now.Add(-inPlaceKept), now), true
 	default:
-		return Answer{}, false
+		return LeaseResponse{}, false
 	}
 }
 
-func (l *Limiter) send(to netip.AddrPort, workspace string, a Ask, inPlace bool) {
-	l.write(to, &peerv1.RateMessage{Id: a.Number, Incarnation: l.options.Incarnation, Workspace: workspace, Ask: askOut(a, inPlace)})
+func (l *Limiter) send(to netip.AddrPort, workspace string, a LeaseRequest, inPlace bool) {
+	l.write(to, &peerv1.RateMessage{Id: a.ID, Incarnation: l.options.Incarnation, Workspace: workspace, Ask: askOut(a, inPlace)})
 }
 
 func (l *Limiter) write(to netip.AddrPort, m *peerv1.RateMessage) {
@@ -167,7 +167,7 @@
 		out.NotMine = !ok
 		l.write(from, &peerv1.RateMessage{Id: m.Id, Incarnation: m.Incarnation, Workspace: m.Workspace, Answer: out})
 	case m.Answer != nil && m.Incarnation == l.options.Incarnation:
-		l.answered(from, m.Id, reply{Answer: answerIn(m.Id, m.Answer), notMine: m.Answer.NotMine}, now)
+		l.answered(from, m.Id, reply{LeaseResponse: answerIn(m.Id, m.Answer), notMine: m.Answer.NotMine}, now)
 	}
 }
 
@@ -183,7 +183,7 @@
 	}
 	delete(l.open, number)
 	c := l.credit(q.workspace)
-	c.take(got.Answer, q.askedAt)
+	c.take(got.LeaseResponse, q.askedAt)
 	if q.answers != nil {
 		q.answers <- got
 		return
@@ -194,7 +194,7 @@
 }
 
 // Report tells coordinators regularly what was used, until the context ends.
-func (l *Limiter) Report(ctx context.Context) {
+func (l *Limiter) ReportUsage(ctx context.Context) {
 	for sleep.For(ctx, reportPeriod) {
 		l.report(l.options.Now())
 	}
--- a/internal/gateway/ratelimit/faults_test.go
+++ b/internal/gateway/ratelimit/faults_test.go
@@ -230,7 +230,7 @@
 	for _, e := range f.entries {
 		m.Live = append(m.Live, e.address)
 	}
-	first := m.First("w")
+	first := m.Coordinator("w")
 	for _, e := range f.entries {
 		if e.address == first {
 			return e
--- a/internal/gateway/ratelimit/fleet_test.go
+++ b/internal/gateway/ratelimit/fleet_test.go
@@ -199,7 +199,7 @@
 		if !e.alive || e.frozen {
 			continue
 		}
-		m := &Members{At: time.Now(), Self: e.address, Live: []netip.AddrPort{e.address}, Known: 1, StartedAt: e.started, Heard: len(e.heard) > 0 || e.life == 1}
+		m := &Members{AsOf: time.Now(), Self: e.address, Live: []netip.AddrPort{e.address}, Known: 1, StartedAt: e.started, HeardPeer: len(e.heard) > 0 || e.life == 1}
 		for i, at := range e.heard { // in random order, as in the mesh
 			silent := time.Since(at)
 			if silent > modelForget {
@@ -207,7 +207,7 @@
 			}
 			m.Known++
 			if silent > modelSilent/2 {
-				m.Silent++
+				m.Unreachable++
 			}
 			if silent <= modelSilent {
 				m.Live = append(m.Live, f.entries[i].address)
@@ -230,7 +230,7 @@
 		return
 	}
 	f.asked++
-	l, r := e.limiter, Request{Workspace: "w", Limit: e.limit, Cost: cost, Patience: patience}
+	l, r := e.limiter, Request{Workspace: "w", Limit: e.limit, Cost: cost, MaxWait: patience}
 	f.mu.Unlock()
 	came := time.Since(f.began)
 	f.tasks.Go(func() {
@@ -249,7 +249,7 @@
 				break
 			}
 			time.Sleep(d.RetryAfter)
-			r.ComesBack = true
+			r.IsRetry = true
 		}
 		f.mu.Lock()
 		f.refused++
--- a/internal/gateway/ratelimit/limit.go
+++ b/internal/gateway/ratelimit/limit.go
@@ -59,21 +59,21 @@
 }
 
 // Terms are a workspace's limit with how its requests are counted.
-type Terms struct {
+type Policy struct {
 	Limit
 	Unit Unit
 	// Unstated is what a request counts that states no size.
-	Unstated int
+	DefaultCost int
 }
 
 // Cost is what a request counts; stated is set when it says its sizes. None is free: a
 // flood of requests without a size would never meet the limit.
-func (t Terms) Cost(stated bool, promptTokens, answerTokens int) float64 {
+func (t Policy) Cost(stated bool, promptTokens, answerTokens int) float64 {
 	switch {
 	case t.Unit == Requests:
 		return 1
 	case !stated:
-		return math.Max(float64(t.Unstated), 1)
+		return math.Max(float64(t.DefaultCost), 1)
 	default:
 		return math.Max(float64(promptTokens)+float64(answerTokens), 1)
 	}
--- a/internal/gateway/ratelimit/limiter.go
+++ b/internal/gateway/ratelimit/limiter.go
@@ -94,7 +94,7 @@
 
 // reply is an answer as it came.
 type reply struct {
-	Answer
+	LeaseResponse
 	notMine bool
 }
 
@@ -121,7 +121,7 @@
 		credits: map[string]*credit{}, open: map[uint32]*question{}, misses: map[netip.AddrPort]miss{},
 	}
 	now := o.Now()
-	l.members.Store(&Members{Self: o.Listen, At: now, StartedAt: now})
+	l.members.Store(&Members{Self: o.Listen, AsOf: now, StartedAt: now})
 	l.since.Store(&now)
 	l.share.Store(new(float64))
 	return l
@@ -134,8 +134,8 @@
 	Cost      float64
 	// ComesBack is set when the caller was probably refused before, Patience is the longest
 	// time after which it would come back.
-	ComesBack bool
-	Patience  time.Duration
+	IsRetry bool
+	MaxWait time.Duration
 }
 
 // Source says whose tokens a request was admitted by, or who refused it.
@@ -148,11 +148,11 @@
 	// Coordinated decisions are those of the workspace's coordinator.
 	Coordinated Source = "coordinator"
 	// InPlace ones are those of the next in rank, where the coordinator did not answer.
-	InPlace Source = "in_place"
+	Fallback Source = "in_place"
 	// Own is the share that this entry has while nobody answers it.
-	Own Source = "own_share"
+	OwnShare Source = "own_share"
 	// Known is a refusal that was given to another caller a moment ago.
-	Known Source = "known_empty"
+	CachedRefusal Source = "known_empty"
 )
 
 // Decision is whether a request may go on.
@@ -192,8 +192,8 @@
 		}
 		return Decision{Admitted: true, Source: Leased, until: now.Add(leaseFor / 2)}
 	}
-	if !r.ComesBack && now.Before(c.emptyUntil) {
-		return Decision{Source: Known, RetryAfter: max(c.backAt.Sub(now), leastWait)}
+	if !r.IsRetry && now.Before(c.emptyUntil) {
+		return Decision{Source: CachedRefusal, RetryAfter: max(c.backAt.Sub(now), leastWait)}
 	}
 	return Decision{}
 }
@@ -225,12 +225,12 @@
 	}
 	now := l.options.Now()
 	part := ownShare / float64(max(len(l.members.Load().Live), 1))
-	return l.conclude(r, l.own.Answer(r.Workspace, l.self(), l.nextAsk(r, now), r.Limit.Scaled(part), now, now), Own)
+	return l.conclude(r, l.own.Handle(r.Workspace, l.self(), l.nextAsk(r, now), r.Limit.Scaled(part), now, now), OwnShare)
 }
 
 func sourceOf(inPlace bool) Source {
 	if inPlace {
-		return InPlace
+		return Fallback
 	}
 	return Coordinated
 }
@@ -241,25 +241,25 @@
 
 // decide takes in an answer. A request that would be admitted within a moment waits for it
 // once, and comes back in its caller's place.
-func (l *Limiter) decide(ctx context.Context, r Request, a Answer, from netip.AddrPort, source Source) Decision {
-	if a.Admitted || a.Wait > shortWait || !sleep.For(ctx, a.Wait) {
+func (l *Limiter) decide(ctx context.Context, r Request, a LeaseResponse, from netip.AddrPort, source Source) Decision {
+	if a.Admitted || a.RetryDelay > shortWait || !sleep.For(ctx, a.RetryDelay) {
 		return l.conclude(r, a, source)
 	}
-	r.ComesBack = true
-	again, ok := l.ask(ctx, from, r, source == InPlace)
+	r.IsRetry = true
+	again, ok := l.ask(ctx, from, r, source == Fallback)
 	if !ok {
 		return l.conclude(r, a, source)
 	}
 	return l.conclude(r, again, source)
 }
 
-func (l *Limiter) conclude(r Request, a Answer, source Source) Decision {
+func (l *Limiter) conclude(r Request, a LeaseResponse, source Source) Decision {
 	if !a.Admitted {
 		l.mu.Lock()
-		l.credit(r.Workspace).empty(a.Wait, l.options.Now())
+		l.credit(r.Workspace).empty(a.RetryDelay, l.options.Now())
 		l.mu.Unlock()
 	}
-	return Decision{Admitted: a.Admitted, Source: source, Level: a.Level, RetryAfter: a.Wait}
+	return Decision{Admitted: a.Admitted, Source: source, Level: a.Level, RetryAfter: a.RetryDelay}
 }
 
 // GiveBack returns the cost of a request that was sent nowhere.
@@ -295,16 +295,16 @@
 // they fell silent, and rises late.
 func (l *Limiter) SetMembers(m *Members) {
 	l.mu.Lock()
-	m.Told = l.told.most(m.At)
+	m.ReportedKnown = l.told.most(m.AsOf)
 	l.mu.Unlock()
-	l.shares.add(m.inTouch(), m.At)
-	part := min(l.shares.least(), m.Share(m.At), m.ofTold())
+	l.shares.add(m.inTouch(), m.AsOf)
+	part := min(l.shares.least(), m.Share(m.AsOf), m.ofTold())
 	l.share.Store(&part)
 	if before := l.members.Swap(m); sameEntries(before.Live, m.Live) {
 		return
 	}
-	l.since.Store(&m.At)
-	l.mine.Retain(func(workspace string) bool { return m.First(workspace) == m.Self })
+	l.since.Store(&m.AsOf)
+	l.mine.Retain(func(workspace string) bool { return m.Coordinator(workspace) == m.Self })
 }
 
 // sameEntries reports whether two lists without repeats hold the same entries.
@@ -314,9 +314,11 @@
 
 // Uses returns what this entry knows of the workspaces that it coordinates, and the part of
 // each limit that it gives out.
-func (l *Limiter) Uses() ([]Use, float64) { return l.mine.Uses(l.options.Now()), *l.share.Load() }
+func (l *Limiter) Stats() ([]BucketStats, float64) {
+	return l.mine.Stats(l.options.Now()), *l.share.Load()
+}
 
 // Coordinator is the workspace's, as this entry knows; not valid when none is known.
 func (l *Limiter) Coordinator(workspace string) netip.AddrPort {
-	return l.members.Load().First(workspace)
+	return l.members.Load().Coordinator(workspace)
 }
--- a/internal/gateway/ratelimit/members.go
+++ b/internal/gateway/ratelimit/members.go
@@ -13,7 +13,7 @@
 // Members are the entries that a process knows, as of a time.
 type Members struct {
 	// At is when this was known.
-	At time.Time
+	AsOf time.Time
 	// Self is this process; Live are the entries that it hears, itself among them unless it
 	// is stopping.
 	Self netip.AddrPort
@@ -21,12 +21,12 @@
 	// Known is how many entries were heard lately, this one included, and Silent how many of
 	// them are not any more, without a word of leaving: they may live on out of touch, and
 	// use their share. One may be silent and still count as living.
-	Known, Silent int
+	Known, Unreachable int
 	// Told is how many entries others said lately that they know: a process that started
 	// while some were out of touch has not heard them itself.
-	Told int
+	ReportedKnown int
 	// Heard is set once another entry was heard, or none is to be expected.
-	Heard bool
+	HeardPeer bool
 	// StartedAt is when this process began to listen to the others.
 	StartedAt time.Time
 }
@@ -57,7 +57,7 @@
 }
 
 // First is the workspace's coordinator; not valid when no entry is known.
-func (m *Members) First(workspace string) netip.AddrPort {
+func (m *Members) Coordinator(workspace string) netip.AddrPort {
 	var first netip.AddrPort
 	var highest uint64
 	name := xxhash.Sum64String(workspace)
@@ -95,7 +95,7 @@
 	switch {
 	case len(m.Live) == 0:
 		return 0
-	case !m.Heard && now.Sub(m.StartedAt) < aloneFor:
+	case !m.HeardPeer && now.Sub(m.StartedAt) < aloneFor:
 		return unheardShare
 	default:
 		return m.inTouch()
@@ -103,11 +103,13 @@
 }
 
 // inTouch is the part of the entries heard lately that are still heard.
-func (m *Members) inTouch() float64 { return float64(m.Known-m.Silent) / float64(m.Known) }
+func (m *Members) inTouch() float64 { return float64(m.Known-m.Unreachable) / float64(m.Known) }
 
 // ofTold is the part of the entries that others know which this process hears. It is low for
 // a moment after a start, and stays so where the process has started out of touch with many.
-func (m *Members) ofTold() float64 { return min(float64(m.Known-m.Silent)/float64(max(m.Told, 1)), 1) }
+func (m *Members) ofTold() float64 {
+	return min(float64(m.Known-m.Unreachable)/float64(max(m.ReportedKnown, 1)), 1)
+}
 
 // sharesFor is how long a share holds down those that follow: as long as others may take
 // entries for living that they no longer hear.
@@ -173,6 +175,6 @@
 
 // Settled reports whether this process may coordinate: it has listened for long enough,
 // and has not stood still since.
-func (m *Members) Settled(now time.Time) bool {
-	return now.Sub(m.StartedAt) >= settleFor && now.Sub(m.At) < staleAfter
+func (m *Members) CanCoordinate(now time.Time) bool {
+	return now.Sub(m.StartedAt) >= settleFor && now.Sub(m.AsOf) < staleAfter
 }
--- a/internal/gateway/ratelimit/message.go
+++ b/internal/gateway/ratelimit/message.go
@@ -27,24 +27,24 @@
 	return min(time.Duration(ms)*time.Millisecond, longestWait)
 }
 
-func askOut(a Ask, inPlace bool) *peerv1.RateAsk {
+func askOut(a LeaseRequest, inPlace bool) *peerv1.RateAsk {
 	return &peerv1.RateAsk{
-		Need: tokensOut(a.Need), Want: tokensOut(a.Want), Spent: tokensOut(a.Spent), Returned: tokensOut(a.Returned), Extra: tokensOut(a.Extra),
-		ComesBack: a.ComesBack, PatienceMs: msOut(a.Patience), InPlace: inPlace,
+		Need: tokensOut(a.RequestCost), Want: tokensOut(a.Ahead), Spent: tokensOut(a.Spent), Returned: tokensOut(a.Refunded), Extra: tokensOut(a.Overdraft),
+		ComesBack: a.IsRetry, PatienceMs: msOut(a.MaxWait), InPlace: inPlace,
 	}
 }
 
-func askIn(number uint32, m *peerv1.RateAsk) Ask {
-	return Ask{
-		Number: number, Need: tokensIn(m.Need), Want: tokensIn(m.Want), Spent: tokensIn(m.Spent), Returned: tokensIn(m.Returned), Extra: tokensIn(m.Extra),
-		ComesBack: m.ComesBack, Patience: msIn(m.PatienceMs),
+func askIn(number uint32, m *peerv1.RateAsk) LeaseRequest {
+	return LeaseRequest{
+		ID: number, RequestCost: tokensIn(m.Need), Ahead: tokensIn(m.Want), Spent: tokensIn(m.Spent), Refunded: tokensIn(m.Returned), Overdraft: tokensIn(m.Extra),
+		IsRetry: m.ComesBack, MaxWait: msIn(m.PatienceMs),
 	}
 }
 
-func answerOut(a Answer) *peerv1.RateAnswer {
-	return &peerv1.RateAnswer{Admitted: a.Admitted, Leased: tokensOut(a.Leased), WaitMs: msOut(a.Wait), Level: tokensOut(a.Level)}
+func answerOut(a LeaseResponse) *peerv1.RateAnswer {
+	return &peerv1.RateAnswer{Admitted: a.Admitted, Leased: tokensOut(a.Leased), WaitMs: msOut(a.RetryDelay), Level: tokensOut(a.Level)}
 }
 
-func answerIn(number uint32, m *peerv1.RateAnswer) Answer {
-	return Answer{Number: number, Admitted: m.Admitted, Leased: tokensIn(m.Leased), Wait: msIn(m.WaitMs), Level: tokensIn(m.Level)}
+func answerIn(number uint32, m *peerv1.RateAnswer) LeaseResponse {
+	return LeaseResponse{ID: number, Admitted: m.Admitted, Leased: tokensIn(m.Leased), RetryDelay: msIn(m.WaitMs), Level: tokensIn(m.Level)}
 }
--- a/internal/gateway/ratelimit/records_test.go
+++ b/internal/gateway/ratelimit/records_test.go
@@ -17,7 +17,7 @@
 // others have used the rate meanwhile.
 func TestLeasedTokensLapse(t *testing.T) {
 	c := &credit{}
-	c.take(Answer{Leased: 50}, noon)
+	c.take(LeaseResponse{Leased: 50}, noon)
 	if !c.spend(10, noon.Add(leaseFor-time.Millisecond)) {
 		t.Error("leased tokens cannot be used in time")
 	}
@@ -30,19 +30,19 @@
 // fill up beside them. Once they are reported as used, or have lapsed, it does.
 func TestLeasedTokensCountAgainstTheBurst(t *testing.T) {
 	c := NewCoordinator(time.Hour)
-	a := c.Answer("w", holder1, Ask{Number: 1, Want: 40}, small, noon.Add(-time.Minute), noon)
+	a := c.Handle("w", holder1, LeaseRequest{ID: 1, Ahead: 40}, small, noon.Add(-time.Minute), noon)
 	if a.Leased != 40 || a.Level != 60 {
 		t.Fatalf("%+v", a)
 	}
 	later := noon.Add(time.Second)
-	if a = c.Answer("w", holder2, Ask{Number: 1}, small, noon, later); a.Level != 60 {
+	if a = c.Handle("w", holder2, LeaseRequest{ID: 1}, small, noon, later); a.Level != 60 {
 		t.Errorf("the bucket holds %.0f beside 40 that are leased", a.Level)
 	}
-	c.Answer("w", holder1, Ask{Number: 2, Spent: 30}, small, noon, later)
-	if a = c.Answer("w", holder2, Ask{Number: 2}, small, noon, later.Add(time.Second)); a.Level != 90 {
+	c.Handle("w", holder1, LeaseRequest{ID: 2, Spent: 30}, small, noon, later)
+	if a = c.Handle("w", holder2, LeaseRequest{ID: 2}, small, noon, later.Add(time.Second)); a.Level != 90 {
 		t.Errorf("the bucket holds %.0f beside 10 that are leased", a.Level)
 	}
-	if a = c.Answer("w", holder2, Ask{Number: 3}, small, noon, later.Add(10*time.Second)); a.Level != 100 {
+	if a = c.Handle("w", holder2, LeaseRequest{ID: 3}, small, noon, later.Add(10*time.Second)); a.Level != 100 {
 		t.Errorf("the bucket holds %.0f after the lease lapsed", a.Level)
 	}
 }
@@ -51,13 +51,13 @@
 // and is answered the same.
 func TestQuestionThatComesTwiceCountsOnce(t *testing.T) {
 	c := NewCoordinator(time.Hour)
-	ask := Ask{Number: 7, Need: 30}
-	first := c.Answer("w", holder1, ask, small, noon.Add(-time.Minute), noon)
-	second := c.Answer("w", holder1, ask, small, noon, noon.Add(time.Millisecond))
+	ask := LeaseRequest{ID: 7, RequestCost: 30}
+	first := c.Handle("w", holder1, ask, small, noon.Add(-time.Minute), noon)
+	second := c.Handle("w", holder1, ask, small, noon, noon.Add(time.Millisecond))
 	if !first.Admitted || second != first {
 		t.Errorf("%+v, then %+v", first, second)
 	}
-	if a := c.Answer("w", holder2, Ask{Number: 1}, small, noon, noon.Add(time.Millisecond)); a.Level < 70 {
+	if a := c.Handle("w", holder2, LeaseRequest{ID: 1}, small, noon, noon.Add(time.Millisecond)); a.Level < 70 {
 		t.Errorf("%.0f left of 100 after one request of 30", a.Level)
 	}
 }
@@ -66,14 +66,14 @@
 // anything, and what it takes is owed before the next one is.
 func TestRequestLargerThanTheBurst(t *testing.T) {
 	c := NewCoordinator(time.Hour)
-	if a := c.Answer("w", holder1, Ask{Number: 1, Need: 250}, small, noon.Add(-time.Minute), noon); !a.Admitted {
+	if a := c.Handle("w", holder1, LeaseRequest{ID: 1, RequestCost: 250}, small, noon.Add(-time.Minute), noon); !a.Admitted {
 		t.Error("it is never served")
 	}
-	a := c.Answer("w", holder1, Ask{Number: 2, Need: 1}, small, noon, noon.Add(time.Second))
-	if a.Admitted || a.Wait < 400*time.Millisecond {
+	a := c.Handle("w", holder1, LeaseRequest{ID: 2, RequestCost: 1}, small, noon, noon.Add(time.Second))
+	if a.Admitted || a.RetryDelay < 400*time.Millisecond {
 		t.Errorf("%+v: 150 are owed after a second of 100", a)
 	}
-	if a = c.Answer("w", holder1, Ask{Number: 3, Need: 1, ComesBack: true}, small, noon, noon.Add(time.Second+a.Wait)); !a.Admitted {
+	if a = c.Handle("w", holder1, LeaseRequest{ID: 3, RequestCost: 1, IsRetry: true}, small, noon, noon.Add(time.Second+a.RetryDelay)); !a.Admitted {
 		t.Error("who comes back at the time told is refused again")
 	}
 }
@@ -82,8 +82,8 @@
 // lower burst.
 func TestLowerLimitHoldsForWhatIsInTheBucket(t *testing.T) {
 	c := NewCoordinator(time.Hour)
-	c.Answer("w", holder1, Ask{Number: 1}, small, noon.Add(-time.Minute), noon)
-	if a := c.Answer("w", holder1, Ask{Number: 2}, small.Scaled(0.1), noon, noon.Add(time.Millisecond)); a.Level > 10 {
+	c.Handle("w", holder1, LeaseRequest{ID: 1}, small, noon.Add(-time.Minute), noon)
+	if a := c.Handle("w", holder1, LeaseRequest{ID: 2}, small.Scaled(0.1), noon, noon.Add(time.Millisecond)); a.Level > 10 {
 		t.Errorf("the bucket holds %.0f, allowed are 10 at once", a.Level)
 	}
 }
@@ -91,7 +91,7 @@
 // A use that did not come about is taken back, unless the coordinator was told of it.
 func TestUseTakenBack(t *testing.T) {
 	c := &credit{}
-	c.take(Answer{Leased: 50}, noon)
+	c.take(LeaseResponse{Leased: 50}, noon)
 	c.spend(30, noon)
 	c.unspend(30, noon.Add(time.Second))
 	if got := c.stock(noon); got != 50 {
@@ -109,14 +109,14 @@
 // the other as the rate brings tokens.
 func TestRefusedCallersAreToldOneAfterTheOther(t *testing.T) {
 	c := NewCoordinator(time.Hour)
-	c.Answer("w", holder1, Ask{Number: 1, Need: 120}, small, noon.Add(-time.Minute), noon)
+	c.Handle("w", holder1, LeaseRequest{ID: 1, RequestCost: 120}, small, noon.Add(-time.Minute), noon)
 	last := time.Duration(0)
 	for n := uint32(2); n < 6; n++ {
-		a := c.Answer("w", holder1, Ask{Number: n, Need: 20, Patience: time.Minute}, small, noon, noon)
-		if a.Admitted || a.Wait <= last {
+		a := c.Handle("w", holder1, LeaseRequest{ID: n, RequestCost: 20, MaxWait: time.Minute}, small, noon, noon)
+		if a.Admitted || a.RetryDelay <= last {
 			t.Errorf("question %d: %+v after %s", n, a, last)
 		}
-		last = a.Wait
+		last = a.RetryDelay
 	}
 }
 
@@ -128,22 +128,22 @@
 	self, other := netip.MustParseAddrPort("10.0.0.1:7"), netip.MustParseAddrPort("10.0.0.2:7")
 	l := newLimiter(Options{Listen: self, Incarnation: 1, LimitOf: func(string) Limit { return small }, Now: func() time.Time { return now }}, func([]byte, netip.AddrPort) {})
 	see := func(live ...netip.AddrPort) {
-		l.SetMembers(&Members{At: now, StartedAt: noon.Add(-time.Hour), Self: self, Live: live, Known: 2, Silent: 2 - len(live), Heard: true})
+		l.SetMembers(&Members{AsOf: now, StartedAt: noon.Add(-time.Hour), Self: self, Live: live, Known: 2, Unreachable: 2 - len(live), HeardPeer: true})
 	}
 	workspace := "w"
-	for (&Members{Live: []netip.AddrPort{self, other}}).First(workspace) != self {
+	for (&Members{Live: []netip.AddrPort{self, other}}).Coordinator(workspace) != self {
 		workspace += "w"
 	}
 	see(self, other)
 	now = now.Add(10 * time.Second)
 	see(self, other)
-	if a, ok := l.answerFor(workspace, holder2, Ask{Number: 1}, false, now); !ok || a.Level != small.Burst {
+	if a, ok := l.answerFor(workspace, holder2, LeaseRequest{ID: 1}, false, now); !ok || a.Level != small.Burst {
 		t.Fatalf("%+v, %v", a, ok)
 	}
 	see(self)
 	now = now.Add(time.Millisecond)
 	see(self, other)
-	if a, _ := l.answerFor(workspace, holder2, Ask{Number: 2}, false, now); a.Level > small.Burst/2+1 {
+	if a, _ := l.answerFor(workspace, holder2, LeaseRequest{ID: 2}, false, now); a.Level > small.Burst/2+1 {
 		t.Errorf("the bucket holds %.0f of %.0f when the other entry is back", a.Level, small.Burst)
 	}
 }
@@ -155,7 +155,7 @@
 		since time.Duration
 		level float64
 	}{{0, 0}, {300 * time.Millisecond, 30}, {time.Hour, 100}} {
-		a := NewCoordinator(time.Hour).Answer("w", holder1, Ask{Number: 1}, small, noon.Add(-c.since), noon)
+		a := NewCoordinator(time.Hour).Handle("w", holder1, LeaseRequest{ID: 1}, small, noon.Add(-c.since), noon)
 		if a.Level != c.level {
 			t.Errorf("coordinating for %s: the bucket holds %.0f", c.since, a.Level)
 		}
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -46,15 +46,15 @@
 
 func newSidecar(p *process) *sidecar {
 	s := &sidecar{process: p, beliefs: p.beliefs, address: netip.MustParseAddrPort(p.settings.Engine)}
-	s.orders = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Surroundings{
-		Wanted: s.wanted, HealthPath: s.healthPath, Engines: s.engines, Unheard: s.beliefs.large.Load, Changed: s.changed,
-		Token: func() (uint64, bool) { return s.token, s.token > 0 },
-		Fresh: func() bool { p.clock.Check(); return p.clock.SinceResume() > freshAfter },
+	s.orders = weights.NewController(p.loop, p.platform.Engine(s.address), weights.Environment{
+		Wanted: s.wanted, HealthPath: s.healthPath, Engines: s.engines, PartialView: s.beliefs.large.Load, OnChange: s.changed,
+		Token:    func() (uint64, bool) { return s.token, s.token > 0 },
+		UpToDate: func() bool { p.clock.Check(); return p.clock.SinceResume() > freshAfter },
 	}, weights.Options{
-		Holder: p.settings.Name, Bound: p.settings.Bounds.Weights.Duration, Logger: p.logger, Now: p.clock.Now,
-		Ordered: func(o weights.Outcome) { p.metrics.Order(o.String()) },
+		Holder: p.settings.Name, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration, Logger: p.logger, Now: p.clock.Now,
+		OnOutcome: func(o weights.Outcome) { p.metrics.WeightsOrder(o.String()) },
 	})
-	p.beliefs.changed = s.orders.Nudge
+	p.beliefs.changed = s.orders.Trigger
 	s.caches = newCaches(p)
 	s.tracker = tracker.New(p.clock.Now)
 	return s
@@ -63,7 +63,7 @@
 // wanted are the weights that the engine is to have: none while it may be leaving. A load
 // would change the weights under its last runs, whose answers are worth nothing then.
 func (s *sidecar) wanted() map[string]weights.History {
-	life := fleet.Report{Incarnation: s.life, Address: s.address, StartedAfter: s.orders.BeganAfter()}
+	life := fleet.Report{Incarnation: s.life, Address: s.address, StartedAfter: s.orders.StartedAfter()}
 	if b := s.beliefs; !b.directory.Active(b.declared, &life, b.following(b.clock.Now()), b.clock.Now()) {
 		return nil
 	}
@@ -96,7 +96,7 @@
 // fetchToken gets this life's fencing token, once the store gives one.
 func (s *sidecar) fetchToken() {
 	control.Do(s.process.loop, tokenTimeout, func(ctx context.Context) (uint64, error) {
-		return s.process.platform.Token(ctx, s.process.settings.Name)
+		return s.process.platform.NextToken(ctx, s.process.settings.Name)
 	}, func(token uint64, err error) {
 		if err == nil {
 			s.token = token
@@ -162,7 +162,7 @@
 	s.caches.followEngine(s.address, life)
 	s.life, s.report, s.phase, s.known = life, report, phase, true
 	s.tracker.SetState(tracker.State{
-		Incarnation: life, Weights: report.Weights, Phase: phase, ReportedAt: report.At,
+		Incarnation: life, Weights: report.Weights, Phase: phase, ReportedAt: report.ReceivedAt,
 	})
 	if told && !s.beliefs.large.Load() {
 		s.beliefs.mesh.Broadcast()
@@ -171,7 +171,7 @@
 
 // compose adds the engine's state to a heartbeat.
 func (s *sidecar) compose(beat *peerv1.Beat) {
-	if !s.known || s.life.Instance == "" && s.phase != weights.Silent {
+	if !s.known || s.life.Instance == "" && s.phase != weights.Unresponsive {
 		return
 	}
 	e := &peerv1.EngineState{
@@ -182,12 +182,12 @@
 	switch s.phase {
 	case weights.Loading:
 		e.Phase = peerv1.EnginePhase_ENGINE_PHASE_LOADING
-	case weights.Emptying:
+	case weights.Draining:
 		e.Phase = peerv1.EnginePhase_ENGINE_PHASE_EMPTYING
-	case weights.Silent:
+	case weights.Unresponsive:
 		e.Phase = peerv1.EnginePhase_ENGINE_PHASE_SILENT
 	}
-	if after := s.orders.BeganAfter(); !after.IsZero() {
+	if after := s.orders.StartedAfter(); !after.IsZero() {
 		e.BeganWithinMs = uint64(max(1, s.process.clock.Now().Sub(after).Milliseconds()))
 	}
 	for model, version := range s.report.Weights {
@@ -199,6 +199,6 @@
 func (s *sidecar) heard(m *mesh.Member) {
 	s.caches.heard(m)
 	if s.beliefs.hearEngine(m) {
-		s.orders.Nudge()
+		s.orders.Trigger()
 	}
 }
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -246,8 +246,8 @@
 func TestUnresponsiveEngineKeepsState(t *testing.T) {
 	tr := newTestTracker()
 	tr.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
-	tr.SetState(State{Phase: weights.Silent, Weights: map[string]int64{"m": 1}})
-	if a := tr.mustProbe(t, promptOf()); a.Phase != weights.Silent || a.Work.Running != 1 {
+	tr.SetState(State{Phase: weights.Unresponsive, Weights: map[string]int64{"m": 1}})
+	if a := tr.mustProbe(t, promptOf()); a.Phase != weights.Unresponsive || a.Work.Running != 1 {
 		t.Errorf("answer while unresponsive: %+v", a)
 	}
 	tr.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
--- a/internal/gateway/weights/bytime_test.go
+++ b/internal/gateway/weights/bytime_test.go
@@ -25,8 +25,8 @@
 	began := map[string]time.Duration{}
 	for at := time.Duration(0); at < bound; at += 50 * time.Millisecond {
 		for _, e := range engines {
-			q := Question{Self: e.Incarnation, Engines: engines, Wanted: 2, Behind: at, Named: at, Bound: bound, Unheard: true}
-			if _, done := began[e.Instance]; !done && Decide(q) == Now {
+			q := Input{Self: e.Incarnation, Engines: engines, Wanted: 2, StaleFor: at, KnownFor: at, MaxStaleness: bound, PartialView: true}
+			if _, done := began[e.Instance]; !done && Decide(q) == LoadNow {
 				began[e.Instance] = at
 			}
 		}
@@ -42,7 +42,7 @@
 		}
 	}
 	for wave, size := range waves {
-		if size > Parallel(n)+1 {
+		if size > MaxParallelLoads(n)+1 {
 			t.Errorf("%d engines load at once in wave %d", size, wave)
 		}
 	}
@@ -53,13 +53,13 @@
 // at once only because it has been behind for long, unless it would be late.
 func TestTurnsFollowTheNewestWeights(t *testing.T) {
 	engines := manyEngines(180)
-	last := Turns(engines, 3)[179].Incarnation
-	q := Question{Self: last, Engines: engines, Wanted: 3, Behind: 4 * time.Second, Named: 100 * time.Millisecond, Bound: 10 * time.Second, Unheard: true}
-	if got := Decide(q); got != Later {
+	last := RolloutOrder(engines, 3)[179].Incarnation
+	q := Input{Self: last, Engines: engines, Wanted: 3, StaleFor: 4 * time.Second, KnownFor: 100 * time.Millisecond, MaxStaleness: 10 * time.Second, PartialView: true}
+	if got := Decide(q); got != Wait {
 		t.Errorf("turn %d, want later", got)
 	}
-	q.Behind = 6 * time.Second
-	if got := Decide(q); got != Now {
+	q.StaleFor = 6 * time.Second
+	if got := Decide(q); got != LoadNow {
 		t.Errorf("turn %d of an engine that would be late, want now", got)
 	}
 }
--- a/internal/gateway/weights/controller.go
+++ b/internal/gateway/weights/controller.go
@@ -17,19 +17,19 @@
 type Report struct {
 	// Born is when the engine started, in Unix milliseconds by its own clock; zero when
 	// it does not say.
-	Born int64
+	StartedAt int64
 	// Weights are the versions of its models.
 	Weights map[string]int64
 	// Busy is set while an order is carried out.
 	Busy bool
 	// Orders counts the orders that this life of the engine has accepted.
-	Orders int64
+	AcceptedLoads int64
 	// Queued and Running count requests.
 	Queued, Running int
 	// MemoryUsed is the memory that cannot be freed, in tokens.
 	MemoryUsed, MemoryTotal int
 	// At is when it came.
-	At time.Time
+	ReceivedAt time.Time
 }
 
 // Swap says what becomes of the runs under way when weights are loaded.
@@ -40,13 +40,13 @@
 	// SwapAfterRuns lets runs finish first.
 	SwapAfterRuns Swap = iota
 	// SwapCutRuns breaks them off.
-	SwapCutRuns
+	SwapTruncateRuns
 	// SwapUnderRuns lets them go on under the new weights.
-	SwapUnderRuns
+	SwapContinueRuns
 )
 
 // Order tells an engine to load weights.
-type Order struct {
+type LoadRequest struct {
 	Model   string
 	Version int64
 	Swap    Swap
@@ -55,10 +55,10 @@
 	Holder string
 	Token  uint64
 	// Life of the engine that is meant.
-	Life fleet.Incarnation
+	Incarnation fleet.Incarnation
 	// Orders is how many orders the engine must have accepted before. An order
 	// that is carried out late, after a newer one, is refused by it.
-	Orders int64
+	ExpectedLoads int64
 }
 
 // Outcome is an engine's answer to an order.
@@ -71,7 +71,7 @@
 	// Accepted orders are being carried out.
 	Accepted
 	// Holds means that the engine has the weights already.
-	Holds
+	AlreadyLoaded
 	// Busy engines carry out another order, or have accepted another since.
 	Busy
 	// StaleToken means that the engine has seen a higher token.
@@ -84,7 +84,7 @@
 )
 
 var outcomeNames = map[Outcome]string{
-	Unknown: "unknown", Accepted: "accepted", Holds: "holds", Busy: "busy",
+	Unknown: "unknown", Accepted: "accepted", AlreadyLoaded: "holds", Busy: "busy",
 	StaleToken: "stale_token", OtherInstance: "other_instance", Refused: "refused",
 }
 
@@ -99,12 +99,12 @@
 	Identify(ctx context.Context, healthPath string) (string, error)
 	// Load gives an order. An error with Unknown leaves open whether it was
 	// accepted.
-	Load(ctx context.Context, o Order) (Outcome, error)
+	Load(ctx context.Context, o LoadRequest) (Outcome, error)
 }
 
 // Surroundings are what a controller asks and tells. All are called on the
 // control thread.
-type Surroundings struct {
+type Environment struct {
 	// Wanted returns the versions that operators named, by model.
 	Wanted func() map[string]History
 	// HealthPath returns where the engine tells its health; empty while that is
@@ -114,25 +114,25 @@
 	Engines func(model string) []EngineView
 	// Unheard reports whether the fleet is too large for all sidecars to hear of all
 	// engines.
-	Unheard func() bool
+	PartialView func() bool
 	// Changed is told of the engine's life, its newest report and its phase.
-	Changed func(life fleet.Incarnation, report Report, phase Phase)
+	OnChange func(life fleet.Incarnation, report Report, phase Phase)
 	// Token returns the fencing token, once there is one.
 	Token func() (uint64, bool)
 	// Fresh reports whether this process has run without a break lately: one
 	// that was frozen must look again before it gives an order.
-	Fresh func() bool
+	UpToDate func() bool
 }
 
 // Options are a controller's fixed values.
 type Options struct {
 	Holder string
 	// Bound is the time within which engines must have a wanted version.
-	Bound  time.Duration
-	Logger logr.Logger
-	Now    func() time.Time
+	MaxStaleness time.Duration
+	Logger       logr.Logger
+	Now          func() time.Time
 	// Ordered counts orders by their outcome.
-	Ordered func(Outcome)
+	OnOutcome func(Outcome)
 }
 
 const (
@@ -162,7 +162,7 @@
 type Controller struct {
 	loop    *control.Loop
 	engine  Engine
-	around  Surroundings
+	around  Environment
 	options Options
 	report  Report
 	known   bool
@@ -179,7 +179,7 @@
 	// beganAfter is when the address was known last not to be the present life's.
 	beganAfter time.Time
 	// loading is the order that was given last.
-	loading Order
+	loading LoadRequest
 	begunAt time.Time
 	// loadTime is how long this engine's last load took.
 	loadTime time.Duration
@@ -190,7 +190,7 @@
 }
 
 // NewController returns a controller that has not started.
-func NewController(loop *control.Loop, engine Engine, around Surroundings, options Options) *Controller {
+func NewController(loop *control.Loop, engine Engine, around Environment, options Options) *Controller {
 	return &Controller{loop: loop, engine: engine, around: around, options: options, loadTime: firstLoadTime}
 }
 
@@ -220,18 +220,18 @@
 			c.options.Logger.Info("engine_silent", "instance", c.instance, "error", err.Error())
 		}
 		c.known, c.instance = false, ""
-		c.around.Changed(fleet.Incarnation{}, c.report, Silent)
+		c.around.OnChange(fleet.Incarnation{}, c.report, Unresponsive)
 		return reportPeriod
 	}
 	if !c.known {
-		c.options.Logger.Info("engine_heard", "weights", report.Weights, "busy", report.Busy, "orders", report.Orders)
+		c.options.Logger.Info("engine_heard", "weights", report.Weights, "busy", report.Busy, "orders", report.AcceptedLoads)
 	}
 	heardBefore := c.report.Weights != nil
-	if heardBefore && (report.Born != c.report.Born || report.Orders < c.report.Orders) {
+	if heardBefore && (report.StartedAt != c.report.StartedAt || report.AcceptedLoads < c.report.AcceptedLoads) {
 		c.startedAnew(report)
 	}
 	c.known = true
-	report.At = c.options.Now()
+	report.ReceivedAt = c.options.Now()
 	c.report = report
 	c.identify()
 	c.step()
@@ -244,14 +244,14 @@
 // startedAnew forgets what is known of the engine's earlier life: what it was ordered
 // to do has ended with it.
 func (c *Controller) startedAnew(report Report) {
-	c.options.Logger.Info("engine_started_anew", "instance", c.instance, "was_born", c.report.Born, "born", report.Born,
-		"orders", report.Orders, "phase", c.phase.String())
-	c.instance, c.phase, c.loading = "", Serving, Order{}
+	c.options.Logger.Info("engine_started_anew", "instance", c.instance, "was_born", c.report.StartedAt, "born", report.StartedAt,
+		"orders", report.AcceptedLoads, "phase", c.phase.String())
+	c.instance, c.phase, c.loading = "", Serving, LoadRequest{}
 }
 
 // life is the engine's present one; its instance is empty until it is identified.
 func (c *Controller) life() fleet.Incarnation {
-	return fleet.Incarnation{Instance: c.instance, StartedMs: c.report.Born}
+	return fleet.Incarnation{Instance: c.instance, StartedMs: c.report.StartedAt}
 }
 
 // identifyPause is the least time between two questions for the engine's life;
@@ -267,11 +267,11 @@
 		return
 	}
 	c.identifying = true
-	born := c.report.Born
+	born := c.report.StartedAt
 	control.Do(c.loop, reportTimeout, func(ctx context.Context) (string, error) {
 		return c.engine.Identify(ctx, path)
 	}, func(instance string, err error) {
-		if err == nil && c.known && born == c.report.Born {
+		if err == nil && c.known && born == c.report.StartedAt {
 			c.instance = instance
 			c.options.Logger.Info("engine_identified", "instance", instance, "born", born)
 			c.step()
@@ -288,11 +288,11 @@
 
 // Unknown makes the controller ask for the engine's life again, after word that
 // it is another.
-func (c *Controller) Unknown() { c.instance = "" }
+func (c *Controller) Reidentify() { c.instance = "" }
 
 // Nudge makes the controller decide again, after a new wanted version or word
 // of another engine. It runs on the control thread.
-func (c *Controller) Nudge() {
+func (c *Controller) Trigger() {
 	if c.known {
 		c.step()
 	}
@@ -300,7 +300,7 @@
 
 // BeganAfter is when another life had the engine's address last, or none; zero when this
 // process has known the present life only.
-func (c *Controller) BeganAfter() time.Time { return c.beganAfter }
+func (c *Controller) StartedAfter() time.Time { return c.beganAfter }
 
 // absentFor is for how long nothing must have listened for the engine to count as not
 // running: one that has too many connections refuses some, too.
@@ -330,16 +330,16 @@
 			c.beganAfter = c.refusedAt
 		}
 	}
-	c.seen, c.seenAt = life, c.report.At
+	c.seen, c.seenAt = life, c.report.ReceivedAt
 }
 
 func (c *Controller) step() {
 	c.noteLife()
 	c.endLoading()
-	if (c.phase == Serving || c.phase == Emptying) && !c.ordering {
+	if (c.phase == Serving || c.phase == Draining) && !c.ordering {
 		c.begin()
 	}
-	c.around.Changed(c.life(), c.report, c.toldPhase())
+	c.around.OnChange(c.life(), c.report, c.toldPhase())
 }
 
 // toldPhase is what the entries go by. An engine that carries out an order of which
@@ -371,7 +371,7 @@
 // begin takes the engine's turn to load a wanted version.
 func (c *Controller) begin() {
 	now := c.options.Now()
-	if now.Before(c.notBefore) || c.report.Busy || !c.around.Fresh() {
+	if now.Before(c.notBefore) || c.report.Busy || !c.around.UpToDate() {
 		return
 	}
 	token, ok := c.around.Token()
@@ -379,43 +379,43 @@
 		return
 	}
 	turn, o := c.turn(now)
-	if turn == Later {
+	if turn == Wait {
 		c.phase = Serving
 		return
 	}
-	if c.phase != Emptying {
-		c.phase, c.emptyingSince = Emptying, now
+	if c.phase != Draining {
+		c.phase, c.emptyingSince = Draining, now
 	}
 	empty := c.report.Running == 0 && c.report.Queued == 0
-	if turn == Now && (empty && now.Sub(c.emptyingSince) > orderNotice || now.Sub(c.emptyingSince) > emptyTime) {
+	if turn == LoadNow && (empty && now.Sub(c.emptyingSince) > orderNotice || now.Sub(c.emptyingSince) > emptyTime) {
 		o.Token = token
 		c.give(o)
 	}
 }
 
 // turn returns when the engine loads, and the order for it.
-func (c *Controller) turn(now time.Time) (Turn, Order) {
+func (c *Controller) turn(now time.Time) (Action, LoadRequest) {
 	for model, history := range c.around.Wanted() {
 		have, served := c.report.Weights[model]
 		wanted := history.Newest()
 		if !served || have >= wanted {
 			continue
 		}
-		q := Question{
+		q := Input{
 			Self: c.life(), Engines: c.around.Engines(model), Wanted: wanted,
-			Behind: history.Behind(have, now), Bound: c.options.Bound, LoadTime: c.loadTime,
-			Named: now.Sub(history[len(history)-1].Since), Unheard: c.around.Unheard(),
+			StaleFor: history.StaleFor(have, now), MaxStaleness: c.options.MaxStaleness, LoadTime: c.loadTime,
+			KnownFor: now.Sub(history[len(history)-1].Since), PartialView: c.around.PartialView(),
 		}
-		if turn := Decide(q); turn != Later {
-			return turn, Order{Model: model, Version: wanted, Swap: SwapUnderRuns, Holder: c.options.Holder,
-				Life: c.life(), Orders: c.report.Orders}
+		if turn := Decide(q); turn != Wait {
+			return turn, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.options.Holder,
+				Incarnation: c.life(), ExpectedLoads: c.report.AcceptedLoads}
 		}
 	}
-	return Later, Order{}
+	return Wait, LoadRequest{}
 }
 
 // give orders a load.
-func (c *Controller) give(o Order) {
+func (c *Controller) give(o LoadRequest) {
 	c.phase, c.loading, c.ordering = Loading, o, true
 	c.begunAt = c.options.Now()
 	c.notBefore = c.begunAt.Add(retryAfter)
@@ -424,17 +424,17 @@
 	}, func(outcome Outcome, err error) { c.ordered(o, outcome, err) })
 }
 
-func (c *Controller) ordered(o Order, outcome Outcome, err error) {
+func (c *Controller) ordered(o LoadRequest, outcome Outcome, err error) {
 	c.ordering = false
-	c.options.Ordered(outcome)
+	c.options.OnOutcome(outcome)
 	c.notBefore = c.options.Now().Add(retryAfter)
 	detail := ""
 	if err != nil {
 		detail = err.Error()
 	}
 	c.options.Logger.Info("weights_ordered", "model", o.Model, "version", o.Version, "token", o.Token,
-		"target", o.Life, "orders", o.Orders, "outcome", outcome.String(), "error", detail)
-	if o.Life != c.life() {
+		"target", o.Incarnation, "orders", o.ExpectedLoads, "outcome", outcome.String(), "error", detail)
+	if o.Incarnation != c.life() {
 		return // the life that was meant has ended, and its order with it
 	}
 	if outcome == Accepted {
@@ -444,7 +444,7 @@
 		c.phase = Serving
 	}
 	if outcome == OtherInstance {
-		c.Unknown()
+		c.Reidentify()
 	}
-	c.around.Changed(c.life(), c.report, c.phase)
+	c.around.OnChange(c.life(), c.report, c.phase)
 }
--- a/internal/gateway/weights/controller_test.go
+++ b/internal/gateway/weights/controller_test.go
@@ -29,7 +29,7 @@
 	down bool
 	// absent engines have no process: nothing listens.
 	absent bool
-	given  []Order
+	given  []LoadRequest
 }
 
 func (e *fakeEngine) Report(context.Context) (Report, error) {
@@ -41,7 +41,7 @@
 	if e.down {
 		return Report{}, errors.New("connection refused")
 	}
-	return Report{Born: e.born, Weights: map[string]int64{"m": e.version}, Busy: time.Now().Before(e.busyTill), Orders: e.orders}, nil
+	return Report{StartedAt: e.born, Weights: map[string]int64{"m": e.version}, Busy: time.Now().Before(e.busyTill), AcceptedLoads: e.orders}, nil
 }
 
 func (e *fakeEngine) Identify(context.Context, string) (string, error) {
@@ -50,7 +50,7 @@
 	return e.life, nil
 }
 
-func (e *fakeEngine) Load(ctx context.Context, o Order) (Outcome, error) {
+func (e *fakeEngine) Load(ctx context.Context, o LoadRequest) (Outcome, error) {
 	e.mu.Lock()
 	e.given = append(e.given, o)
 	late := e.late
@@ -74,13 +74,13 @@
 
 const loadTime = 400 * time.Millisecond
 
-func (e *fakeEngine) accept(o Order) Outcome {
+func (e *fakeEngine) accept(o LoadRequest) Outcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if o.Life.Instance != e.life {
+	if o.Incarnation.Instance != e.life {
 		return OtherInstance
 	}
-	if o.Orders != e.orders || time.Now().Before(e.busyTill) {
+	if o.ExpectedLoads != e.orders || time.Now().Before(e.busyTill) {
 		return Busy
 	}
 	e.orders++
@@ -105,21 +105,21 @@
 
 func startBeside(engine *fakeEngine) *bench {
 	b := &bench{engine: engine, loop: control.NewLoop(1, func(time.Duration) {}), token: 7, fresh: true}
-	b.orders = NewController(b.loop, b.engine, Surroundings{
-		Unheard:    func() bool { return b.unheard },
-		Wanted:     func() map[string]History { return map[string]History{"m": b.history} },
-		HealthPath: func() string { return "/health" },
+	b.orders = NewController(b.loop, b.engine, Environment{
+		PartialView: func() bool { return b.unheard },
+		Wanted:      func() map[string]History { return map[string]History{"m": b.history} },
+		HealthPath:  func() string { return "/health" },
 		Engines: func(string) []EngineView {
 			return []EngineView{{Incarnation: fleet.Incarnation{Instance: b.engine.life, StartedMs: b.engine.born}, Version: b.engine.version}}
 		},
-		Changed: func(_ fleet.Incarnation, _ Report, p Phase) {
+		OnChange: func(_ fleet.Incarnation, _ Report, p Phase) {
 			if len(b.phases) == 0 || b.phases[len(b.phases)-1] != p {
 				b.phases = append(b.phases, p)
 			}
 		},
-		Token: func() (uint64, bool) { return b.token, b.token > 0 },
-		Fresh: func() bool { return b.fresh },
-	}, Options{Holder: "side-1", Bound: 8 * time.Second, Logger: logr.Discard(), Now: time.Now, Ordered: func(Outcome) {}})
+		Token:    func() (uint64, bool) { return b.token, b.token > 0 },
+		UpToDate: func() bool { return b.fresh },
+	}, Options{Holder: "side-1", MaxStaleness: 8 * time.Second, Logger: logr.Discard(), Now: time.Now, OnOutcome: func(Outcome) {}})
 	go b.loop.Run()
 	b.orders.Start()
 	return b
@@ -127,8 +127,8 @@
 
 func (b *bench) want(version int64) {
 	b.loop.Post(func() {
-		b.history = b.history.Add(Wanted{Version: version, Since: time.Now()})
-		b.orders.Nudge()
+		b.history = b.history.Add(WantedVersion{Version: version, Since: time.Now()})
+		b.orders.Trigger()
 	})
 }
 
@@ -155,10 +155,10 @@
 		if b.engine.version != 2 || len(b.engine.given) != 1 {
 			t.Errorf("version %d after %d orders", b.engine.version, len(b.engine.given))
 		}
-		if !slices.Equal(b.phases, []Phase{Serving, Emptying, Loading, Serving}) {
+		if !slices.Equal(b.phases, []Phase{Serving, Draining, Loading, Serving}) {
 			t.Errorf("phases %v", b.phases)
 		}
-		if o := b.engine.given[0]; o.Token != 7 || o.Life.Instance != "i1" || o.Holder != "side-1" {
+		if o := b.engine.given[0]; o.Token != 7 || o.Incarnation.Instance != "i1" || o.Holder != "side-1" {
 			t.Errorf("order %+v", o)
 		}
 	})
@@ -213,11 +213,11 @@
 			t.Errorf("version %d", b.engine.version)
 		}
 		for _, o := range b.engine.given {
-			if o.Life.Instance != "i2" {
-				t.Errorf("order to %s", o.Life)
+			if o.Incarnation.Instance != "i2" {
+				t.Errorf("order to %s", o.Incarnation)
 			}
 		}
-		if b.phases[1] != Silent {
+		if b.phases[1] != Unresponsive {
 			t.Errorf("phases %v", b.phases)
 		}
 	})
@@ -267,7 +267,7 @@
 		time.Sleep(2 * time.Second)
 		b.stop()
 		last := b.engine.given[len(b.engine.given)-1]
-		if len(b.engine.given) != 2 || last.Life != (fleet.Incarnation{Instance: "i1", StartedMs: 200}) || last.Orders != 0 {
+		if len(b.engine.given) != 2 || last.Incarnation != (fleet.Incarnation{Instance: "i1", StartedMs: 200}) || last.ExpectedLoads != 0 {
 			t.Errorf("orders %+v", b.engine.given)
 		}
 		if b.engine.version != 2 {
@@ -332,7 +332,7 @@
 		b := startBench()
 		beganAfter := func() time.Time {
 			at := make(chan time.Time, 1)
-			b.loop.Post(func() { at <- b.orders.BeganAfter() })
+			b.loop.Post(func() { at <- b.orders.StartedAfter() })
 			return <-at
 		}
 		time.Sleep(time.Second)
@@ -366,7 +366,7 @@
 			b.engine.set(func(e *fakeEngine) { e.absent = false })
 			time.Sleep(time.Second)
 			began := make(chan time.Time, 1)
-			b.loop.Post(func() { began <- b.orders.BeganAfter() })
+			b.loop.Post(func() { began <- b.orders.StartedAfter() })
 			at := <-began
 			if early := last.Sub(at); known && (early < 0 || early > reportPeriod) || !known && !at.IsZero() {
 				t.Errorf("absent for %s: began after %v, %s before it listened", absent, at, early)
--- a/internal/gateway/weights/plan.go
+++ b/internal/gateway/weights/plan.go
@@ -25,13 +25,13 @@
 	// Loading engines load weights, or are just about to.
 	Loading
 	// Silent engines do not answer their own sidecar.
-	Silent
+	Unresponsive
 	// Emptying engines load next: they take nothing new, and their runs are moved
 	// away.
-	Emptying
+	Draining
 )
 
-var phaseNames = map[Phase]string{Serving: "serving", Loading: "loading", Silent: "silent", Emptying: "emptying"}
+var phaseNames = map[Phase]string{Serving: "serving", Loading: "loading", Unresponsive: "silent", Draining: "emptying"}
 
 // String returns the phase's name.
 func (p Phase) String() string { return phaseNames[p] }
@@ -64,11 +64,11 @@
 )
 
 // Parallel is how many of n engines may load at once.
-func Parallel(n int) int { return max(minParallel, int(float64(n)*parallelShare)) }
+func MaxParallelLoads(n int) int { return max(minParallel, int(float64(n)*parallelShare)) }
 
 // Turns returns the engines in the order in which they load a version: a new
 // one for each version, so that no engine is always the last.
-func Turns(engines []EngineView, version int64) []EngineView {
+func RolloutOrder(engines []EngineView, version int64) []EngineView {
 	ordered := slices.Clone(engines)
 	slices.SortFunc(ordered, func(a, b EngineView) int {
 		ra, rb := rank(a.Instance, version), rank(b.Instance, version)
@@ -92,20 +92,20 @@
 }
 
 // Wanted is a version of a model that operators want.
-type Wanted struct {
+type WantedVersion struct {
 	Version int64
 	// Since is when this process learned of it.
 	Since time.Time
 }
 
 // History is the versions of a model that operators named, oldest first.
-type History []Wanted
+type History []WantedVersion
 
 // maxHistory is how many versions are remembered. Older ones are long overdue.
 const maxHistory = 16
 
 // Add returns the history with a version that is newer than all before.
-func (h History) Add(w Wanted) History {
+func (h History) Add(w WantedVersion) History {
 	next := append(slices.Clone(h), w)
 	return next[max(0, len(next)-maxHistory):]
 }
@@ -121,7 +121,7 @@
 // Behind returns for how long an engine that has a version has been behind:
 // since the first newer one was named. The newest alone would not tell, because
 // it may have been named a moment ago.
-func (h History) Behind(have int64, now time.Time) time.Duration {
+func (h History) StaleFor(have int64, now time.Time) time.Duration {
 	for _, w := range h {
 		if w.Version > have {
 			return now.Sub(w.Since)
@@ -131,52 +131,52 @@
 }
 
 // Question is what Decide goes by.
-type Question struct {
+type Input struct {
 	// Self is the life of the deciding sidecar's engine.
 	Self fleet.Incarnation
 	// Engines of the service, the own one included.
 	Engines []EngineView
 	// Wanted version, and for how long the own engine has been behind.
-	Wanted int64
-	Behind time.Duration
+	Wanted   int64
+	StaleFor time.Duration
 	// Bound is the time within which engines must have the wanted version.
-	Bound time.Duration
+	MaxStaleness time.Duration
 	// LoadTime is how long a load is expected to take.
 	LoadTime time.Duration
 	// Named is for how long this process has known the wanted version.
-	Named time.Duration
+	KnownFor time.Duration
 	// Unheard is set in fleets that are too large for all sidecars to hear of all
 	// engines.
-	Unheard bool
+	PartialView bool
 }
 
 // Turn is when an engine loads a version.
-type Turn uint8
+type Action uint8
 
 // The turns.
 const (
 	// Later engines go on serving.
-	Later Turn = iota
+	Wait Action = iota
 	// Next engines empty themselves while others end their loads.
-	Next
+	Drain
 	// Now engines load.
-	Now
+	LoadNow
 )
 
 // Decide returns the own engine's turn. Those first in the order that still lack
 // the wanted version go, as many again are next; engines whose sidecars are
 // silent are passed over.
-func Decide(q Question) Turn {
-	if q.Behind > time.Duration(hurryShare*float64(q.Bound)) {
-		return Now
+func Decide(q Input) Action {
+	if q.StaleFor > time.Duration(hurryShare*float64(q.MaxStaleness)) {
+		return LoadNow
 	}
-	if q.Unheard {
+	if q.PartialView {
 		return turnByTime(q)
 	}
-	places := Parallel(len(q.Engines))
+	places := MaxParallelLoads(len(q.Engines))
 	before := 0
 	soon := false
-	for _, e := range Turns(q.Engines, q.Wanted) {
+	for _, e := range RolloutOrder(q.Engines, q.Wanted) {
 		if e.Version >= q.Wanted && e.Phase == Serving || e.Age > silentAfter {
 			continue
 		}
@@ -186,7 +186,7 @@
 		soon = soon || e.Phase == Loading && q.LoadTime-e.PhaseAge < emptyLead
 		before++
 	}
-	return Later
+	return Wait
 }
 
 // turnByTime is the own engine's turn where nothing is heard of the others: all know the
@@ -197,8 +197,8 @@
 // sidecar hears few of the others lately, takes the rest for silent, and passes them over:
 // all load in disorder. A load that takes longer than usual overlaps with the
 // next ones, which makes them slower and breaks nothing.
-func turnByTime(q Question) Turn {
-	places := Parallel(len(q.Engines))
+func turnByTime(q Input) Action {
+	places := MaxParallelLoads(len(q.Engines))
 	own := rank(q.Self.Instance, q.Wanted)
 	before := 0
 	for i := range q.Engines {
@@ -208,12 +208,12 @@
 	}
 	starts := time.Duration(before/places) * usualLoadTime
 	switch {
-	case q.Named >= starts:
-		return Now
-	case q.Named >= starts-emptyLead:
-		return Next
+	case q.KnownFor >= starts:
+		return LoadNow
+	case q.KnownFor >= starts-emptyLead:
+		return Drain
 	default:
-		return Later
+		return Wait
 	}
 }
 
@@ -221,14 +221,14 @@
 // runs end in that time; in a longer one too few engines are left to serve.
 const emptyLead = 200 * time.Millisecond
 
-func turnAfter(before, places int, soon bool) Turn {
+func turnAfter(before, places int, soon bool) Action {
 	switch {
 	case before < places:
-		return Now
+		return LoadNow
 	case before < 2*places && soon:
-		return Next
+		return Drain
 	default:
-		return Later
+		return Wait
 	}
 }
 
@@ -240,9 +240,9 @@
 // it, by the order of turns. Engines that have it are left out.
 func Schedule(engines []EngineView, wanted int64) map[fleet.Incarnation]time.Duration {
 	var schedule map[fleet.Incarnation]time.Duration
-	places := Parallel(len(engines))
+	places := MaxParallelLoads(len(engines))
 	before := 0
-	for _, e := range Turns(engines, wanted) {
+	for _, e := range RolloutOrder(engines, wanted) {
 		if e.Version >= wanted && e.Phase == Serving {
 			continue
 		}
--- a/internal/gateway/weights/plan_test.go
+++ b/internal/gateway/weights/plan_test.go
@@ -34,11 +34,11 @@
 			if e.Version >= 3 && e.Phase == Serving {
 				continue
 			}
-			if Decide(Question{Self: e.Incarnation, Engines: engines, Wanted: 3, Bound: 8 * time.Second}) == Now {
+			if Decide(Input{Self: e.Incarnation, Engines: engines, Wanted: 3, MaxStaleness: 8 * time.Second}) == LoadNow {
 				told++
 			}
 		}
-		if told > Parallel(len(engines)) {
+		if told > MaxParallelLoads(len(engines)) {
 			rt.Fatalf("%d of %d engines load at once", told, len(engines))
 		}
 		if lacking > 0 && told == 0 {
@@ -54,9 +54,9 @@
 	for i := range 9 {
 		engines = append(engines, EngineView{Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
 	}
-	turns := Turns(engines, 2)
-	q := Question{Self: turns[2].Incarnation, Engines: engines, Wanted: 2, Bound: 8 * time.Second}
-	if Decide(q) != Later {
+	turns := RolloutOrder(engines, 2)
+	q := Input{Self: turns[2].Incarnation, Engines: engines, Wanted: 2, MaxStaleness: 8 * time.Second}
+	if Decide(q) != Wait {
 		t.Fatal("the third engine does not wait, although two go first")
 	}
 	for i := range engines {
@@ -65,7 +65,7 @@
 		}
 	}
 	q.LoadTime = 450 * time.Millisecond
-	if Decide(q) != Next {
+	if Decide(q) != Drain {
 		t.Fatal("the third engine does not empty itself, although a load is about to end")
 	}
 	for i := range engines {
@@ -73,7 +73,7 @@
 			engines[i].Age = 2 * silentAfter
 		}
 	}
-	if Decide(q) != Now {
+	if Decide(q) != LoadNow {
 		t.Error("the third engine waits for a silent sidecar")
 	}
 }
@@ -85,9 +85,9 @@
 	for i := range 9 {
 		engines = append(engines, EngineView{Incarnation: fleet.Incarnation{Instance: fmt.Sprintf("e%d", i)}, Version: 1})
 	}
-	last := Turns(engines, 2)[8].Incarnation
-	q := Question{Self: last, Engines: engines, Wanted: 2, Bound: 8 * time.Second, Behind: 5 * time.Second}
-	if Decide(q) != Now {
+	last := RolloutOrder(engines, 2)[8].Incarnation
+	q := Input{Self: last, Engines: engines, Wanted: 2, MaxStaleness: 8 * time.Second, StaleFor: 5 * time.Second}
+	if Decide(q) != LoadNow {
 		t.Error("the last engine still waits")
 	}
 }
@@ -98,10 +98,10 @@
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	var h History
 	for i, v := range []int64{2, 3, 4} {
-		h = h.Add(Wanted{Version: v, Since: at(10 * (i + 1))})
+		h = h.Add(WantedVersion{Version: v, Since: at(10 * (i + 1))})
 	}
 	for have, want := range map[int64]time.Duration{1: 25 * time.Second, 2: 15 * time.Second, 3: 5 * time.Second, 4: 0} {
-		if got := h.Behind(have, at(35)); got != want {
+		if got := h.StaleFor(have, at(35)); got != want {
 			t.Errorf("with version %d: behind for %v, want %v", have, got, want)
 		}
 	}
--- a/internal/gateway/weights/remote.go
+++ b/internal/gateway/weights/remote.go
@@ -12,7 +12,7 @@
 )
 
 // Remote is an engine without a sidecar, as the platform's list shows it.
-type Remote struct {
+type RemoteEngine struct {
 	fleet.Incarnation
 	Engine Engine
 	// Versions of its models.
@@ -57,7 +57,7 @@
 }
 
 // Behind reports whether an engine lacks a wanted version, as far as is known.
-func (c *RemoteController) Behind(engines []Remote, model string, wanted int64) bool {
+func (c *RemoteController) AnyStale(engines []RemoteEngine, model string, wanted int64) bool {
 	for i := range engines {
 		if c.lacks(&engines[i], model, wanted) {
 			return true
@@ -66,7 +66,7 @@
 	return false
 }
 
-func (c *RemoteController) lacks(e *Remote, model string, wanted int64) bool {
+func (c *RemoteController) lacks(e *RemoteEngine, model string, wanted int64) bool {
 	have, serves := e.Versions[model]
 	if p := c.progress[e.Incarnation]; p != nil {
 		have = max(have, p.version)
@@ -76,16 +76,16 @@
 
 // Step gives the orders that are due for a model: to as many engines as may load at once,
 // in the order of their turns.
-func (c *RemoteController) Step(engines []Remote, model string, wanted int64, token uint64) {
+func (c *RemoteController) Step(engines []RemoteEngine, model string, wanted int64, token uint64) {
 	c.forget()
-	places := Parallel(len(engines)) - c.underWay()
+	places := MaxParallelLoads(len(engines)) - c.underWay()
 	views := make([]EngineView, len(engines))
-	byLife := map[fleet.Incarnation]*Remote{}
+	byLife := map[fleet.Incarnation]*RemoteEngine{}
 	for i := range engines {
 		views[i] = EngineView{Incarnation: engines[i].Incarnation}
 		byLife[engines[i].Incarnation] = &engines[i]
 	}
-	for _, v := range c.failedLast(Turns(views, wanted)) {
+	for _, v := range c.failedLast(RolloutOrder(views, wanted)) {
 		e := byLife[v.Incarnation]
 		if places <= 0 {
 			return
@@ -94,7 +94,7 @@
 			continue
 		}
 		places--
-		c.begin(e, Order{Model: model, Version: wanted, Swap: SwapUnderRuns, Holder: c.holder, Token: token, Life: e.Incarnation})
+		c.begin(e, LoadRequest{Model: model, Version: wanted, Swap: SwapContinueRuns, Holder: c.holder, Token: token, Incarnation: e.Incarnation})
 	}
 }
 
@@ -145,7 +145,7 @@
 
 // begin asks the engine for its count of orders and gives it the next one. The count makes
 // an order harmless that is carried out late: a newer one was accepted before.
-func (c *RemoteController) begin(e *Remote, o Order) {
+func (c *RemoteController) begin(e *RemoteEngine, o LoadRequest) {
 	p := &progress{ordering: true}
 	if old := c.progress[e.Incarnation]; old != nil {
 		p.version, p.failed = old.version, old.failed
@@ -161,27 +161,27 @@
 			return result{}, err
 		}
 		if report.Weights[o.Model] >= o.Version {
-			return result{report: report, outcome: Holds}, nil
+			return result{report: report, outcome: AlreadyLoaded}, nil
 		}
-		o.Orders = report.Orders
+		o.ExpectedLoads = report.AcceptedLoads
 		outcome, err := e.Engine.Load(ctx, o)
 		return result{report: report, outcome: outcome}, err
 	}, func(r result, err error) { c.take(o, p, r.outcome, err) })
 }
 
-func (c *RemoteController) take(o Order, p *progress, outcome Outcome, err error) {
+func (c *RemoteController) take(o LoadRequest, p *progress, outcome Outcome, err error) {
 	c.ordered(outcome)
 	detail := ""
 	if err != nil {
 		detail = err.Error()
 	}
-	c.logger.Info("weights_ordered", "model", o.Model, "version", o.Version, "token", o.Token, "target", o.Life,
-		"orders", o.Orders, "outcome", outcome.String(), "error", detail, "sidecar", false)
+	c.logger.Info("weights_ordered", "model", o.Model, "version", o.Version, "token", o.Token, "target", o.Incarnation,
+		"orders", o.ExpectedLoads, "outcome", outcome.String(), "error", detail, "sidecar", false)
 	p.ordering = false
 	switch outcome {
 	case Accepted:
 		p.loading, p.failed, p.version, p.notAfter = true, false, o.Version, c.now().Add(remoteLoadTime)
-	case Holds:
+	case AlreadyLoaded:
 		p.failed, p.version, p.notAfter = false, o.Version, c.now()
 	default:
 		p.failed, p.notAfter = true, c.now().Add(remoteRetry)
--- a/internal/gateway/weights/remote_test.go
+++ b/internal/gateway/weights/remote_test.go
@@ -18,7 +18,7 @@
 	loop    *control.Loop
 	orders  *RemoteController
 	engines []*fakeEngine
-	list    []Remote
+	list    []RemoteEngine
 }
 
 func startRemoteBench(n int) *remoteBench {
@@ -27,7 +27,7 @@
 	for i := range n {
 		e := &fakeEngine{life: fmt.Sprintf("e%d", i), version: 1}
 		b.engines = append(b.engines, e)
-		b.list = append(b.list, Remote{Incarnation: fleet.Incarnation{Instance: e.life}, Engine: e, Versions: map[string]int64{"m": 1}})
+		b.list = append(b.list, RemoteEngine{Incarnation: fleet.Incarnation{Instance: e.life}, Engine: e, Versions: map[string]int64{"m": 1}})
 	}
 	go b.loop.Run()
 	return b
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := startRemoteBench(15)
 		most := b.run(15 * time.Second)
-		if most > Parallel(15) {
+		if most > MaxParallelLoads(15) {
 			t.Errorf("%d engines loaded at once", most)
 		}
 		for _, e := range b.engines {
@@ -78,7 +78,7 @@
 		for i := range b.list {
 			views[i] = EngineView{Incarnation: b.list[i].Incarnation}
 		}
-		silent := Turns(views, 2)[:2]
+		silent := RolloutOrder(views, 2)[:2]
 		for _, e := range b.engines {
 			if e.life == silent[0].Instance || e.life == silent[1].Instance {
 				e.set(func(e *fakeEngine) { e.late = time.Minute })
@@ -111,7 +111,7 @@
 		if n := len(b.engines[4].given); n == 0 || n > 12 {
 			t.Errorf("%d orders to an engine that is another one now", n)
 		}
-		if !b.orders.Behind(b.list, "m", 2) {
+		if !b.orders.AnyStale(b.list, "m", 2) {
 			t.Error("none is behind")
 		}
 		b.loop.Stop()
--- a/internal/gateway/words.go
+++ b/internal/gateway/words.go
@@ -15,7 +15,7 @@
 var phases = map[peerv1.EnginePhase]weights.Phase{
 	peerv1.EnginePhase_ENGINE_PHASE_SERVING:  weights.Serving,
 	peerv1.EnginePhase_ENGINE_PHASE_LOADING:  weights.Loading,
-	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Emptying,
+	peerv1.EnginePhase_ENGINE_PHASE_EMPTYING: weights.Draining,
 }
 
 // hearEngine takes in what a sidecar says of its engine. It reports whether
--- a/internal/loadslot/loadslot.go
+++ b/internal/loadslot/loadslot.go
@@ -27,7 +27,7 @@
 }
 
 // StreamOf is the log stream of a service's line.
-func StreamOf(service string) string { return "toucanwell-loads-" + service }
+func StreamName(service string) string { return "toucanwell-loads-" + service }
 
 type ticket struct {
 	offset uint64
@@ -36,22 +36,22 @@
 }
 
 // Line is the fold. It is used by one goroutine at a time.
-type Line struct {
+type Queue struct {
 	next     uint64
 	tickets  []ticket
 	released map[string]bool
 }
 
 // NewLine returns the fold of nothing.
-func NewLine() *Line { return &Line{next: 1, released: map[string]bool{}} }
+func NewQueue() *Queue { return &Queue{next: 1, released: map[string]bool{}} }
 
 // Next is the first offset not read yet.
-func (l *Line) Next() uint64 { return l.next }
+func (l *Queue) NextOffset() uint64 { return l.next }
 
 // Read folds a page. A ticket counts once, at its first offset; a ticket that
 // was released never counts again, so that a late copy of its acquire record
 // cannot take a place.
-func (l *Line) Read(page *external.Page) {
+func (l *Queue) Apply(page *external.Page) {
 	l.next = max(l.next, page.First)
 	for _, r := range page.Records {
 		if r.Offset < l.next {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (l *Line) fold(offset uint64, r Record) {
+func (l *Queue) fold(offset uint64, r Record) {
 	at := slices.IndexFunc(l.tickets, func(t ticket) bool { return t.nonce == r.Nonce })
 	switch r.Type {
 	case TypeAcquire:
@@ -82,7 +82,7 @@
 }
 
 // Ticket returns the offset of a ticket that is in line.
-func (l *Line) Ticket(nonce string) (offset uint64, ok bool) {
+func (l *Queue) TicketOffset(nonce string) (offset uint64, ok bool) {
 	for _, t := range l.tickets {
 		if t.nonce == nonce {
 			return t.offset, true
@@ -93,7 +93,7 @@
 
 // Holds reports whether a ticket is among the first places of the listed
 // targets.
-func (l *Line) Holds(nonce string, places int, listed func(target string) bool) bool {
+func (l *Queue) MayLoad(nonce string, places int, listed func(target string) bool) bool {
 	for _, t := range l.tickets {
 		if !listed(t.target) {
 			continue
@@ -111,7 +111,7 @@
 
 // StaleOf returns the nonces of a target's tickets other than the given one:
 // those of an earlier process of the target.
-func (l *Line) StaleOf(target, nonce string) []string {
+func (l *Queue) StaleNonces(target, nonce string) []string {
 	var stale []string
 	for _, t := range l.tickets {
 		if t.target == target && t.nonce != nonce {
--- a/internal/once/book.go
+++ b/internal/once/book.go
@@ -46,20 +46,20 @@
 	// Nonce of the try that speaks.
 	Nonce string `json:"n"`
 	// Digest of the request.
-	Digest uint64 `json:"d,omitempty"`
+	RequestDigest uint64 `json:"d,omitempty"`
 	// IssuedMs is the key's issue time; 0 when it tells none.
 	IssuedMs int64 `json:"i,omitempty"`
 	// Answer of a done call.
-	Answer *Answer `json:"a,omitempty"`
+	Response *Response `json:"a,omitempty"`
 }
 
 // Answer is a kept answer.
-type Answer struct {
+type Response struct {
 	Status      int    `json:"s"`
 	ContentType string `json:"c,omitempty"`
 	Body        []byte `json:"b,omitempty"`
 	// Dropped is set when the body was too large to keep.
-	Dropped bool `json:"x,omitempty"`
+	BodyDropped bool `json:"x,omitempty"`
 }
 
 // Phase is what is known of a key.
@@ -75,31 +75,31 @@
 
 // State is what the stream says of a key.
 type State struct {
-	Phase  Phase
-	Nonce  string
-	Digest uint64
-	Answer *Answer
+	Phase         Phase
+	Nonce         string
+	RequestDigest uint64
+	Response      *Response
 	// bornMs is the issue time, or the log's time for a key without one.
 	bornMs int64
 }
 
 // Book is the fold of one stream. It is used by one goroutine at a time.
-type Book struct {
+type KeyTable struct {
 	next uint64
 	keys map[string]*State
 }
 
 // NewBook returns the fold of nothing.
-func NewBook() *Book { return &Book{next: 1, keys: map[string]*State{}} }
+func NewKeyTable() *KeyTable { return &KeyTable{next: 1, keys: map[string]*State{}} }
 
 // Next is the first offset not read yet.
-func (b *Book) Next() uint64 { return b.next }
+func (b *KeyTable) NextOffset() uint64 { return b.next }
 
 // Len is the number of keys held.
-func (b *Book) Len() int { return len(b.keys) }
+func (b *KeyTable) Len() int { return len(b.keys) }
 
 // Get returns the state of a key.
-func (b *Book) Get(key string) State {
+func (b *KeyTable) Get(key string) State {
 	if s, ok := b.keys[key]; ok {
 		return *s
 	}
@@ -108,7 +108,7 @@
 
 // Read folds a page. Records read before are passed over. A cut start needs no
 // care: what the log dropped is older than any key that is still taken.
-func (b *Book) Read(page *external.Page) {
+func (b *KeyTable) Apply(page *external.Page) {
 	b.next = max(b.next, page.First)
 	for _, r := range page.Records {
 		if r.Offset < b.next {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (b *Book) fold(r *Record, unixMs int64) {
+func (b *KeyTable) fold(r *Record, unixMs int64) {
 	s, known := b.keys[r.Key]
 	if !known {
 		b.first(r, unixMs)
@@ -137,7 +137,7 @@
 	switch r.Type {
 	case TypeDone:
 		s.Phase = Done
-		s.Answer = r.Answer
+		s.Response = r.Response
 		s.Nonce = ""
 	case TypeVoid:
 		s.Phase = Void
@@ -147,8 +147,8 @@
 
 // first opens a key. A done record without its claim opens it as done: the
 // claim was in the part that the log has dropped.
-func (b *Book) first(r *Record, unixMs int64) {
-	s := &State{Nonce: r.Nonce, Digest: r.Digest, Answer: r.Answer, bornMs: r.IssuedMs}
+func (b *KeyTable) first(r *Record, unixMs int64) {
+	s := &State{Nonce: r.Nonce, RequestDigest: r.RequestDigest, Response: r.Response, bornMs: r.IssuedMs}
 	if s.bornMs == 0 {
 		s.bornMs = unixMs
 	}
@@ -167,7 +167,7 @@
 
 // Forget drops keys that were made before a time; they are refused by age. It
 // is the only way in which a key leaves the book.
-func (b *Book) Forget(beforeMs int64) {
+func (b *KeyTable) DropBefore(beforeMs int64) {
 	for key, s := range b.keys {
 		if s.bornMs < beforeMs {
 			delete(b.keys, key)
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -19,7 +19,7 @@
 const (
 	digestBytes = 16
 	// ClockBound is how far two clocks of the system may stand apart.
-	ClockBound = 30 * time.Second
+	MaxClockSkew = 30 * time.Second
 	// keepShare is the part of the log's retention for which a key is taken.
 	// The rest covers the clock bound and the longest wait before a claim.
 	keepShare = 0.75
@@ -34,12 +34,12 @@
 	// IssuedMs is when it was made; 0 when it tells none.
 	IssuedMs int64
 	// Request is the digest of the request it was first used for.
-	Request uint64
+	RequestDigest uint64
 }
 
 // SlotKey is what the targets of a service are ranked by for a slot.
-func SlotKey(service string, slot int) uint64 {
-	return xxhash.Sum64String(StreamOf(service, slot))
+func SlotHash(service string, slot int) uint64 {
+	return xxhash.Sum64String(StreamName(service, slot))
 }
 
 // NewKey returns the key of a workspace's call.
@@ -53,10 +53,10 @@
 	}
 	digest := sum.Sum(nil)
 	return Key{
-		Digest:   hex.EncodeToString(digest[:digestBytes]),
-		Slot:     int(digest[digestBytes]) % Slots,
-		IssuedMs: issuedMs,
-		Request:  request,
+		Digest:        hex.EncodeToString(digest[:digestBytes]),
+		Slot:          int(digest[digestBytes]) % Slots,
+		IssuedMs:      issuedMs,
+		RequestDigest: request,
 	}
 }
 
@@ -76,15 +76,15 @@
 }
 
 // Terms are what a service lets its keys be.
-type Terms struct {
+type KeyPolicy struct {
 	// Opaque takes keys without an issue time.
-	Opaque bool
+	AllowOpaque bool
 	// Lifetime is how long a key is taken; 0 means as long as the log allows.
 	Lifetime time.Duration
 }
 
 // keep is how long a key is taken beside a log with a retention.
-func (t Terms) keep(retention time.Duration) time.Duration {
+func (t KeyPolicy) keep(retention time.Duration) time.Duration {
 	longest := time.Duration(keepShare * float64(retention))
 	if t.Lifetime <= 0 {
 		return longest
@@ -94,16 +94,16 @@
 
 // CheckAge refuses a key that tells no time (unless opaque ones are taken),
 // one from the future, and one older than the record of calls.
-func CheckAge(issuedMs int64, terms Terms, now time.Time, retention time.Duration) *errkind.Error {
-	if issuedMs == 0 && terms.Opaque {
+func CheckAge(issuedMs int64, terms KeyPolicy, now time.Time, retention time.Duration) *errkind.Error {
+	if issuedMs == 0 && terms.AllowOpaque {
 		return nil
 	}
 	if issuedMs == 0 {
 		return errkind.New(errkind.KeyInvalid, "send a UUID of version 7, or Idempotency-Key-Issued beside the key")
 	}
 	age := now.Sub(time.UnixMilli(issuedMs))
-	if age < -ClockBound {
-		return errkind.New(errkind.KeyInvalid, "the key was made %v in the future; allowed is %v", -age.Round(time.Second), ClockBound)
+	if age < -MaxClockSkew {
+		return errkind.New(errkind.KeyInvalid, "the key was made %v in the future; allowed is %v", -age.Round(time.Second), MaxClockSkew)
 	}
 	if keep := terms.keep(retention); age > keep {
 		return errkind.New(errkind.KeyExpired, "the key is %v old; calls are kept for %v", age.Round(time.Second), keep)
--- a/internal/once/ledger.go
+++ b/internal/once/ledger.go
@@ -44,7 +44,7 @@
 	ledger  *Ledger
 	stream  string
 	mu      sync.Mutex
-	book    *Book
+	book    *KeyTable
 	pending []*pendingRecord
 	// horizonMs is the issue time below which keys were dropped.
 	horizonMs int64
@@ -73,7 +73,7 @@
 	nonce string
 	// ended is closed when the holder has ended the ticket.
 	ended  chan struct{}
-	answer *Answer
+	answer *Response
 }
 
 // NewLedger returns a ledger for the calls of a service. interval is the least
@@ -83,8 +83,8 @@
 	for i := range l.slots {
 		l.slots[i] = &slot{
 			ledger:  l,
-			stream:  StreamOf(service, i),
-			book:    NewBook(),
+			stream:  StreamName(service, i),
+			book:    NewKeyTable(),
 			local:   map[string]*Ticket{},
 			orphans: map[string]string{},
 		}
@@ -93,14 +93,14 @@
 }
 
 // StreamOf is the log stream of a service's slot.
-func StreamOf(service string, slot int) string {
+func StreamName(service string, slot int) string {
 	return fmt.Sprintf("toucanwell-claims-%s-%d", service, slot)
 }
 
 // Claim returns a ticket, or the kept answer of an earlier try, or a refusal.
 // A refusal of kind NotRun is final for the key; OutcomeUnknown means that the
 // same key may be asked again.
-func (l *Ledger) Claim(ctx context.Context, key Key, terms Terms) (*Ticket, *Answer, *errkind.Error) {
+func (l *Ledger) Claim(ctx context.Context, key Key, terms KeyPolicy) (*Ticket, *Response, *errkind.Error) {
 	s := l.slots[key.Slot]
 	if refusal := s.checkAge(key, terms); refusal != nil {
 		return nil, nil, refusal
@@ -112,7 +112,7 @@
 	state, err := s.commit(ctx, ticket.record(TypeClaim))
 	if err != nil {
 		ticket.orphan()
-		return nil, nil, errkind.After(errkind.OutcomeUnknown, unknownRetry, "this try was not started; the log does not answer: %v", err)
+		return nil, nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetry, "this try was not started; the log does not answer: %v", err)
 	}
 	if state.Phase == Claimed && state.Nonce == ticket.nonce {
 		return ticket, nil, nil
@@ -124,7 +124,7 @@
 
 // Close ends a key unrun, so that its caller can be told so. The refusal is
 // NotRun when the key is closed, and else what is known of it.
-func (l *Ledger) Close(ctx context.Context, key Key, terms Terms, retryAfter time.Duration, detail string) (*Answer, *errkind.Error) {
+func (l *Ledger) VoidKey(ctx context.Context, key Key, terms KeyPolicy, retryAfter time.Duration, detail string) (*Response, *errkind.Error) {
 	s := l.slots[key.Slot]
 	if refusal := s.checkAge(key, terms); refusal != nil {
 		return nil, refusal
@@ -132,10 +132,10 @@
 	ticket := &Ticket{slot: s, key: key, nonce: uuid.NewString(), ended: make(chan struct{})}
 	state, err := s.commit(ctx, ticket.record(TypeVoid))
 	if err != nil {
-		return nil, errkind.After(errkind.OutcomeUnknown, unknownRetry, "this try was not started; the log does not answer: %v", err)
+		return nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetry, "this try was not started; the log does not answer: %v", err)
 	}
 	if state.Phase == Void {
-		return nil, errkind.After(errkind.NotRun, retryAfter, "%s", detail)
+		return nil, errkind.NewRetryAfter(errkind.NotRun, retryAfter, "%s", detail)
 	}
 	return judge(state, key)
 }
@@ -153,19 +153,19 @@
 
 // Forget drops keys that the terms no longer take. What was dropped stays
 // refused, also when an operator lengthens the lifetime later.
-func (l *Ledger) Forget(terms Terms) {
-	before := l.now().Add(-terms.keep(l.retention) - ClockBound).UnixMilli()
+func (l *Ledger) DropExpired(terms KeyPolicy) {
+	before := l.now().Add(-terms.keep(l.retention) - MaxClockSkew).UnixMilli()
 	for _, s := range l.slots {
 		s.mu.Lock()
 		s.horizonMs = max(s.horizonMs, before)
-		s.book.Forget(s.horizonMs)
+		s.book.DropBefore(s.horizonMs)
 		s.mu.Unlock()
 	}
 }
 
 // checkAge refuses a key that the terms do not take, or that may have been
 // dropped from the record.
-func (s *slot) checkAge(key Key, terms Terms) *errkind.Error {
+func (s *slot) checkAge(key Key, terms KeyPolicy) *errkind.Error {
 	l := s.ledger
 	if refusal := CheckAge(key.IssuedMs, terms, l.now(), l.retention); refusal != nil {
 		return refusal
@@ -179,20 +179,20 @@
 }
 
 // judge turns the state of a key that another try owns into an answer.
-func judge(state State, key Key) (*Answer, *errkind.Error) {
-	if state.Digest != key.Request {
+func judge(state State, key Key) (*Response, *errkind.Error) {
+	if state.RequestDigest != key.RequestDigest {
 		return nil, errkind.New(errkind.KeyConflict, "the key belongs to a call with another body")
 	}
 	switch state.Phase {
 	case Void:
 		return nil, errkind.New(errkind.NotRun, "an earlier try closed this key unrun; use a new key")
 	case Done:
-		if state.Answer == nil || state.Answer.Dropped {
+		if state.Response == nil || state.Response.BodyDropped {
 			return nil, errkind.New(errkind.OutcomeUnknown, "the call ran; its answer was too large to keep")
 		}
-		return state.Answer, nil
+		return state.Response, nil
 	default:
-		return nil, errkind.After(errkind.OutcomeUnknown, unknownRetry, "an earlier try holds this key and has not told its end")
+		return nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetry, "an earlier try holds this key and has not told its end")
 	}
 }
 
@@ -222,27 +222,27 @@
 }
 
 // join waits for a try of the same key that runs in this process.
-func (s *slot) join(ctx context.Context, other *Ticket, key Key) (*Ticket, *Answer, *errkind.Error) {
-	if other.key.Request != key.Request {
+func (s *slot) join(ctx context.Context, other *Ticket, key Key) (*Ticket, *Response, *errkind.Error) {
+	if other.key.RequestDigest != key.RequestDigest {
 		return nil, nil, errkind.New(errkind.KeyConflict, "the key belongs to a call with another body")
 	}
 	select {
 	case <-other.ended:
 	case <-ctx.Done():
-		return nil, nil, errkind.After(errkind.InProgress, unknownRetry, "")
+		return nil, nil, errkind.NewRetryAfter(errkind.InProgress, unknownRetry, "")
 	}
 	if other.answer != nil {
 		return nil, other.answer, nil
 	}
-	return nil, nil, errkind.After(errkind.OutcomeUnknown, unknownRetry, "the try that ran has not told its end")
+	return nil, nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetry, "the try that ran has not told its end")
 }
 
 func (t *Ticket) record(kind RecordType) Record {
-	return Record{Type: kind, Key: t.key.Digest, Nonce: t.nonce, Digest: t.key.Request, IssuedMs: t.key.IssuedMs}
+	return Record{Type: kind, Key: t.key.Digest, Nonce: t.nonce, RequestDigest: t.key.RequestDigest, IssuedMs: t.key.IssuedMs}
 }
 
 // leave ends the try in this process.
-func (t *Ticket) leave(answer *Answer) {
+func (t *Ticket) leave(answer *Response) {
 	t.slot.mu.Lock()
 	defer t.slot.mu.Unlock()
 	t.answer = answer
@@ -252,14 +252,14 @@
 
 // Done ends a ticket whose call ran. The record goes out with the next append;
 // until it is there, the key reads as claimed.
-func (t *Ticket) Done(answer Answer) {
+func (t *Ticket) Complete(answer Response) {
 	kept := answer
 	if len(kept.Body) > maxKeptBody {
 		kept.Body = nil
-		kept.Dropped = true
+		kept.BodyDropped = true
 	}
 	record := t.record(TypeDone)
-	record.Answer = &kept
+	record.Response = &kept
 	t.slot.queue(record)
 	t.leave(&answer)
 }
@@ -270,11 +270,11 @@
 func (t *Ticket) Void(ctx context.Context, retryAfter time.Duration, detail string) *errkind.Error {
 	_, _ = t.slot.commit(ctx, t.record(TypeVoid))
 	t.leave(nil)
-	return errkind.After(errkind.NotRun, retryAfter, "%s", detail)
+	return errkind.NewRetryAfter(errkind.NotRun, retryAfter, "%s", detail)
 }
 
 // Lost ends a ticket whose call may have run.
-func (t *Ticket) Lost() { t.leave(nil) }
+func (t *Ticket) Abandon() { t.leave(nil) }
 
 // commit appends a record, reads the stream past it and returns the key's
 // state. The record's own nonce in the stream proves that it arrived, also
@@ -371,7 +371,7 @@
 	}
 	for {
 		s.mu.Lock()
-		next := s.book.Next()
+		next := s.book.NextOffset()
 		s.mu.Unlock()
 		if next > offset {
 			return true, nil
@@ -384,7 +384,7 @@
 			return false, err
 		}
 		s.mu.Lock()
-		s.book.Read(page)
+		s.book.Apply(page)
 		s.mu.Unlock()
 	}
 }
--- a/internal/once/ledger_test.go
+++ b/internal/once/ledger_test.go
@@ -37,16 +37,16 @@
 	lost, delay := f.draw()
 	time.Sleep(delay)
 	if lost >= f.loss {
-		return f.log.AppendNow(stream, data), nil
+		return f.log.AppendRecord(stream, data), nil
 	}
 	if lost < f.loss/3 {
 		return 0, errors.New("refused")
 	}
 	if lost < f.loss*2/3 {
-		f.log.AppendNow(stream, data)
+		f.log.AppendRecord(stream, data)
 		return 0, errors.New("answer lost")
 	}
-	time.AfterFunc(3*time.Second, func() { f.log.AppendNow(stream, data) })
+	time.AfterFunc(3*time.Second, func() { f.log.AppendRecord(stream, data) })
 	return 0, errors.New("answer lost, append still on its way")
 }
 
@@ -56,7 +56,7 @@
 	if lost < f.loss {
 		return nil, errors.New("read lost")
 	}
-	return f.log.ReadNow(stream, from), nil
+	return f.log.ReadPage(stream, from), nil
 }
 
 const (
@@ -100,10 +100,10 @@
 
 func (h *history) try(ctx context.Context, l *Ledger, key Key, c call) string {
 	if c.close {
-		answer, refusal := l.Close(ctx, key, Terms{}, time.Second, "overloaded")
+		answer, refusal := l.VoidKey(ctx, key, KeyPolicy{}, time.Second, "overloaded")
 		return outcomeOf(answer, refusal)
 	}
-	ticket, answer, refusal := l.Claim(ctx, key, Terms{})
+	ticket, answer, refusal := l.Claim(ctx, key, KeyPolicy{})
 	if ticket == nil {
 		return outcomeOf(answer, refusal)
 	}
@@ -117,14 +117,14 @@
 	h.effects[c.key]++
 	h.mu.Unlock()
 	if c.ending == 1 {
-		ticket.Lost()
+		ticket.Abandon()
 		return outUnknown
 	}
-	ticket.Done(Answer{Status: 200})
+	ticket.Complete(Response{Status: 200})
 	return outRan
 }
 
-func outcomeOf(answer *Answer, refusal *errkind.Error) string {
+func outcomeOf(answer *Response, refusal *errkind.Error) string {
 	switch {
 	case answer != nil:
 		return outRan
@@ -245,14 +245,14 @@
 		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1))}
 		l := NewLedger(&lostOnce{Log: log}, "s", time.Hour, time.Millisecond, time.Now)
 		key := NewKey("w", "s", "key-long-enough", time.Now().UnixMilli(), 1)
-		if _, _, refusal := l.Claim(context.Background(), key, Terms{}); refusal == nil || refusal.Kind != errkind.OutcomeUnknown {
+		if _, _, refusal := l.Claim(context.Background(), key, KeyPolicy{}); refusal == nil || refusal.Kind != errkind.OutcomeUnknown {
 			t.Fatalf("first try: %v", refusal)
 		}
-		ticket, _, refusal := l.Claim(context.Background(), key, Terms{})
+		ticket, _, refusal := l.Claim(context.Background(), key, KeyPolicy{})
 		if ticket == nil {
 			t.Fatalf("second try: %v", refusal)
 		}
-		ticket.Done(Answer{Status: 200})
+		ticket.Complete(Response{Status: 200})
 		time.Sleep(time.Second)
 	})
 }
@@ -279,11 +279,11 @@
 		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1)), loss: 1}
 		l := NewLedger(log, "s", time.Hour, time.Millisecond, time.Now)
 		key := NewKey("w", "s", "key-long-enough", time.Now().UnixMilli(), 1)
-		ticket, _, refusal := l.Claim(context.Background(), key, Terms{})
+		ticket, _, refusal := l.Claim(context.Background(), key, KeyPolicy{})
 		if ticket != nil || refusal.Kind != errkind.OutcomeUnknown || refusal.RetryAfter == 0 {
 			t.Fatalf("claim: %v %v", ticket, refusal)
 		}
-		if _, refusal := l.Close(context.Background(), key, Terms{}, time.Second, ""); refusal.Kind != errkind.OutcomeUnknown {
+		if _, refusal := l.VoidKey(context.Background(), key, KeyPolicy{}, time.Second, ""); refusal.Kind != errkind.OutcomeUnknown {
 			t.Fatalf("close: %v", refusal)
 		}
 		time.Sleep(10 * time.Second)
@@ -307,18 +307,18 @@
 		{"beyond", now.Add(-46 * time.Minute).UnixMilli(), false, errkind.KeyExpired},
 		{"no time", 0, false, errkind.KeyInvalid},
 		{"no time, opaque taken", 0, true, errkind.None},
-		{"from a clock ahead", now.Add(ClockBound - time.Second).UnixMilli(), false, errkind.None},
-		{"from the future", now.Add(ClockBound + time.Second).UnixMilli(), false, errkind.KeyInvalid},
+		{"from a clock ahead", now.Add(MaxClockSkew - time.Second).UnixMilli(), false, errkind.None},
+		{"from the future", now.Add(MaxClockSkew + time.Second).UnixMilli(), false, errkind.KeyInvalid},
 	} {
 		got := errkind.None
-		if refusal := CheckAge(c.issued, Terms{Opaque: c.opaque}, now, retention); refusal != nil {
+		if refusal := CheckAge(c.issued, KeyPolicy{AllowOpaque: c.opaque}, now, retention); refusal != nil {
 			got = refusal.Kind
 		}
 		if got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
-	if (Terms{}).keep(retention)+ClockBound >= retention {
+	if (KeyPolicy{}).keep(retention)+MaxClockSkew >= retention {
 		t.Error("a key may be taken that the log has dropped")
 	}
 }
@@ -331,17 +331,17 @@
 		log := &flakyLog{log: standin.NewLog(), random: rand.New(rand.NewPCG(1, 1))}
 		l := NewLedger(log, "s", 24*time.Hour, time.Millisecond, time.Now)
 		key := NewKey("w", "s", "key-long-enough", time.Now().UnixMilli(), 1)
-		ticket, _, refusal := l.Claim(context.Background(), key, Terms{})
+		ticket, _, refusal := l.Claim(context.Background(), key, KeyPolicy{})
 		if ticket == nil {
 			t.Fatal(refusal)
 		}
-		ticket.Done(Answer{Status: 200})
+		ticket.Complete(Response{Status: 200})
 		time.Sleep(2 * time.Hour)
-		l.Forget(Terms{Lifetime: time.Hour})
+		l.DropExpired(KeyPolicy{Lifetime: time.Hour})
 		if n := l.Len(); n != 0 {
 			t.Fatalf("%d keys are held", n)
 		}
-		ticket, _, refusal = l.Claim(context.Background(), key, Terms{Lifetime: 10 * time.Hour})
+		ticket, _, refusal = l.Claim(context.Background(), key, KeyPolicy{Lifetime: 10 * time.Hour})
 		if ticket != nil || refusal.Kind != errkind.KeyExpired {
 			t.Fatalf("the key was taken again: %v", refusal)
 		}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -261,7 +261,7 @@
 // again tries elsewhere within the retry budget.
 func (r *Replay) again(j *job, kind errkind.Kind) {
 	j.avoid[j.engine] = true
-	if j.tries >= maxTries || r.budget < 1 || !kind.Row().Elsewhere {
+	if j.tries >= maxTries || r.budget < 1 || !kind.Spec().Failover {
 		r.give(j, kind)
 		return
 	}
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -83,7 +83,7 @@
 	}
 	admission.Release(breakerResult(response.Status))
 	if ticket != nil {
-		ticket.Done(once.Answer{Status: response.Status, ContentType: response.ContentType, Body: response.Body})
+		ticket.Complete(once.Response{Status: response.Status, ContentType: response.ContentType, Body: response.Body})
 	}
 	return &peerv1.CallResponse{Status: uint32(response.Status), ContentType: response.ContentType, Body: response.Body}, nil
 }
@@ -97,8 +97,8 @@
 	if errors.Is(err, external.ErrNotSent) {
 		return ticket.Void(ctx, voidRetryAfter, "the target could not be reached")
 	}
-	ticket.Lost()
-	return errkind.After(errkind.OutcomeUnknown, voidRetryAfter, "the target's response was lost")
+	ticket.Abandon()
+	return errkind.NewRetryAfter(errkind.OutcomeUnknown, voidRetryAfter, "the target's response was lost")
 }
 
 func breakerResult(status int) breaker.Result {
@@ -108,7 +108,7 @@
 	return breaker.Success
 }
 
-func replayCall(answer *once.Answer) *peerv1.CallResponse {
+func replayCall(answer *once.Response) *peerv1.CallResponse {
 	if answer == nil {
 		return nil
 	}
@@ -117,15 +117,15 @@
 
 // claim claims the idempotency key of an at-most-once call. It does nothing
 // for a call without a key.
-func (s *Sidecar) claim(ctx context.Context, a assignment, workspace string, m *peerv1.OnceKey) (*once.Ticket, *once.Answer, *errkind.Error) {
+func (s *Sidecar) claim(ctx context.Context, a assignment, workspace string, m *peerv1.OnceKey) (*once.Ticket, *once.Response, *errkind.Error) {
 	if m == nil {
 		return nil, nil, nil
 	}
 	return s.ledgerFor(a.service.Name).Claim(ctx, onceKey(a, workspace, m), onceTerms(a.service))
 }
 
-func onceTerms(s *config.Service) once.Terms {
-	return once.Terms{Opaque: s.OpaqueKeys, Lifetime: s.KeyLifetime.Duration}
+func onceTerms(s *config.Service) once.KeyPolicy {
+	return once.KeyPolicy{AllowOpaque: s.OpaqueKeys, Lifetime: s.KeyLifetime.Duration}
 }
 
 func onceKey(a assignment, workspace string, m *peerv1.OnceKey) once.Key {
@@ -141,9 +141,9 @@
 		return refusal
 	}
 	ledger := s.ledgerFor(a.service.Name)
-	answer, closed := ledger.Close(context.WithoutCancel(ctx), onceKey(a, workspace, m), onceTerms(a.service), refusal.RetryAfter, refusal.Error())
+	answer, closed := ledger.VoidKey(context.WithoutCancel(ctx), onceKey(a, workspace, m), onceTerms(a.service), refusal.RetryAfter, refusal.Error())
 	if answer != nil {
-		return errkind.After(errkind.InProgress, 0, "the call has run; retry with the same key for its response")
+		return errkind.NewRetryAfter(errkind.InProgress, 0, "the call has run; retry with the same key for its response")
 	}
 	return closed
 }
--- a/internal/sidecar/gate.go
+++ b/internal/sidecar/gate.go
@@ -107,7 +107,7 @@
 		return errkind.New(errkind.Leaving, "the target is leaving")
 	}
 	if notBefore, blocked := g.breaker.Blocked(g.now()); blocked {
-		return errkind.After(errkind.BreakerOpen, notBefore-g.now(), "the target failed repeatedly")
+		return errkind.NewRetryAfter(errkind.BreakerOpen, notBefore-g.now(), "the target failed repeatedly")
 	}
 	return nil
 }
@@ -155,7 +155,7 @@
 	}
 	permit, ok, notBefore := g.breaker.Acquire(g.now())
 	if !ok {
-		return nil, errkind.After(errkind.BreakerOpen, notBefore-g.now(), "the target failed repeatedly")
+		return nil, errkind.NewRetryAfter(errkind.BreakerOpen, notBefore-g.now(), "the target failed repeatedly")
 	}
 	matched := g.matchedTokens(req)
 	prefill := g.prefillTime(req.PromptTokens - matched)
--- a/internal/sidecar/loader.go
+++ b/internal/sidecar/loader.go
@@ -28,7 +28,7 @@
 // once its engine reports that it is not loading.
 type loader struct {
 	sidecar   *Sidecar
-	queue     *loadslot.Line
+	queue     *loadslot.Queue
 	nonce     string
 	ioPending bool
 	// lastFence is the highest fencing number sent to the engine.
@@ -45,7 +45,7 @@
 }
 
 func newLoader(s *Sidecar) *loader {
-	return &loader{sidecar: s, queue: loadslot.NewLine()}
+	return &loader{sidecar: s, queue: loadslot.NewQueue()}
 }
 
 // period returns the time to the next step. It is safe for concurrent use.
@@ -75,8 +75,8 @@
 		return
 	}
 	l.ioPending = true
-	stream := loadslot.StreamOf(a.service.Name)
-	from := l.queue.Next()
+	stream := loadslot.StreamName(a.service.Name)
+	from := l.queue.NextOffset()
 	control.Do(s.loop, ioTimeout, func(ctx context.Context) (*external.Page, error) {
 		return s.log.Read(ctx, stream, from)
 	}, func(page *external.Page, err error) {
@@ -85,7 +85,7 @@
 			s.metrics.LogError("read")
 			return
 		}
-		l.queue.Read(page)
+		l.queue.Apply(page)
 		l.advance(a, stream, engine)
 	})
 }
@@ -94,7 +94,7 @@
 // a ticket, wait for a slot, order the load, or release the ticket.
 func (l *loader) advance(a assignment, stream string, engine external.EngineStatus) {
 	name := l.sidecar.settings.Name
-	if stale := l.queue.StaleOf(name, l.nonce); len(stale) > 0 {
+	if stale := l.queue.StaleNonces(name, l.nonce); len(stale) > 0 {
 		l.append(stream, loadslot.Record{Type: loadslot.TypeRelease, Target: name, Nonce: stale[0]})
 		return
 	}
@@ -107,7 +107,7 @@
 		l.append(stream, loadslot.Record{Type: loadslot.TypeAcquire, Target: name, Nonce: l.nonce})
 		return
 	}
-	ticket, held := l.queue.Ticket(l.nonce)
+	ticket, held := l.queue.TicketOffset(l.nonce)
 	switch {
 	case engine.Weights == a.model.Weights && held:
 		l.failedAt = time.Time{}
@@ -118,7 +118,7 @@
 		l.append(stream, loadslot.Record{Type: loadslot.TypeAcquire, Target: name, Nonce: l.nonce})
 	case !l.failedAt.IsZero():
 		l.requeue(stream)
-	case l.queue.Holds(l.nonce, a.service.MaxLoads, isListed(a)) && l.drained():
+	case l.queue.MayLoad(l.nonce, a.service.MaxLoads, isListed(a)) && l.drained():
 		l.sendOrder(a, ticket)
 	}
 }
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -191,13 +191,13 @@
 
 func (p *pump) completeTicket() {
 	if p.ticket != nil {
-		p.ticket.Done(once.Answer{Status: 200, ContentType: "text/plain", Body: p.text})
+		p.ticket.Complete(once.Response{Status: 200, ContentType: "text/plain", Body: p.text})
 	}
 }
 
 func (p *pump) loseTicket() {
 	if p.ticket != nil {
-		p.ticket.Lost()
+		p.ticket.Abandon()
 	}
 }
 
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -36,7 +36,7 @@
 func (s *Sidecar) assignment() (assignment, *errkind.Error) {
 	snapshot, ok := s.board.Config.Get()
 	if !ok {
-		return assignment{}, errkind.After(errkind.ConfigurationMissing, time.Second, "")
+		return assignment{}, errkind.NewRetryAfter(errkind.ConfigurationMissing, time.Second, "")
 	}
 	service, _ := snapshot.Config.FindTarget(s.settings.Name)
 	if service == nil {
@@ -57,7 +57,7 @@
 	loaded, _ := s.board.Engine.Get()
 	if loaded.Weights != weights || loaded.Loading {
 		const loadRetry = 200 * time.Millisecond
-		return errkind.After(errkind.WrongWeights, loadRetry, "the engine has %q loaded, requested %q", loaded.Weights, weights)
+		return errkind.NewRetryAfter(errkind.WrongWeights, loadRetry, "the engine has %q loaded, requested %q", loaded.Weights, weights)
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 }
 
 // replayRun returns a finished run with a recorded answer, or nil.
-func replayRun(answer *once.Answer, key runKey) *run {
+func replayRun(answer *once.Response, key runKey) *run {
 	if answer == nil {
 		return nil
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -103,7 +103,7 @@
 		gate:    NewGate(limits, s.Cache.MaxBlocks, s.Target.PrefillTokensPerSecond, clock),
 		runs:    newRuns(),
 		board:   &Board{},
-		loop:    control.NewLoop(s.Seed, d.Metrics.Control),
+		loop:    control.NewLoop(s.Seed, d.Metrics.ControlTime),
 		ledgers: map[string]*once.Ledger{},
 		ctx:     ctx, stop: stop,
 	}
@@ -218,6 +218,6 @@
 	s.ledgerMu.Lock()
 	defer s.ledgerMu.Unlock()
 	for _, l := range s.ledgers {
-		l.Forget(onceTerms(a.service))
+		l.DropExpired(onceTerms(a.service))
 	}
 }
