--- a/cmd/toucanwell/replay.go
+++ b/cmd/toucanwell/replay.go
@@ -169,10 +169,10 @@
 }
 
 // parseFactors parses one factor per class, separated by slashes.
-func parseFactors(text string) (factors [config.Classes]float64, err error) {
+func parseFactors(text string) (factors [config.NumClasses]float64, err error) {
 	fields := strings.Split(text, "/")
-	if len(fields) != config.Classes {
-		return factors, errors.Newf("%d factors given, %d required, separated by /", len(fields), config.Classes)
+	if len(fields) != config.NumClasses {
+		return factors, errors.Newf("%d factors given, %d required, separated by /", len(fields), config.NumClasses)
 	}
 	for i, field := range fields {
 		if factors[i], err = strconv.ParseFloat(field, 64); err != nil {
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// The windows of a report.
+// Windows of a report.
 const (
 	FastWindow = 5 * time.Minute
 	SlowWindow = time.Hour
 )
 
-// Goal is the share of good requests that an objective asks for.
+// Goal is the fraction of good requests that an objective requires.
 type Goal struct {
 	Service string
 	Class   string
 	Goal    float64
 }
 
-// Row is one line of a report.
+// Row is a row of a report.
 type Row struct {
 	Key
 	Goal float64 `json:"goal"`
 	// Good and Bad requests in the slow window.
 	Good int64 `json:"good"`
 	Bad  int64 `json:"bad"`
-	// FastBurn and SlowBurn are how many times faster than allowed the error
-	// budget burns in the window; 1 uses it up exactly.
+	// FastBurn and SlowBurn are the burn rates in the two windows. A rate of 1 uses
+	// up the error budget exactly.
 	FastBurn float64 `json:"fast_burn"`
 	SlowBurn float64 `json:"slow_burn"`
-	// BudgetLeft is the part of the slow window's error budget that is left;
-	// below 0 it is overspent.
+	// BudgetLeft is the remaining fraction of the error budget of the slow window.
+	// It is negative if the budget is exceeded.
 	BudgetLeft float64 `json:"budget_left"`
 }
 
-// AllWorkspaces stands in a row that sums over workspaces.
+// AllWorkspaces is the workspace of a row that sums over all workspaces.
 const AllWorkspaces = "*"
 
-// Report works out the rows for each objective: one over all workspaces and
-// one for each workspace.
+// Report returns the rows for each goal: one for all workspaces together and one
+// for each workspace.
 func Report(goals []Goal, counts []Count, now time.Time) []Row {
-	sums := map[Key]*sum{}
+	sums := map[Key]*windowCounts{}
 	for _, c := range counts {
 		for _, workspace := range []string{AllWorkspaces, c.Workspace} {
 			key := Key{c.Service, c.Class, workspace}
 			if sums[key] == nil {
-				sums[key] = &sum{}
+				sums[key] = &windowCounts{}
 			}
 			sums[key].add(c, now)
 		}
@@ -64,12 +64,12 @@
 	return rows
 }
 
-type sum struct {
+type windowCounts struct {
 	fastGood, fastBad int64
 	slowGood, slowBad int64
 }
 
-func (s *sum) add(c Count, now time.Time) {
+func (s *windowCounts) add(c Count, now time.Time) {
 	age := now.Sub(time.Unix(c.Minute*60, 0))
 	if age < SlowWindow {
 		s.slowGood += c.Good
@@ -81,15 +81,15 @@
 	}
 }
 
-func (s *sum) row(key Key, goal float64) Row {
-	slow := rate(s.slowGood, s.slowBad, goal)
+func (s *windowCounts) row(key Key, goal float64) Row {
+	slow := burnRate(s.slowGood, s.slowBad, goal)
 	return Row{
 		Key: key, Goal: goal, Good: s.slowGood, Bad: s.slowBad,
-		FastBurn: rate(s.fastGood, s.fastBad, goal), SlowBurn: slow, BudgetLeft: 1 - slow,
+		FastBurn: burnRate(s.fastGood, s.fastBad, goal), SlowBurn: slow, BudgetLeft: 1 - slow,
 	}
 }
 
-func rate(good, bad int64, goal float64) float64 {
+func burnRate(good, bad int64, goal float64) float64 {
 	if good+bad == 0 {
 		return 0
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -13,16 +13,15 @@
 )
 
 const (
-	schemaKnown    = 1
-	maxLoadsBound  = 64
+	schemaVersion  = 1
+	maxLoadsLimit  = 64
 	maxBlockTokens = 4096
 	maxTextBytes   = 1 << 20
 	sha256Bytes    = 32
 )
 
-// Parse checks a text whole. The error lists every problem found, each with
-// the file, the line where it can be told, the key, what was found and what is
-// allowed. name stands for the file.
+// Parse parses and validates a text. The error lists all problems, each with the
+// file name, the line if known, the key, the value found and the values allowed.
 func Parse(name, text string) (*Config, error) {
 	if len(text) > maxTextBytes {
 		return nil, errors.Newf("%s: %d bytes found; allowed are %d", name, len(text), maxTextBytes)
@@ -31,7 +30,7 @@
 	if err := tomltext.Decode(name, text, c); err != nil {
 		return nil, err
 	}
-	c.fillDefaults()
+	c.setDefaults()
 	k := &checker{file: name, lines: strings.Split(text, "\n"), config: c}
 	k.run()
 	if len(k.problems) > 0 {
@@ -51,15 +50,15 @@
 		c.models[c.Models[i].Name] = &c.Models[i]
 	}
 	c.workspaces = make(map[string]*Workspace, len(c.Workspaces))
-	c.tokens = make(map[string]*Workspace, len(c.Workspaces))
+	c.byTokenDigest = make(map[string]*Workspace, len(c.Workspaces))
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
 		c.workspaces[w.Name] = w
-		c.tokens[strings.ToLower(w.TokenSHA256)] = w
+		c.byTokenDigest[strings.ToLower(w.TokenSHA256)] = w
 	}
 }
 
-// checker gathers the problems of one text.
+// checker collects the problems of a text.
 type checker struct {
 	file     string
 	lines    []string
@@ -67,8 +66,8 @@
 	problems []string
 }
 
-// lineOf returns the first line that holds the quoted value, or 0. Names are
-// unique, so that the line of a name is the line of its table.
+// lineOf returns the first line that contains the quoted value, or 0. Names are
+// unique, so the line of a name is usually in its table.
 func (k *checker) lineOf(value string) int {
 	if value == "" {
 		return 0
@@ -82,17 +81,17 @@
 	return 0
 }
 
-func (k *checker) report(near, key, format string, args ...any) {
-	place := k.file
-	if line := k.lineOf(near); line > 0 {
-		place = fmt.Sprintf("%s:%d", k.file, line)
+func (k *checker) report(nearValue, key, format string, args ...any) {
+	position := k.file
+	if line := k.lineOf(nearValue); line > 0 {
+		position = fmt.Sprintf("%s:%d", k.file, line)
 	}
-	k.problems = append(k.problems, fmt.Sprintf("%s: %s: %s", place, key, fmt.Sprintf(format, args...)))
+	k.problems = append(k.problems, fmt.Sprintf("%s: %s: %s", position, key, fmt.Sprintf(format, args...)))
 }
 
 func (k *checker) run() {
-	if k.config.Schema != schemaKnown {
-		k.report("", "schema", "%d found; allowed is %d", k.config.Schema, schemaKnown)
+	if k.config.Schema != schemaVersion {
+		k.report("", "schema", "%d found; allowed is %d", k.config.Schema, schemaVersion)
 	}
 	zones := k.checkRegions()
 	k.checkServices(zones)
@@ -113,7 +112,7 @@
 		regions[r.Name] = true
 		for _, z := range r.AvailabilityZones {
 			if zones[z] {
-				k.report(z, "region.availability_zones", "%q stands twice", z)
+				k.report(z, "region.availability_zones", "%q is declared twice", z)
 			}
 			zones[z] = true
 		}
@@ -137,11 +136,11 @@
 		for _, t := range s.Targets {
 			k.checkTarget(s, t, zones)
 			if targets[t.Name] {
-				k.report(t.Name, "service.target.name", "%q stands twice", t.Name)
+				k.report(t.Name, "service.target.name", "%q is declared twice", t.Name)
 			}
 			targets[t.Name] = true
 			if other, taken := addresses[t.Address]; taken {
-				k.report(t.Name, "service.target.address", "%q is the address of %q already", t.Address, other)
+				k.report(t.Name, "service.target.address", "%q is already the address of %q", t.Address, other)
 			}
 			addresses[t.Address] = t.Name
 		}
@@ -163,8 +162,8 @@
 	if !slices.Contains(kinds, s.Kind) {
 		k.report(s.Name, "service.kind", `%q found; allowed are "engine", "plain" and "kv"`, s.Kind)
 	}
-	if s.MaxLoads < 1 || s.MaxLoads > maxLoadsBound {
-		k.report(s.Name, "service.max_loads", "%d found; allowed are 1 to %d", s.MaxLoads, maxLoadsBound)
+	if s.MaxLoads < 1 || s.MaxLoads > maxLoadsLimit {
+		k.report(s.Name, "service.max_loads", "%d found; allowed are 1 to %d", s.MaxLoads, maxLoadsLimit)
 	}
 	if s.BlockTokens < 1 || s.BlockTokens > maxBlockTokens {
 		k.report(s.Name, "service.block_tokens", "%d found; allowed are 1 to %d", s.BlockTokens, maxBlockTokens)
@@ -173,7 +172,7 @@
 		k.report(s.Name, "service.opaque_keys", "true found without at_most_once; it speaks of at_most_once services only")
 	}
 	if s.Kind == KindKV && s.AtMostOnce {
-		k.report(s.Name, "service.at_most_once", "true found; a kv service takes no calls")
+		k.report(s.Name, "service.at_most_once", "true found; a kv service has no calls")
 	}
 }
 
@@ -189,38 +188,37 @@
 	}
 }
 
-// checkCycles walks the dependencies depth first and reports each cycle where
-// it closes.
+// checkCycles reports dependency cycles, found by a depth-first search.
 func (k *checker) checkCycles() {
 	const (
-		unseen = iota
-		open
-		closed
+		unvisited = iota
+		visiting
+		visited
 	)
-	needs := map[string][]string{}
+	dependencies := map[string][]string{}
 	for _, s := range k.config.Services {
-		needs[s.Name] = s.DependsOn
+		dependencies[s.Name] = s.DependsOn
 	}
 	state := map[string]int{}
-	var walk func(name string, path []string)
-	walk = func(name string, path []string) {
+	var visit func(name string, path []string)
+	visit = func(name string, path []string) {
 		path = append(path, name)
-		if state[name] == open {
+		if state[name] == visiting {
 			start := slices.Index(path, name)
 			k.report(name, "service.depends_on", "cycle %s", strings.Join(path[start:], " -> "))
 			return
 		}
-		if state[name] == closed {
+		if state[name] == visited {
 			return
 		}
-		state[name] = open
-		for _, d := range needs[name] {
-			walk(d, path)
+		state[name] = visiting
+		for _, d := range dependencies[name] {
+			visit(d, path)
 		}
-		state[name] = closed
+		state[name] = visited
 	}
 	for _, s := range k.config.Services {
-		walk(s.Name, nil)
+		visit(s.Name, nil)
 	}
 }
 
@@ -249,7 +247,7 @@
 	}
 	for _, s := range k.config.Services {
 		if s.Kind == KindEngine && served[s.Name] == "" {
-			k.report(s.Name, "model", "no model names the engine service %q", s.Name)
+			k.report(s.Name, "model", "no model uses the engine service %q", s.Name)
 		}
 	}
 }
@@ -267,7 +265,7 @@
 			k.report(w.Name, "workspace.token_sha256", "%q found; allowed are 64 hex digits", w.TokenSHA256)
 		}
 		if tokens[w.TokenSHA256] {
-			k.report(w.Name, "workspace.token_sha256", "stands twice; each workspace has a token of its own")
+			k.report(w.Name, "workspace.token_sha256", "duplicate; each workspace needs its own token")
 		}
 		tokens[w.TokenSHA256] = true
 		if w.Weight <= 0 {
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -15,28 +15,28 @@
 	"github.com/toucanwell/toucanwell/internal/standin"
 )
 
-// slowLog takes several polls' time for an append.
-type slowLog struct{ *standin.Log }
+// slowAppendLog delays each append by several poll periods.
+type slowAppendLog struct{ *standin.Log }
 
-func (l *slowLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
+func (l *slowAppendLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	time.Sleep(4 * time.Second)
 	return l.AppendRecord(stream, data), nil
 }
 
-func (l *slowLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
+func (l *slowAppendLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
 	return l.ReadPage(stream, from), nil
 }
 
-// The only copy of the configuration grows old while the log is slow. The
-// process that carries it forward must not do so again at each poll meanwhile.
-func TestSlowCarryIsNotRepeated(t *testing.T) {
+// Guards against a process that republishes again at each poll while the first
+// append is slow.
+func TestSlowRepublishIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &slowLog{standin.NewLog()}
-		appendRecord(t, log.Log, Record{Type: TypePublish, Nonce: "a", Text: textNumber(1)})
+		log := &slowAppendLog{standin.NewLog()}
+		appendRecord(t, log.Log, Record{Type: TypePublish, Nonce: "a", Text: configText(1)})
 		loop := control.NewLoop(1, func(time.Duration) {})
 		f := NewFollower(loop, log, &blackboard.Fact[Snapshot]{}, FollowerOptions{
 			LogPolls: 20, SyncPeriod: time.Second, Retention: time.Minute, Client: &http.Client{}, Logger: logr.Discard(),
-			LogError: func(string) {}, InForce: func(Snapshot) {},
+			LogError: func(string) {}, OnChange: func(Snapshot) {},
 		})
 		done := make(chan struct{})
 		go func() {
@@ -48,7 +48,7 @@
 		loop.Stop()
 		<-done
 		if n := len(log.ReadPage(Stream, 1).Records) - 1; n != 1 {
-			t.Errorf("carried %d times", n)
+			t.Errorf("republished %d times, want 1", n)
 		}
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs one process of the system: the role that its settings
-// name, its listeners, and its planned stop.
+// Package daemon runs a process of the system: the role given in its settings, its
+// listeners and its graceful shutdown.
 package daemon
 
 import (
@@ -35,14 +35,14 @@
 	peerPingTimeout   = time.Second
 )
 
-// role is what the two roles have in common.
+// role is an entry or a sidecar.
 type role interface {
 	Start()
 	Handler() http.Handler
 	Close()
 }
 
-// Daemon is one process.
+// Daemon is a running process.
 type Daemon struct {
 	settings *settings.Settings
 	logger   logr.Logger
@@ -50,17 +50,16 @@
 	drain    func(ctx context.Context)
 	traffic  *http.Server
 	admin    *http.Server
-	// datagrams sends or answers probes.
-	datagrams io.Closer
-	peers     *http.Client
-	platform  *http.Client
-	draining  atomic.Bool
-	failed    chan error
+	// probes is the probe client of an entry or the probe server of a sidecar.
+	probes   io.Closer
+	peers    *http.Client
+	platform *http.Client
+	draining atomic.Bool
+	failed   chan error
 }
 
-// New builds the process and binds its listeners. Binding comes before
-// anything else: the listening address is the proof that no earlier process of
-// this name is alive.
+// New binds the listeners and starts the process. It binds first, because owning
+// the listen address proves that no earlier process of this name is running.
 func New(s *settings.Settings, logOutput io.Writer) (*Daemon, error) {
 	d := &Daemon{
 		settings: s, logger: logging.New(logOutput, s.Name),
@@ -117,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	d.datagrams = prober
+	d.probes = prober
 	deps := entry.Deps{Log: log, Peers: d.peers, Prober: prober, Logger: d.logger, Metrics: m}
 	if d.settings.Platform.HostsURL != "" {
 		deps.Hosts = external.NewHTTPHosts(d.settings.Platform.HostsURL, d.platform)
@@ -132,9 +131,9 @@
 	mux.Handle(e.PeerHandler())
 	process.Burn = e.Burn()
 	process.InFlight = e.InFlight
-	process.Config = textInForce(e.Board().Config.Get)
+	process.Config = activeConfig(e.Board().Config.Get)
 	process.Ready = e.Ready
-	process.Targets = listing(func() []routing.Target {
+	process.Targets = adminTargets(func() []routing.Target {
 		view, _ := e.Board().View.Get()
 		var all []routing.Target
 		for _, targets := range view.Services {
@@ -156,19 +155,19 @@
 	d.drain = s.Drain
 	d.traffic = newServer(s.Handler())
 	process.InFlight = s.InFlight
-	process.Config = textInForce(s.Board().Config.Get)
+	process.Config = activeConfig(s.Board().Config.Get)
 	process.Ready = s.Ready
-	process.Targets = listing(func() []routing.Target { return targetsOf(s.Board().Config.Get()) })
+	process.Targets = adminTargets(func() []routing.Target { return configuredTargets(s.Board().Config.Get()) })
 	server, err := probe.NewServer(d.settings.Listen, s.Probe)
 	if err != nil {
 		return err
 	}
-	d.datagrams = server
+	d.probes = server
 	return nil
 }
 
-// textInForce reads the version and the text off a snapshot.
-func textInForce(get func() (configlog.Snapshot, bool)) func() (int64, string, bool) {
+// activeConfig returns a function that returns the version and text in force.
+func activeConfig(get func() (configlog.Snapshot, bool)) func() (int64, string, bool) {
 	return func() (int64, string, bool) {
 		s, ok := get()
 		return int64(s.Version), s.Text, ok
@@ -181,8 +180,8 @@
 	routing.Suspect: oas.TargetStateSuspect,
 }
 
-// listing turns targets into those of the administration API.
-func listing(targets func() []routing.Target) func() []oas.Target {
+// adminTargets converts targets to those of the administration API.
+func adminTargets(targets func() []routing.Target) func() []oas.Target {
 	return func() []oas.Target {
 		var all []oas.Target
 		for _, t := range targets() {
@@ -192,7 +191,7 @@
 	}
 }
 
-func targetsOf(snapshot configlog.Snapshot, ok bool) []routing.Target {
+func configuredTargets(snapshot configlog.Snapshot, ok bool) []routing.Target {
 	if !ok {
 		return nil
 	}
@@ -217,13 +216,12 @@
 	go func() { d.failed <- d.admin.Serve(adminListener) }()
 }
 
-// Failed yields the error of a listener that ended by itself.
+// Failed returns a channel with the errors of listeners that stopped.
 func (d *Daemon) Failed() <-chan error { return d.failed }
 
-// Stop is the planned stop: not ready at once, so that the balancer and the
-// entries turn away; then, after a moment in which late requests are still
-// taken, the end of what runs; then the end of the process. No request is cut
-// that ends within the drain timeout.
+// Stop shuts the process down gracefully. It reports not ready at once, accepts
+// late requests for the drain delay, waits for running requests and then closes
+// the process. Requests that end within the drain timeout complete.
 func (d *Daemon) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Timing.DrainTimeout.Duration)
 	defer cancel()
@@ -243,17 +241,17 @@
 	d.logger.Info("stopped")
 }
 
-// Close ends the process at once.
+// Close stops the process immediately.
 func (d *Daemon) Close() {
 	_ = d.traffic.Close()
 	_ = d.admin.Close()
-	_ = d.datagrams.Close()
+	_ = d.probes.Close()
 	d.role.Close()
 	d.peers.CloseIdleConnections()
 	d.platform.CloseIdleConnections()
 }
 
-// newServer returns a server of HTTP/1.1 and HTTP/2 without TLS.
+// newServer returns a server for HTTP/1.1 and unencrypted HTTP/2.
 func newServer(h http.Handler) *http.Server {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -262,8 +260,8 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, Protocols: protocols}
 }
 
-// newPeerClient returns a client that keeps one HTTP/2 connection for each
-// peer. Pings find a connection whose other end was cut off or is frozen.
+// newPeerClient returns a client that uses one HTTP/2 connection per peer. Pings
+// detect connections to unreachable or frozen peers.
 func newPeerClient() *http.Client {
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
--- a/internal/external/http.go
+++ b/internal/external/http.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	maxAnswerBytes  = 64 << 20
-	maxTokenBytes   = 1 << 20
-	idleConnections = 64
-	dialTimeout     = 2 * time.Second
+	maxResponseBytes = 64 << 20
+	maxTokenBytes    = 1 << 20
+	idleConnections  = 64
+	dialTimeout      = 2 * time.Second
 )
 
-// NewHTTPClient returns a client whose dial errors read as ErrNotSent.
+// NewHTTPClient returns an HTTP client whose dial errors are recognized as
+// ErrNotSent by the types of this package.
 func NewHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -33,9 +34,9 @@
 	}}
 }
 
-// notSent marks an error that stopped the call before it left. Only a failed
-// dial counts: once a connection stands, a lost answer may hide an effect.
-func notSent(err error) error {
+// markNotSent marks dial errors as ErrNotSent. After other errors the call may have
+// taken effect.
+func markNotSent(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return errors.Mark(err, ErrNotSent)
@@ -48,7 +49,7 @@
 	http *http.Client
 }
 
-// statusError is an answer outside 2xx.
+// statusError is a response with a status other than 2xx.
 type statusError struct {
 	status int
 	body   string
@@ -64,7 +65,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(notSent(err), path)
+		return nil, errors.Wrap(markNotSent(err), path)
 	}
 	if resp.StatusCode/100 != 2 {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1024))
@@ -84,7 +85,7 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return errors.Wrap(err, path)
 	}
-	dec := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes))
+	dec := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes))
 	return errors.Wrap(dec.Decode(out), path)
 }
 
@@ -96,7 +97,7 @@
 	return c.call(ctx, http.MethodPost, path, bytes.NewReader(data), out)
 }
 
-func statusOf(err error) int {
+func statusCode(err error) int {
 	var s *statusError
 	if errors.As(err, &s) {
 		return s.status
@@ -107,7 +108,7 @@
 // HTTPLog is a Log over HTTP.
 type HTTPLog struct{ c jsonClient }
 
-// NewHTTPLog returns a Log at a base URL.
+// NewHTTPLog returns a client for the Log at a base URL.
 func NewHTTPLog(base string, client *http.Client) *HTTPLog {
 	return &HTTPLog{jsonClient{base, client}}
 }
@@ -133,7 +134,7 @@
 // HTTPHosts is a Hosts over HTTP.
 type HTTPHosts struct{ c jsonClient }
 
-// NewHTTPHosts returns a Hosts at a base URL.
+// NewHTTPHosts returns a client for the Hosts at a base URL.
 func NewHTTPHosts(base string, client *http.Client) *HTTPHosts {
 	return &HTTPHosts{jsonClient{base, client}}
 }
@@ -147,10 +148,10 @@
 	return out.Hosts, err
 }
 
-// HTTPEngine is an Engine over HTTP; its streams are server-sent events.
+// HTTPEngine is an Engine over HTTP. Its streams use server-sent events.
 type HTTPEngine struct{ c jsonClient }
 
-// NewHTTPEngine returns an Engine at a base URL.
+// NewHTTPEngine returns a client for the Engine at a base URL.
 func NewHTTPEngine(base string, client *http.Client) *HTTPEngine {
 	return &HTTPEngine{jsonClient{base, client}}
 }
@@ -162,26 +163,26 @@
 		return nil, errors.Mark(err, ErrNotSent)
 	}
 	resp, err := e.c.do(ctx, http.MethodPost, "/v1/generate", bytes.NewReader(data))
-	if statusOf(err) == http.StatusConflict {
+	if statusCode(err) == http.StatusConflict {
 		return nil, errors.Mark(err, ErrWrongWeights)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return newSSE(resp.Body), nil
+	return newSSEStream(resp.Body), nil
 }
 
 // Resume implements Engine.
 func (e *HTTPEngine) Resume(ctx context.Context, requestID string, from uint64) (TokenStream, error) {
 	path := fmt.Sprintf("/v1/generate/%s?from=%d", url.PathEscape(requestID), from)
 	resp, err := e.c.do(ctx, http.MethodGet, path, nil)
-	if statusOf(err) == http.StatusNotFound {
+	if statusCode(err) == http.StatusNotFound {
 		return nil, errors.Mark(err, ErrUnknownStream)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return newSSE(resp.Body), nil
+	return newSSEStream(resp.Body), nil
 }
 
 // Cancel implements Engine.
@@ -196,37 +197,37 @@
 	return page, err
 }
 
-// Load implements Engine.
-func (e *HTTPEngine) Load(ctx context.Context) (*Load, error) {
-	load := &Load{}
-	err := e.c.call(ctx, http.MethodGet, "/v1/load", nil, load)
-	return load, err
+// Status implements Engine.
+func (e *HTTPEngine) Status(ctx context.Context) (*EngineStatus, error) {
+	status := &EngineStatus{}
+	err := e.c.call(ctx, http.MethodGet, "/v1/load", nil, status)
+	return status, err
 }
 
-// Order implements Engine.
-func (e *HTTPEngine) Order(ctx context.Context, order Order) error {
+// LoadWeights implements Engine.
+func (e *HTTPEngine) LoadWeights(ctx context.Context, order LoadOrder) error {
 	err := e.c.post(ctx, "/v1/orders", order, nil)
-	if statusOf(err) == http.StatusPreconditionFailed {
+	if statusCode(err) == http.StatusPreconditionFailed {
 		return errors.Mark(err, ErrStaleFence)
 	}
 	return err
 }
 
-// sse reads "data: {json}" events.
-type sse struct {
+// sseStream reads server-sent events with a JSON token each.
+type sseStream struct {
 	body  io.ReadCloser
 	lines *bufio.Scanner
 	ended bool
 }
 
-func newSSE(body io.ReadCloser) *sse {
+func newSSEStream(body io.ReadCloser) *sseStream {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 4096), maxTokenBytes)
-	return &sse{body: body, lines: lines}
+	return &sseStream{body: body, lines: lines}
 }
 
 // Next implements TokenStream.
-func (s *sse) Next() (Token, error) {
+func (s *sseStream) Next() (Token, error) {
 	if s.ended {
 		return Token{}, io.EOF
 	}
@@ -249,19 +250,19 @@
 }
 
 // Close implements TokenStream.
-func (s *sse) Close() error { return s.body.Close() }
+func (s *sseStream) Close() error { return s.body.Close() }
 
 // HTTPPlain is a Plain over HTTP.
 type HTTPPlain struct{ c jsonClient }
 
-// NewHTTPPlain returns a Plain at a base URL.
+// NewHTTPPlain returns a client for the Plain at a base URL.
 func NewHTTPPlain(base string, client *http.Client) *HTTPPlain {
 	return &HTTPPlain{jsonClient{base, client}}
 }
 
-// Call implements Plain. It follows no redirect and sends each call once: the
-// request has no GetBody and a pooled connection's early close is an error, so
-// that net/http never repeats it.
+// Call implements Plain. It does not follow redirects and sends each call once:
+// without GetBody, net/http does not retry the request when a pooled connection
+// was closed.
 func (p *HTTPPlain) Call(ctx context.Context, in *PlainRequest) (*PlainResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, in.Timeout)
 	defer cancel()
@@ -277,12 +278,12 @@
 	}
 	resp, err := p.c.http.Transport.RoundTrip(req)
 	if err != nil {
-		return nil, errors.Wrap(notSent(err), "plain call")
+		return nil, errors.Wrap(markNotSent(err), "plain call")
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "plain answer")
+		return nil, errors.Wrap(err, "plain response")
 	}
 	return &PlainResponse{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/gateway/quarantinesync.go
+++ b/internal/gateway/quarantinesync.go
@@ -188,7 +188,7 @@
 		}
 		p.logger.Info("quarantine_not_read", "error", err.Error())
 		p.loop.Go(func(ctx context.Context) {
-			if sleep.For(ctx, p.loop.Spread(quarantineRetryDelay)) {
+			if sleep.For(ctx, p.loop.Jitter(quarantineRetryDelay)) {
 				p.loop.Post(s.load)
 			}
 		})
@@ -274,7 +274,7 @@
 		}
 		p.logger.Info("quarantine_not_kept", "print", fingerprint, "error", err.Error())
 		p.loop.Go(func(ctx context.Context) {
-			if sleep.For(ctx, p.loop.Spread(quarantineRetryDelay)) {
+			if sleep.For(ctx, p.loop.Jitter(quarantineRetryDelay)) {
 				p.loop.Post(func() { s.storeCurrent(fingerprint) })
 			}
 		})
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -93,7 +93,7 @@
 
 // hasSuccessor reports whether another entry accepts callers.
 func (p *process) hasSuccessor(ctx context.Context) bool {
-	found, ok := control.Ask(ctx, p.loop, func() bool {
+	found, ok := control.Call(ctx, p.loop, func() bool {
 		return slices.ContainsFunc(p.state.mesh.Live(true), func(m *mesh.Member) bool {
 			return acceptsCallers(m, p.state.stoppingSince, p.clock.Now())
 		})
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -104,7 +104,7 @@
 
 func (e *engine) finish(j *job) {
 	delete(e.running, j)
-	j.pass.Leave(breaker.Success)
+	j.pass.Release(breaker.Success)
 	e.replay.openRequests--
 	e.applyDecisions()
 }
@@ -144,7 +144,7 @@
 	clear(e.running)
 	e.gate.ApplyEvents(&external.EventPage{Incarnation: strconv.Itoa(e.incarnation), First: 1})
 	for _, j := range lost {
-		j.pass.Leave(breaker.Neutral)
+		j.pass.Release(breaker.Neutral)
 		r.retry(j, errkind.TargetFailed)
 	}
 	if e.dead {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -139,7 +139,7 @@
 	attempts int
 	excluded map[int]bool
 	engine   int
-	pass     *sidecar.Pass
+	pass     *sidecar.Admission
 	// gotFirstToken is set once the caller has received the first token.
 	gotFirstToken bool
 }
@@ -229,17 +229,17 @@
 	})
 }
 
-func (r *Replay) work(j *job) sidecar.Work {
+func (r *Replay) work(j *job) sidecar.GateRequest {
 	budget := time.Duration(j.record.DeadlineMs)*time.Millisecond - (r.now - j.arrived)
-	return sidecar.Work{
+	return sidecar.GateRequest{
 		Workspace: j.record.Workspace, Weight: r.setup.Weights[j.record.Workspace], Class: j.class,
 		Blocks: j.record.HashIDs, BlockTokens: j.record.BlockTokens, PromptTokens: j.record.InputLength,
 		MaxTokens: j.record.OutputLength, Budget: budget,
 	}
 }
 
-func (r *Replay) probeInput(j *job) sidecar.Question {
-	return sidecar.Question{
+func (r *Replay) probeInput(j *job) sidecar.QuoteInput {
+	return sidecar.QuoteInput{
 		Workspace: probe.WorkspaceHash(j.record.Workspace), Class: j.class, PromptTokens: j.record.InputLength,
 		Points: prefix.PointsAt(j.record.HashIDs, j.record.PrefixLevels, j.record.BlockTokens),
 	}
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -18,7 +18,7 @@
 type Result struct {
 	Policy string
 	// TTFT holds the times to first token in microseconds, by class.
-	TTFT [config.Classes]*hdrhistogram.Histogram
+	TTFT [config.NumClasses]*hdrhistogram.Histogram
 	// Requests counts the requests after the warm-up, Answered those that received a first
 	// token, and InTime those that received it before their deadline.
 	Requests, Answered, InTime int
