--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -83,19 +83,19 @@
 // Sidecars probes engines through their sidecars, and reports the prompts sent there to
 // them.
 type Sidecars interface {
-	// Ask returns the answers in the order of engines, and which of the engines answered.
-	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Response, []bool)
-	// Sent reports a send and returns the ID under which its progress is to be reported.
-	Sent(engine netip.AddrPort, s probe.Send) uint32
-	Progressed(engine netip.AddrPort, number uint32, p probe.Progress)
+	// Probe returns the responses in the order of engines, and which of the engines responded.
+	Probe(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Response, []bool)
+	// NotifySend reports a send and returns the ID under which its progress is to be reported.
+	NotifySend(engine netip.AddrPort, s probe.Send) uint32
+	NotifyProgress(engine netip.AddrPort, number uint32, p probe.Progress)
 }
 
 // Limits admits requests of workspaces that have a rate limit.
 type Limits interface {
 	Admit(ctx context.Context, r ratelimit.Request) ratelimit.Decision
-	// GiveBack refunds the cost of a request that did not run. Charge deducts the cost
+	// Refund returns the cost of a request that did not run. Charge deducts the cost
 	// again for a request that is sent again after it may have run.
-	GiveBack(r ratelimit.Request, d ratelimit.Decision)
+	Refund(r ratelimit.Request, d ratelimit.Decision)
 	Charge(r ratelimit.Request)
 }
 
--- a/internal/gateway/forward/limited.go
+++ b/internal/gateway/forward/limited.go
@@ -36,7 +36,7 @@
 // refund returns the cost of a request that no target ran.
 func (fl *flow) refund() {
 	if fl.admission.Admitted && fl.runs == 0 {
-		fl.Limits.GiveBack(fl.limitRequest, fl.admission)
+		fl.Limits.Refund(fl.limitRequest, fl.admission)
 	}
 }
 
--- a/internal/gateway/forward/limited_test.go
+++ b/internal/gateway/forward/limited_test.go
@@ -28,7 +28,7 @@
 	return ratelimit.Decision{Admitted: !l.refuse, Source: ratelimit.Coordinated, RetryAfter: 200 * time.Millisecond}
 }
 
-func (l *fixedLimits) GiveBack(r ratelimit.Request, _ ratelimit.Decision) {
+func (l *fixedLimits) Refund(r ratelimit.Request, _ ratelimit.Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refunded += r.Cost
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -114,7 +114,7 @@
 		p.targets = append(p.targets, targets[i])
 		addresses = append(addresses, targets[i].Address)
 	}
-	answers, answered := p.fl.Sidecars.Ask(ctx, addresses, p.fl.sharedParts())
+	answers, answered := p.fl.Sidecars.Probe(ctx, addresses, p.fl.sharedParts())
 	p.answers = append(p.answers, answers...)
 	p.answered = append(p.answered, answered...)
 }
@@ -287,13 +287,13 @@
 	if !dst.probed {
 		return
 	}
-	dst.sendID = fl.Sidecars.Sent(dst.target.Address, probe.Send{
+	dst.sendID = fl.Sidecars.NotifySend(dst.target.Address, probe.Send{
 		Prompt: fl.sharedParts(), WeightVersion: dst.weightsVersion, PrefillTime: time.Duration(dst.slowdown * float64(fl.prefillTime.BlockingTime(dst.choice.PrefillTokens))),
 		Priority: dst.choice.Priority, Memory: dst.choice.CachedTokens + dst.memoryTokens, Offloaded: dst.offloadTo != "",
 		Lifetime: min(fl.timeLeft(), dst.choice.Estimate+time.Duration(fl.request.MaxTokens)*slowTokenTime+lifetimeMargin),
 	})
 	if dst.familyFirst != dst.target.Address && dst.choice.PrefillTokens > fl.request.PromptTokens-fl.sharedTokens() {
-		dst.familyFirstSendID = fl.Sidecars.Sent(dst.familyFirst, probe.Send{Prompt: fl.sharedParts(), WeightVersion: dst.weightsVersion, Offloaded: dst.offloadTo != "", Holder: dst.target.Address})
+		dst.familyFirstSendID = fl.Sidecars.NotifySend(dst.familyFirst, probe.Send{Prompt: fl.sharedParts(), WeightVersion: dst.weightsVersion, Offloaded: dst.offloadTo != "", Holder: dst.target.Address})
 	}
 }
 
@@ -311,9 +311,9 @@
 
 // notifyProgress reports progress to the sidecars that were notified of the send.
 func (fl *flow) notifyProgress(dst *destination, p probe.Progress) {
-	fl.Sidecars.Progressed(dst.target.Address, dst.sendID, p)
+	fl.Sidecars.NotifyProgress(dst.target.Address, dst.sendID, p)
 	if dst.familyFirstSendID != 0 {
-		fl.Sidecars.Progressed(dst.familyFirst, dst.familyFirstSendID, p)
+		fl.Sidecars.NotifyProgress(dst.familyFirst, dst.familyFirstSendID, p)
 	}
 }
 
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -33,7 +33,7 @@
 	return &fakeSidecars{answers: map[netip.AddrPort]probe.Response{}, sends: map[netip.AddrPort][]probe.Send{}, progress: map[netip.AddrPort][]probe.Progress{}}
 }
 
-func (s *fakeSidecars) Ask(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Response, []bool) {
+func (s *fakeSidecars) Probe(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Response, []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probes++
@@ -44,7 +44,7 @@
 	return answers, known
 }
 
-func (s *fakeSidecars) Sent(engine netip.AddrPort, send probe.Send) uint32 {
+func (s *fakeSidecars) NotifySend(engine netip.AddrPort, send probe.Send) uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sends[engine] = append(s.sends[engine], send)
@@ -54,7 +54,7 @@
 	return uint32(len(s.sends[engine]))
 }
 
-func (s *fakeSidecars) Progressed(engine netip.AddrPort, _ uint32, p probe.Progress) {
+func (s *fakeSidecars) NotifyProgress(engine netip.AddrPort, _ uint32, p probe.Progress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.progress[engine] = append(s.progress[engine], p)
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -186,7 +186,7 @@
 	}
 	return &upstream.Request{
 		Method: fl.r.Method, RequestURI: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Retryable(),
+		Header: fl.Protocol.WriteAttempt(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Retryable(),
 		Matches: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
--- a/internal/gateway/probe/client.go
+++ b/internal/gateway/probe/client.go
@@ -76,9 +76,9 @@
 	return c, nil
 }
 
-// Ask probes the sidecars of engines concurrently for a prompt. It returns the responses
+// Probe probes the sidecars of engines concurrently for a prompt. It returns the responses
 // in the order of the engines, and which of them arrived in time.
-func (c *Client) Ask(ctx context.Context, engines []netip.AddrPort, p Prompt) ([]Response, []bool) {
+func (c *Client) Probe(ctx context.Context, engines []netip.AddrPort, p Prompt) ([]Response, []bool) {
 	r, firstID := c.beginRound(engines)
 	message := &peerv1.EngineMessage{Probe: &peerv1.EngineProbe{Parts: encodePrompt(p)}}
 	for i, engine := range engines {
@@ -169,9 +169,9 @@
 	}
 }
 
-// Sent notifies an engine's sidecar of a prompt sent to the engine. It returns the ID
+// NotifySend notifies an engine's sidecar of a prompt sent to the engine. It returns the ID
 // under which the prompt's progress is reported.
-func (c *Client) Sent(engine netip.AddrPort, s Send) uint32 {
+func (c *Client) NotifySend(engine netip.AddrPort, s Send) uint32 {
 	c.mu.Lock()
 	c.lastID++
 	id := c.lastID
@@ -180,8 +180,8 @@
 	return id
 }
 
-// Progressed notifies an engine's sidecar of a prompt's progress.
-func (c *Client) Progressed(engine netip.AddrPort, id uint32, p Progress) {
+// NotifyProgress notifies an engine's sidecar of a prompt's progress.
+func (c *Client) NotifyProgress(engine netip.AddrPort, id uint32, p Progress) {
 	c.send(engine.Addr(), &peerv1.EngineMessage{Id: id, Progress: encodeProgress(p)})
 }
 
--- a/internal/gateway/probe/probe_test.go
+++ b/internal/gateway/probe/probe_test.go
@@ -96,8 +96,8 @@
 		Prompt: prompt, WeightVersion: 3, PrefillTime: 90 * time.Millisecond, Priority: 3, Memory: 9000,
 		Offloaded: true, Holder: netip.MustParseAddrPort("10.0.0.8:8000"), Lifetime: 5 * time.Second,
 	}
-	id := c.Sent(address, send)
-	c.Progressed(address, id, Progress{Ended: true, Outcome: health.Broken})
+	id := c.NotifySend(address, send)
+	c.NotifyProgress(address, id, Progress{Ended: true, Outcome: health.Broken})
 	if p := <-engine.progress; !p.Ended || p.Outcome == health.Good {
 		t.Errorf("progress %+v", p)
 	}
@@ -113,7 +113,7 @@
 // probeUntilReceived retries a probe: on a busy machine datagrams may be late.
 func probeUntilReceived(c *Client, address netip.AddrPort, p Prompt) (Response, bool) {
 	for end := time.Now().Add(waitLimit); time.Now().Before(end); {
-		if responses, received := c.Ask(context.Background(), []netip.AddrPort{address}, p); received[0] {
+		if responses, received := c.Probe(context.Background(), []netip.AddrPort{address}, p); received[0] {
 			return responses[0], true
 		}
 	}
@@ -190,7 +190,7 @@
 	for range 400 {
 		huge.Parts = append(huge.Parts, wire.Part{ID: "0123456789abcdef", Tokens: 100})
 	}
-	if _, received := c.Ask(context.Background(), []netip.AddrPort{address}, huge); received[0] {
+	if _, received := c.Probe(context.Background(), []netip.AddrPort{address}, huge); received[0] {
 		t.Error("the probe got a response")
 	}
 }
@@ -213,10 +213,10 @@
 	engines := []netip.AddrPort{address, address, address, address, address}
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Ask(context.Background(), engines, prompt)
-		id := c.Sent(address, Send{Prompt: prompt})
-		c.Progressed(address, id, Progress{PrefillDone: true})
-		c.Progressed(address, id, Progress{Ended: true})
+		c.Probe(context.Background(), engines, prompt)
+		id := c.NotifySend(address, Send{Prompt: prompt})
+		c.NotifyProgress(address, id, Progress{PrefillDone: true})
+		c.NotifyProgress(address, id, Progress{Ended: true})
 	}
 }
 
--- a/internal/gateway/ratelimit/limiter.go
+++ b/internal/gateway/ratelimit/limiter.go
@@ -267,8 +267,8 @@
 	return Decision{Admitted: resp.Admitted, Source: source, Level: resp.Level, RetryAfter: resp.RetryDelay}
 }
 
-// GiveBack refunds the cost of an admitted request that did not run.
-func (l *Limiter) GiveBack(r Request, d Decision) {
+// Refund returns the cost of an admitted request that did not run.
+func (l *Limiter) Refund(r Request, d Decision) {
 	if !d.Admitted {
 		return
 	}
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -156,7 +156,7 @@
 	return keys
 }
 
-// Sent implements probe.Engine.
+// OnSend implements probe.Engine.
 func (t *Tracker) OnSend(id probe.SendID, s probe.Send) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,7 +179,7 @@
 	t.index.DropUpdates() // a sidecar announces no updates
 }
 
-// Progressed implements probe.Engine. It ignores late or repeated messages, which refer to no
+// OnProgress implements probe.Engine. It ignores late or repeated messages, which refer to no
 // known send.
 func (t *Tracker) OnProgress(id probe.SendID, p probe.Progress) {
 	t.mu.Lock()
--- a/internal/gateway/wire/wire.go
+++ b/internal/gateway/wire/wire.go
@@ -85,9 +85,9 @@
 type Protocol interface {
 	// ReadRequest decodes a caller's headers.
 	ReadRequest(h http.Header) (Request, error)
-	// WriteSend returns the headers of an attempt: those of the caller, without hop-by-hop
+	// WriteAttempt returns the headers of an attempt: those of the caller, without hop-by-hop
 	// headers, secrets and headers that only the router may set, plus those of the attempt.
-	WriteSend(caller http.Header, a Attempt) http.Header
+	WriteAttempt(caller http.Header, a Attempt) http.Header
 	// ReadReply decodes a target's headers.
 	ReadReply(status int, h http.Header) Reply
 	// WriteReply copies a target's headers to the response to the caller.
--- a/internal/gateway/wire/wiretest/wiretest.go
+++ b/internal/gateway/wire/wiretest/wiretest.go
@@ -53,8 +53,8 @@
 	return r, nil
 }
 
-// WriteSend implements wire.Protocol.
-func (Protocol) WriteSend(caller http.Header, a wire.Attempt) http.Header {
+// WriteAttempt implements wire.Protocol.
+func (Protocol) WriteAttempt(caller http.Header, a wire.Attempt) http.Header {
 	h := http.Header{}
 	for _, name := range []string{ID, Model, Prompt, Parts, "Content-Type"} {
 		if value := caller.Get(name); value != "" {
