--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -312,7 +312,7 @@
 
 const (
 	// slowPrefillTime and slowTokenTime are the prefill time of a prompt and the time per
-	// token of an answer at an engine under load, well above the mean.
+	// output token at an engine under load, well above the mean.
 	slowPrefillTime = time.Second
 	slowTokenTime   = 25 * time.Millisecond
 )
@@ -375,7 +375,7 @@
 // timeLeft is the time until the deadline.
 func (fl *flow) timeLeft() time.Duration { return time.Until(fl.deadline) }
 
-// run sends the request until it is answered or no further send is possible. It returns nil
+// run sends the request until it is served or no further send is possible. It returns nil
 // if the caller got a response.
 func (fl *flow) run(ctx context.Context) *errkind.Error {
 	fl.excluded = map[fleet.Incarnation]bool{}
--- a/internal/gateway/forward/limited_test.go
+++ b/internal/gateway/forward/limited_test.go
@@ -140,7 +140,7 @@
 	for _, c := range []struct {
 		terms          ratelimit.Policy
 		stated         bool
-		prompt, answer int
+		prompt, output int
 		cost           float64
 	}{
 		{tokens, true, 1460, 80, 1540},
@@ -149,7 +149,7 @@
 		{ratelimit.Policy{Unit: ratelimit.Tokens}, false, 0, 0, 1},
 		{ratelimit.Policy{Unit: ratelimit.Requests, DefaultCost: 200}, true, 1460, 80, 1},
 	} {
-		if got := c.terms.Cost(c.stated, c.prompt, c.answer); got != c.cost {
+		if got := c.terms.Cost(c.stated, c.prompt, c.output); got != c.cost {
 			t.Errorf("%+v: cost %.0f", c, got)
 		}
 	}
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -190,7 +190,7 @@
 		dst, refusal := fl.resolveChoice(in, p.candidates, p.targets, p.choice)
 		if dst != nil {
 			dst.probed, dst.familyFirst, dst.probeCount = true, p.targets[0].Address, len(p.targets)
-			dst.probeAnswer = p.answerOf(dst.choice.Index)
+			dst.probeResponse = p.responseOf(dst.choice.Index)
 			if p.offloaded() {
 				dst.offloadTo = ""
 			}
@@ -319,8 +319,8 @@
 	return in
 }
 
-// meanAnswerDivisor divides max tokens to estimate the mean length of an answer.
-const meanAnswerDivisor = 2
+// meanOutputDivisor divides max tokens to estimate the mean length of an output.
+const meanOutputDivisor = 2
 
 // engineDestination returns the destination for a chosen candidate.
 func (fl *flow) engineDestination(t fleet.Target, c *placement.Candidate, choice placement.Choice, in *placement.Input) *destination {
@@ -333,7 +333,7 @@
 		target:             t, cacheScope: cacheScope, weightsVersion: c.Version, choice: choice, fetchFrom: choice.FetchFrom, partKeys: partKeys, offloadTo: fl.offloadTo(partKeys, in),
 		work: ledger.Work{Running: 1, Prefill: ledger.AtPriority(choice.Priority, choice.Prefill)},
 	}
-	dst.memoryTokens = choice.PrefillTokens + choice.FetchedTokens + in.MaxTokens/meanAnswerDivisor
+	dst.memoryTokens = choice.PrefillTokens + choice.FetchedTokens + in.MaxTokens/meanOutputDivisor
 	dst.work.Memory = ledger.AtPriority(choice.Priority, dst.memoryTokens)
 	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
 		dst.maxWait = firstEventMaxWait(choice, fl.timeLeft())
--- a/internal/gateway/forward/probed.go
+++ b/internal/gateway/forward/probed.go
@@ -31,15 +31,15 @@
 	staleReportAge = 350 * time.Millisecond
 )
 
-// probeRound holds the engines probed for a prompt, their answers and the choice among
+// probeRound holds the engines probed for a prompt, their responses and the choice among
 // them.
 type probeRound struct {
 	fl *flow
 	// selected holds the indexes of the probed engines among the service's targets.
 	selected   map[int]bool
 	targets    []fleet.Target
-	answers    []probe.Response
-	answered   []bool
+	responses  []probe.Response
+	responded  []bool
 	candidates []placement.Candidate
 	choice     placement.Choice
 	// inProgress is set if a probed engine is computing shared parts of the prompt.
@@ -47,7 +47,7 @@
 }
 
 // probeEngines probes the best ranked engines of a prompt, and others when those are busy.
-// It returns nil if no sidecar answers: the entry then relies on the target list and its
+// It returns nil if no sidecar responds: the entry then relies on the target list and its
 // own sends.
 func (fl *flow) probeEngines(ctx context.Context, in *placement.Input) *probeRound {
 	if !fl.view.LargeFleet || fl.Sidecars == nil {
@@ -67,7 +67,7 @@
 		return p.probeSuspect(ctx, in, ranked)
 	}
 	p.probeMore(ctx, placement.Shortlist(in.FirstPart, in.Family, ranked, familyProbes, sameZoneProbes))
-	if !p.anyAnswered() {
+	if !p.anyResponded() {
 		return nil
 	}
 	p.pick(in)
@@ -83,7 +83,7 @@
 // at every entry.
 func (p *probeRound) probeSuspect(ctx context.Context, in *placement.Input, ranked []placement.RankedEngine) *probeRound {
 	p.probeMore(ctx, placement.Shortlist(in.PinKey, in.PinKey, ranked, familyProbes, 0))
-	if !p.anyAnswered() {
+	if !p.anyResponded() {
 		return nil
 	}
 	p.pick(in)
@@ -103,7 +103,7 @@
 	return ranked
 }
 
-func (p *probeRound) anyAnswered() bool { return slices.Contains(p.answered, true) }
+func (p *probeRound) anyResponded() bool { return slices.Contains(p.responded, true) }
 
 // probeMore probes engines, given by their index among the service's targets.
 func (p *probeRound) probeMore(ctx context.Context, engines []int) {
@@ -114,9 +114,9 @@
 		p.targets = append(p.targets, targets[i])
 		addresses = append(addresses, targets[i].Address)
 	}
-	answers, answered := p.fl.Sidecars.Probe(ctx, addresses, p.fl.sharedParts())
-	p.answers = append(p.answers, answers...)
-	p.answered = append(p.answered, answered...)
+	responses, responded := p.fl.Sidecars.Probe(ctx, addresses, p.fl.sharedParts())
+	p.responses = append(p.responses, responses...)
+	p.responded = append(p.responded, responded...)
 }
 
 // pick chooses among all engines probed so far.
@@ -132,17 +132,17 @@
 		}
 		byVersion[c.Version].fillCandidate(&c, &p.targets[i])
 		p.candidates[i] = c
-		p.inProgress = p.inProgress || p.answered[i] && p.answers[i].PrefillInProgress
+		p.inProgress = p.inProgress || p.responded[i] && p.responses[i].PrefillInProgress
 	}
 	p.choice = placement.Pick(in, p.candidates)
 }
 
-// answerOf returns an engine's answer, or one of unknown age if it did not answer.
-func (p *probeRound) answerOf(i int) probe.Response {
-	if !p.answered[i] {
+// responseOf returns an engine's response, or one of unknown age if there is none.
+func (p *probeRound) responseOf(i int) probe.Response {
+	if !p.responded[i] {
 		return probe.Response{ReportAge: unknownAge}
 	}
-	return p.answers[i]
+	return p.responses[i]
 }
 
 // adoptIncarnations updates the targets to the incarnations that their sidecars report: the
@@ -150,7 +150,7 @@
 func (p *probeRound) adoptIncarnations() {
 	for i := range p.targets {
 		t := &p.targets[i]
-		if incarnation := p.answers[i].Incarnation; p.answered[i] && incarnation.Instance != "" && incarnation != t.Incarnation {
+		if incarnation := p.responses[i].Incarnation; p.responded[i] && incarnation.Instance != "" && incarnation != t.Incarnation {
 			listing := t.Listing
 			listing.Incarnation = incarnation
 			*t = fleet.NewTarget(listing)
@@ -158,10 +158,10 @@
 	}
 }
 
-// candidate returns the candidate for a probed engine. Without an answer it is based on the
+// candidate returns the candidate for a probed engine. Without a response it is based on the
 // target list and this entry's own sends, and is used as a last resort.
 func (p *probeRound) candidate(i int) placement.Candidate {
-	fl, t, a := p.fl, &p.targets[i], &p.answers[i]
+	fl, t, a := p.fl, &p.targets[i], &p.responses[i]
 	c := placement.Candidate{
 		Address: t.Address, Hash: t.Hash, SameZone: t.Zone == fl.Zone, Excluded: t.Leaving || fl.excluded[t.Incarnation] || fl.mustAvoid(t),
 		Version: fl.view.Version(t, fl.request.Model), Slots: t.Slots, Memory: fl.service.Engine.CacheTokens,
@@ -169,7 +169,7 @@
 	if c.Slots == 0 {
 		c.Slots = fl.service.Engine.Slots
 	}
-	if p.answered[i] {
+	if p.responded[i] {
 		c.Work, c.OfferedLoad, c.Slowdown, c.CachedTokens = a.Work, a.OfferedLoad, a.Slowdown, a.CachedTokens
 		c.Loading, c.Draining = a.Phase == weights.Loading, a.Phase == weights.Draining
 		c.Ejected = a.Unhealthy || a.ReportAge > staleReportAge || t.Unconfirmed
@@ -193,8 +193,8 @@
 	fl := p.fl
 	out := &promptLocations{cached: map[fleet.ID]int{}, sharedTokens: fl.sharedTokens()}
 	for i := range p.targets {
-		t, a := &p.targets[i], &p.answers[i]
-		if !p.answered[i] || a.CachedTokens == 0 || a.WeightVersions[fl.request.Model] != version {
+		t, a := &p.targets[i], &p.responses[i]
+		if !p.responded[i] || a.CachedTokens == 0 || a.WeightVersions[fl.request.Model] != version {
 			continue
 		}
 		out.cached[t.ID] = a.CachedTokens
@@ -215,9 +215,9 @@
 // parts, unless it was probed itself.
 func (p *probeRound) addHolder(out *promptLocations, version int64) {
 	fl := p.fl
-	for i := range p.answers {
-		a := &p.answers[i]
-		if !a.Holder.IsValid() || a.WeightVersions[fl.request.Model] != version || p.hasAnswered(a.Holder) {
+	for i := range p.responses {
+		a := &p.responses[i]
+		if !a.Holder.IsValid() || a.WeightVersions[fl.request.Model] != version || p.hasResponded(a.Holder) {
 			continue
 		}
 		targets := fl.view.Targets[fl.service.Name]
@@ -232,10 +232,10 @@
 	}
 }
 
-// hasAnswered reports whether the sidecar of an engine answered.
-func (p *probeRound) hasAnswered(engine netip.AddrPort) bool {
+// hasResponded reports whether the sidecar of an engine responded.
+func (p *probeRound) hasResponded(engine netip.AddrPort) bool {
 	for i := range p.targets {
-		if p.answered[i] && p.targets[i].Address == engine {
+		if p.responded[i] && p.targets[i].Address == engine {
 			return true
 		}
 	}
@@ -264,7 +264,7 @@
 
 // offloaded reports whether a probed engine has offloaded the prompt's parts recently.
 func (p *probeRound) offloaded() bool {
-	return slices.ContainsFunc(p.answers, func(a probe.Response) bool { return a.Offloaded })
+	return slices.ContainsFunc(p.responses, func(a probe.Response) bool { return a.Offloaded })
 }
 
 // sharedParts returns the prompt's shared parts for a probe.
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -18,30 +18,30 @@
 	"github.com/toucanwell/toucanwell/internal/gateway/wire/wiretest"
 )
 
-// fakeSidecars answers probes by engine address and records what is reported.
+// fakeSidecars responds to probes by engine address and records what is reported.
 type fakeSidecars struct {
-	mu       sync.Mutex
-	answers  map[netip.AddrPort]probe.Response
-	probes   int
-	sends    map[netip.AddrPort][]probe.Send
-	progress map[netip.AddrPort][]probe.Progress
+	mu        sync.Mutex
+	responses map[netip.AddrPort]probe.Response
+	probes    int
+	sends     map[netip.AddrPort][]probe.Send
+	progress  map[netip.AddrPort][]probe.Progress
 	// onSent is called with the lock held when a send is reported.
 	onSent func()
 }
 
 func newFakeSidecars() *fakeSidecars {
-	return &fakeSidecars{answers: map[netip.AddrPort]probe.Response{}, sends: map[netip.AddrPort][]probe.Send{}, progress: map[netip.AddrPort][]probe.Progress{}}
+	return &fakeSidecars{responses: map[netip.AddrPort]probe.Response{}, sends: map[netip.AddrPort][]probe.Send{}, progress: map[netip.AddrPort][]probe.Progress{}}
 }
 
 func (s *fakeSidecars) Probe(_ context.Context, engines []netip.AddrPort, _ probe.Prompt) ([]probe.Response, []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probes++
-	answers, known := make([]probe.Response, len(engines)), make([]bool, len(engines))
+	responses, known := make([]probe.Response, len(engines)), make([]bool, len(engines))
 	for i, engine := range engines {
-		answers[i], known[i] = s.answers[engine]
+		responses[i], known[i] = s.responses[engine]
 	}
-	return answers, known
+	return responses, known
 }
 
 func (s *fakeSidecars) NotifySend(engine netip.AddrPort, send probe.Send) uint32 {
@@ -60,14 +60,14 @@
 	s.progress[engine] = append(s.progress[engine], p)
 }
 
-func (s *fakeSidecars) setAnswer(engine netip.AddrPort, a probe.Response) {
+func (s *fakeSidecars) setResponse(engine netip.AddrPort, a probe.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answers[engine] = a
+	s.responses[engine] = a
 }
 
 // newProbedEnv returns an environment in a large fleet, where each target is an engine with
-// a sidecar that answers probes.
+// a sidecar that responds to probes.
 func newProbedEnv(t *testing.T, targets ...*fakeTarget) (*testEnv, *fakeSidecars) {
 	t.Helper()
 	env := newTestEnv(t, targets...)
@@ -75,7 +75,7 @@
 	env.view.LargeFleet, env.Forwarder.Sidecars = true, sidecars
 	for i := range env.view.Targets["engines"] {
 		tg := &env.view.Targets["engines"][i]
-		sidecars.answers[tg.Address] = probe.Response{Incarnation: tg.Incarnation, WeightVersions: map[string]int64{model: 3}, Slowdown: 1}
+		sidecars.responses[tg.Address] = probe.Response{Incarnation: tg.Incarnation, WeightVersions: map[string]int64{model: 3}, Slowdown: 1}
 		// All engines rank equally for the tests' family.
 		tg.Hash = 0
 	}
@@ -131,9 +131,9 @@
 func TestProbesFindIdleEngine(t *testing.T) {
 	busy, idle := startStreamTarget(t, "busy"), startStreamTarget(t, "idle")
 	env, sidecars := newProbedEnv(t, busy, idle)
-	a := sidecars.answers[addressOf(busy)]
+	a := sidecars.responses[addressOf(busy)]
 	a.Work = ledger.Work{Running: 30, Prefill: ledger.AtPriority(0, 3*time.Second)}
-	sidecars.setAnswer(addressOf(busy), a)
+	sidecars.setResponse(addressOf(busy), a)
 	if resp := postPrompt(t, env); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
@@ -154,21 +154,21 @@
 
 // The target list still shows an engine's previous incarnation after a restart. The request
 // must name the incarnation and weights that the sidecar reports.
-func TestProbeAnswerOverridesTargetList(t *testing.T) {
+func TestProbeResponseOverridesTargetList(t *testing.T) {
 	tg, got := startHeaderRecorder(t, "old")
 	env, sidecars := newProbedEnv(t, tg)
-	sidecars.setAnswer(addressOf(tg), probe.Response{Incarnation: fleet.Incarnation{Instance: "new"}, WeightVersions: map[string]int64{model: 4}, Slowdown: 1})
+	sidecars.setResponse(addressOf(tg), probe.Response{Incarnation: fleet.Incarnation{Instance: "new"}, WeightVersions: map[string]int64{model: 4}, Slowdown: 1})
 	postPrompt(t, env)
 	if got.Get(wiretest.Instance) != "new" || got.Get(wiretest.Weights) != "4" {
 		t.Errorf("request for instance %q with weights %q; want new and 4", got.Get(wiretest.Instance), got.Get(wiretest.Weights))
 	}
 }
 
-// If no sidecar answers, engines are chosen from the target list.
+// If no sidecar responds, engines are chosen from the target list.
 func TestEnginesAreUsedWithoutSidecars(t *testing.T) {
 	tg := startStreamTarget(t, "e")
 	env, sidecars := newProbedEnv(t, tg)
-	clear(sidecars.answers)
+	clear(sidecars.responses)
 	if resp := postPrompt(t, env); resp.StatusCode != http.StatusOK || tg.runs.Load() != 1 {
 		t.Errorf("status %d, %d runs", resp.StatusCode, tg.runs.Load())
 	}
@@ -180,9 +180,9 @@
 	loading, unresponsive := startStreamTarget(t, "loading"), startStreamTarget(t, "silent")
 	env, sidecars := newProbedEnv(t, loading, unresponsive)
 	for tg, phase := range map[*fakeTarget]weights.Phase{loading: weights.Loading, unresponsive: weights.Unresponsive} {
-		a := sidecars.answers[addressOf(tg)]
+		a := sidecars.responses[addressOf(tg)]
 		a.Phase = phase
-		sidecars.setAnswer(addressOf(tg), a)
+		sidecars.setResponse(addressOf(tg), a)
 	}
 	if resp := postPrompt(t, env); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d", resp.StatusCode)
@@ -203,9 +203,9 @@
 	other := fleet.NewTarget(listing)
 	other.Leaving = true // not probed itself
 	env.view.Targets["engines"] = append(env.view.Targets["engines"], other)
-	a := sidecars.answers[addressOf(tg)]
+	a := sidecars.responses[addressOf(tg)]
 	a.Holder, a.Offloaded = holder, true
-	sidecars.setAnswer(addressOf(tg), a)
+	sidecars.setResponse(addressOf(tg), a)
 	postPrompt(t, env)
 	if got.Get(wiretest.FetchFrom) != holder.String() {
 		t.Errorf("fetched from %q", got.Get(wiretest.FetchFrom))
@@ -229,7 +229,7 @@
 	defer close(release)
 	env, sidecars := newProbedEnv(t, tg)
 	env.view.Estate.Match(host, "/prompt/").Timeout = time.Minute
-	sidecars.onSent = func() { sidecars.answers[addressOf(tg)] = probe.Response{Phase: weights.Unresponsive} }
+	sidecars.onSent = func() { sidecars.responses[addressOf(tg)] = probe.Response{Phase: weights.Unresponsive} }
 	start := time.Now()
 	_, body, err := env.post(t, "/prompt/x", "p", wiretest.Model, model, wiretest.Prompt, "300,10", wiretest.Parts, "a b c")
 	if err == nil {
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// recordServed records that a target answered the request completely and survived. It is
+// recordServed records that a target responded to the request completely and survived. It is
 // recorded for all requests: one that is always running would otherwise be quarantined
 // after its third unrelated crash within the hour.
 func (fl *flow) recordServed() { fl.Quarantine.MarkServed(fl.fingerprint) }
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -35,7 +35,7 @@
 	report := fl.view.Engines[dst.target.Incarnation]
 	phase, age := report.Phase, fl.age(report.ReceivedAt)
 	if dst.probed {
-		phase, age = dst.probeAnswer.Phase, dst.probeAnswer.ReportAge
+		phase, age = dst.probeResponse.Phase, dst.probeResponse.ReportAge
 	}
 	log.Info("request_sent", "request_id", fl.request.ID, "print", fl.fingerprint, "send", fl.sends, "cause", fl.retryCause, "last_event", fl.lastEvent,
 		"route", fl.routeName(), "service", fl.serviceName(), "workspace", fl.workspaceName(), "estate", fl.estateVersion(),
--- a/internal/gateway/forward/refusal.go
+++ b/internal/gateway/forward/refusal.go
@@ -17,7 +17,7 @@
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 }
 
-// refuse answers the request with an error. No byte of a response may have been written.
+// refuse responds to the request with an error. No byte of a response may have been written.
 func (fl *flow) refuse(e *errkind.Error) {
 	row := e.Kind.Row()
 	fl.recordFailure(e)
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -46,9 +46,9 @@
 	// probed is set if the target was chosen by probes, inProgress if a probed engine is
 	// computing parts that the chosen one lacks.
 	probed, inProgress bool
-	// probeCount is the number of engines probed, probeAnswer the answer of the chosen one.
-	probeCount  int
-	probeAnswer probe.Response
+	// probeCount is the number of engines probed, probeResponse the response of the chosen one.
+	probeCount    int
+	probeResponse probe.Response
 	// familyFirst is the best ranked engine of the prompt's family, whose sidecar tracks
 	// where the family's parts are computed. familyFirstSendID is the ID of the send at
 	// that sidecar; zero if the send was not reported to it.
@@ -195,7 +195,7 @@
 }
 
 const (
-	// onTimePriorities is the number of priorities for requests that can be answered in
+	// onTimePriorities is the number of priorities for requests that can be served in
 	// time; as many follow for late ones.
 	onTimePriorities = ledger.Priorities / 2
 	// workspaceStep is the weight of a workspace's priority relative to a route's.
--- a/internal/gateway/forward/unresponsive.go
+++ b/internal/gateway/forward/unresponsive.go
@@ -123,6 +123,6 @@
 	if !dst.probed {
 		return false
 	}
-	answers, answered := fl.Sidecars.Probe(ctx, []netip.AddrPort{dst.target.Address}, probe.Prompt{})
-	return answered[0] && answers[0].Phase == weights.Unresponsive
+	responses, responded := fl.Sidecars.Probe(ctx, []netip.AddrPort{dst.target.Address}, probe.Prompt{})
+	return responded[0] && responses[0].Phase == weights.Unresponsive
 }
--- a/internal/gateway/holdings/holdings.go
+++ b/internal/gateway/holdings/holdings.go
@@ -1,4 +1,4 @@
-// Package holdings follows the change feeds of engines' caches and of part stores, and mirrors
+// Package holdings follows the change feeds of engines' caches and of KV stores, and mirrors
 // which prompt parts each cache contains.
 //
 // A sidecar polls its own engine, which costs nothing there, and broadcasts the changes to the
@@ -54,7 +54,7 @@
 	capacity    int
 	epoch       string
 	totalTokens int
-	// cachedTokens is the number of cached cachedTokens by part.
+	// cachedTokens is the number of cached tokens by part.
 	cachedTokens map[parts.Key]int
 	// changed are the parts that TakeUpdates has to return.
 	changed map[parts.Key]struct{}
--- a/internal/gateway/tracker/remote.go
+++ b/internal/gateway/tracker/remote.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// fillAnswer sets the fields of a probe answer that concern other engines and the store.
-func (r *remotePrefills) fillAnswer(family parts.Key, a *probe.Response, now time.Time) {
+// fillResponse sets the fields of a probe response that concern other engines and the store.
+func (r *remotePrefills) fillResponse(family parts.Key, a *probe.Response, now time.Time) {
 	prefill := r.byFamily[family]
 	if prefill == nil {
 		return
--- a/internal/gateway/tracker/tracker.go
+++ b/internal/gateway/tracker/tracker.go
@@ -142,7 +142,7 @@
 	}
 	last := len(keys) - 1
 	a.Offloaded = t.index.StateAt(keys[last], p.Parts[last].Tokens, anyStore, now) == parts.Cached
-	t.remote.fillAnswer(keys[last], a, now)
+	t.remote.fillResponse(keys[last], a, now)
 }
 
 // partKeys returns the keys of a prompt's parts for a version of the weights.
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	a, ok := tr.Probe(p)
 	if !ok {
-		t.Fatal("Probe has no answer")
+		t.Fatal("Probe has no response")
 	}
 	return a
 }
@@ -103,7 +103,7 @@
 	}
 }
 
-// Answers contain the offered load by priority. Without it the wait of prompts of low
+// Responses contain the offered load by priority. Without it the wait of prompts of low
 // priority at an engine with steady traffic of high priority would be underestimated.
 func TestOfferedLoadByPriority(t *testing.T) {
 	tr := newTestTracker()
@@ -146,11 +146,11 @@
 	tr.SetCached(parts.KeyOf(parts.Scope("m", 1, ""), "b"), 1000)
 	tr.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-2"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
 	if a := tr.mustProbe(t, promptOf("a")); a.Work.Running != 0 || a.CachedTokens != 0 || a.Incarnation.Instance != "i-2" {
-		t.Errorf("answer %+v after the restart", a)
+		t.Errorf("response %+v after the restart", a)
 	}
 	tr.OnProgress(id, probe.Progress{Ended: true, Outcome: health.Failed})
 	if a := tr.mustProbe(t, promptOf("b")); a.CachedTokens != 0 || a.Unhealthy {
-		t.Errorf("answer %+v after a late message", a)
+		t.Errorf("response %+v after a late message", a)
 	}
 }
 
@@ -177,22 +177,22 @@
 	}
 }
 
-// When a prompt of a family goes to another engine, its first engine answers where the parts
+// When a prompt of a family goes to another engine, its first engine reports where the parts
 // are. Otherwise the next prompt would compute them again.
 func TestFirstEngineKnowsRemotePrefill(t *testing.T) {
 	tr := newTestTracker()
 	other := netip.MustParseAddrPort("10.0.0.9:8000")
 	id := tr.send(probe.Send{Prompt: promptOf("a", "b"), Holder: other, Offloaded: true})
 	if a := tr.mustProbe(t, promptOf("a", "b")); !a.PrefillInProgress || a.Holder.IsValid() || a.Work.Running != 0 {
-		t.Errorf("answer during the prefill elsewhere: %+v", a)
+		t.Errorf("response during the prefill elsewhere: %+v", a)
 	}
 	tr.OnProgress(id, probe.Progress{PrefillDone: true})
 	if a := tr.mustProbe(t, promptOf("a", "b")); a.Holder != other || !a.Offloaded || a.PrefillInProgress {
-		t.Errorf("answer after the prefill elsewhere: %+v", a)
+		t.Errorf("response after the prefill elsewhere: %+v", a)
 	}
 	tr.advance(remoteCachedTTL)
 	if a := tr.mustProbe(t, promptOf("a", "b")); a.Holder.IsValid() || !a.Offloaded {
-		t.Errorf("answer after the other engine may have evicted the parts: %+v", a)
+		t.Errorf("response after the other engine may have evicted the parts: %+v", a)
 	}
 	tr.advance(offloadedTTL)
 	if a := tr.mustProbe(t, promptOf("a", "b")); a.Offloaded {
@@ -206,7 +206,7 @@
 	id := tr.send(probe.Send{Prompt: promptOf("a"), Holder: netip.MustParseAddrPort("10.0.0.9:8000")})
 	tr.OnProgress(id, probe.Progress{Ended: true, Outcome: health.Broken})
 	if a := tr.mustProbe(t, promptOf("a")); a.PrefillInProgress || a.Holder.IsValid() {
-		t.Errorf("answer %+v, want neither in progress nor a location", a)
+		t.Errorf("response %+v, want neither in progress nor a location", a)
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 }
 
-// Answers contain the pace and the health of the engine. Entries that send to it rarely can't
+// Responses contain the pace and the health of the engine. Entries that send to it rarely can't
 // measure these themselves.
 func TestAnswerContainsPaceAndHealth(t *testing.T) {
 	tr := newTestTracker()
@@ -241,22 +241,22 @@
 	}
 }
 
-// An engine that is unresponsive for a while and then answers with the same incarnation keeps
+// An engine that is unresponsive for a while and then responds with the same incarnation keeps
 // its sends and cached parts.
 func TestUnresponsiveEngineKeepsState(t *testing.T) {
 	tr := newTestTracker()
 	tr.send(probe.Send{Prompt: promptOf("a"), PrefillTime: time.Second})
 	tr.SetState(State{Phase: weights.Unresponsive, Weights: map[string]int64{"m": 1}})
 	if a := tr.mustProbe(t, promptOf()); a.Phase != weights.Unresponsive || a.Work.Running != 1 {
-		t.Errorf("answer while unresponsive: %+v", a)
+		t.Errorf("response while unresponsive: %+v", a)
 	}
 	tr.SetState(State{Incarnation: fleet.Incarnation{Instance: "i-1"}, Weights: map[string]int64{"m": 1}, ReportedAt: tr.clock})
 	if a := tr.mustProbe(t, promptOf("a")); a.Work.Running != 1 || !a.PrefillInProgress {
-		t.Errorf("answer afterwards: %+v", a)
+		t.Errorf("response afterwards: %+v", a)
 	}
 }
 
-// BenchmarkProbe measures an answer about an engine with 60 prompts.
+// BenchmarkProbe measures the response about an engine with 60 prompts.
 func BenchmarkProbe(b *testing.B) {
 	tr := newTestTracker()
 	for i := range 60 {
--- a/internal/gateway/view/view.go
+++ b/internal/gateway/view/view.go
@@ -40,7 +40,7 @@
 	TargetsCurrentAt time.Time
 	// Engines holds the recent reports of engines' sidecars.
 	Engines map[fleet.Incarnation]EngineReport
-	// Unresponsive holds the addresses of engines that do not answer their own sidecars.
+	// Unresponsive holds the addresses of engines that do not respond to their own sidecars.
 	Unresponsive map[netip.AddrPort]bool
 	// Wanted is the history of wanted weight versions by model.
 	Wanted map[string]weights.History
--- a/internal/gateway/weights/plan.go
+++ b/internal/gateway/weights/plan.go
@@ -24,7 +24,7 @@
 	Serving Phase = iota
 	// Loading engines load weights, or are about to.
 	Loading
-	// Unresponsive engines do not answer their own sidecar.
+	// Unresponsive engines do not respond to their own sidecar.
 	Unresponsive
 	// Draining engines load next: they get no new requests, and their running requests are
 	// migrated.
