--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -154,7 +154,7 @@
 	return g
 }
 
-// BenchmarkQuote measures answering a probe at a sidecar.
+// BenchmarkQuote measures responding to a probe at a sidecar.
 func BenchmarkQuote(b *testing.B) {
 	for _, n := range []int{0, 8, 64, 256} {
 		b.Run(fmt.Sprintf("queued=%d", n), func(b *testing.B) {
--- a/internal/gateway/estate/estate.go
+++ b/internal/gateway/estate/estate.go
@@ -25,7 +25,7 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by a stream of events. They run at most once unless their
+	// Stream requests get a stream of events in response. They run at most once unless their
 	// route is resumable.
 	Stream
 )
--- a/internal/gateway/feed/feed_test.go
+++ b/internal/gateway/feed/feed_test.go
@@ -47,7 +47,7 @@
 
 // Records arrive from snapshots, reads and peers, in any order and repeatedly. A key must never go
 // back to an older record, and a replica with all records must equal a snapshot of the topic.
-func TestCopyNeverGoesBackAndConverges(t *testing.T) {
+func TestReplicaNeverGoesBackAndConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		topic := &fakeTopic{}
 		a, b := NewReplica(time.Second), NewReplica(time.Second)
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -414,7 +414,7 @@
 	// accept the request soon.
 	busyRetryAfter = 300 * time.Millisecond
 	// otherEntryRetryAfter is the retry delay for callers that are refused because this
-	// entry is stopping or cut off: another entry can accept the request at once.
+	// entry is stopping or partitioned: another entry can accept the request at once.
 	otherEntryRetryAfter = 50 * time.Millisecond
 	// minTimeLeft is the least remaining time that makes a retry worthwhile.
 	minTimeLeft = 15 * time.Millisecond
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -415,9 +415,9 @@
 	}
 }
 
-// An entry that is cut off from all engines must refuse at once, and close the connection
+// An entry that is partitioned from all engines must refuse at once, and close the connection
 // so that the caller retries at another entry.
-func TestEntryThatIsCutOffRefusesAtOnce(t *testing.T) {
+func TestPartitionedEntryRefusesAtOnce(t *testing.T) {
 	tg := startTarget(t, "i1", nil)
 	env := newTestEnv(t, tg)
 	env.Reach.HeartbeatReceived(time.Now().Add(-time.Second))
--- a/internal/gateway/forward/probed_test.go
+++ b/internal/gateway/forward/probed_test.go
@@ -240,7 +240,7 @@
 	}
 }
 
-// A send must not be cancelled while the sidecar reports that its silent engine responds.
+// A send must not be cancelled while the sidecar reports that its engine is responsive.
 func TestBusyEngineIsNotAbandoned(t *testing.T) {
 	tg := startStreamTarget(t, "e")
 	env, _ := newProbedEnv(t, tg)
--- a/internal/gateway/forward/refusal.go
+++ b/internal/gateway/forward/refusal.go
@@ -48,7 +48,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// setConnectionClose asks the caller to reconnect, while this entry is stopping or cut off,
+// setConnectionClose asks the caller to reconnect, while this entry is stopping or partitioned,
 // so that a load balancer can choose another entry. It reads the current view, since the
 // process may have begun to stop while the request ran.
 func (fl *flow) setConnectionClose(header http.Header) {
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -158,7 +158,7 @@
 }
 
 // recordParts records that the engine, and the store that it offloads to, has the prompt's
-// parts or is computing them. It reports whether the other entries should be told.
+// parts or is computing them. It reports whether to announce this to the other entries.
 func (fl *flow) recordParts(dst *destination, done bool) bool {
 	updated := fl.Parts.Record(dst.target.ID, dst.partKeys, done, fl.Now())
 	if dst.offloadTo != "" {
@@ -205,7 +205,7 @@
 // priority returns the request's rank at an engine, 0 first. Requests that can be in time
 // precede late ones; within both, the workspace's priority decides before the route's.
 //
-// When prompts exceed the engines' prefill capacity, this keeps short prompts of an urgent
+// When prompts exceed the engines' prefill capacity, this keeps short prompts of a high-priority
 // route from queuing behind long prompts of another one.
 func (fl *flow) priority(late bool) int {
 	rank := max(fl.route.Priority, 0)
--- a/internal/gateway/forward/sources.go
+++ b/internal/gateway/forward/sources.go
@@ -128,7 +128,7 @@
 // linkID returns the ID under which the work of a source's link is counted.
 func linkID(address netip.AddrPort) fleet.ID { return fleet.IDOf("link " + address.String()) }
 
-// maxLinkQueue is the queue from which a store of unknown content is not asked: computing
+// maxLinkQueue is the queue from which a store of unknown content is not used: computing
 // the parts would be faster.
 const maxLinkQueue = 150 * time.Millisecond
 
--- a/internal/gateway/forward/unresponsive.go
+++ b/internal/gateway/forward/unresponsive.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// silenceCheckInterval is how long an engine may be silent before its sidecar is asked
-	// about it, and the time between two such checks. Engines under load pause for half a
+	// silenceCheckInterval is how long an engine may send nothing before its sidecar is
+	// probed, and the time between two such probes. Engines under load pause for half a
 	// second.
 	silenceCheckInterval = time.Second
 	// unresponsiveChecks is how many consecutive times the sidecar must report the engine
@@ -29,7 +29,7 @@
 // engineWatch cancels a send whose engine has become unresponsive.
 //
 // An engine that hangs on a live host leaves its connection open: without the watch the
-// caller would wait until its deadline. Silence alone doesn't cancel a send, because the
+// caller would wait until its deadline. A pause alone doesn't cancel a send, because the
 // engine may just be busy; its sidecar can tell the difference.
 type engineWatch struct {
 	fl     *flow
@@ -77,7 +77,7 @@
 	w.timer.Stop()
 }
 
-// check asks the sidecar about an engine that has been silent for silenceCheckInterval, and
+// check probes the sidecar of an engine that has sent nothing for silenceCheckInterval, and
 // cancels the send when the sidecar has reported it unresponsive often enough.
 func (w *engineWatch) check() {
 	if wait := w.untilCheck(); wait > 0 {
--- a/internal/gateway/placement/placement.go
+++ b/internal/gateway/placement/placement.go
@@ -200,7 +200,7 @@
 
 const (
 	// LowPriorityMemoryShare is the MaxMemoryShare of requests below the highest priority.
-	// It leaves memory for urgent requests and for outputs to grow.
+	// It leaves memory for the highest priority and for outputs to grow.
 	LowPriorityMemoryShare = 0.85
 	// RetryMemoryShare is the MaxMemoryShare of retries.
 	RetryMemoryShare = 0.92
@@ -310,13 +310,13 @@
 	return choice, cost
 }
 
-// minFreeShare bounds how far more urgent arrivals stretch a wait. Their rate is measured
-// over a short window and is noisy.
+// minFreeShare bounds how far arrivals of higher priority stretch a wait. Their rate is
+// measured over a short window and is noisy.
 const minFreeShare = 0.5
 
 // freeShare returns the share of an engine's time that future prompts of higher priority
-// leave. Without it, the wait of long prompts behind a stream of short urgent ones would
-// be underestimated.
+// leave. Without it, the wait of long prompts behind a stream of short ones of higher priority
+// would be underestimated.
 func freeShare(c *Candidate, priority int) float64 {
 	if priority == 0 {
 		return 1
--- a/internal/gateway/placement/placement_test.go
+++ b/internal/gateway/placement/placement_test.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// An engine's memory is full of long prompts. An urgent prompt preempts them: its
+// An engine's memory is full of long prompts. A prompt of high priority preempts them: its
 // estimate must not include their prefill.
-func TestUrgentPromptsDoNotWaitForLongOnes(t *testing.T) {
+func TestHighPriorityPromptsDoNotWaitForLongOnes(t *testing.T) {
 	full := engine(1)
 	full.Memory = 100_000
 	full.Work = ledger.Work{Running: 30, Prefill: ledger.AtPriority(1, 3*time.Second), Memory: ledger.AtPriority(1, 140_000)}
@@ -189,9 +189,9 @@
 	}
 }
 
-// A long prompt is not sent to an engine with little free memory, where an urgent prompt
-// would preempt it. Urgent prompts and retries may use more of the memory.
-func TestLongPromptsLeaveMemoryForUrgentOnes(t *testing.T) {
+// A long prompt is not sent to an engine with little free memory, where one of higher priority
+// would preempt it. Prompts of high priority and retries may use more of the memory.
+func TestLongPromptsLeaveMemoryForHigherPriority(t *testing.T) {
 	loaded := engine(1)
 	loaded.Memory = 140_000
 	loaded.Work = ledger.Work{Running: 10, Memory: ledger.AtPriority(1, 115_000)}
@@ -203,9 +203,9 @@
 	if got := Pick(long, []Candidate{loaded, engine(2)}); got.Index != 1 {
 		t.Errorf("chose %d, want the engine with free memory", got.Index)
 	}
-	urgent := input()
-	if got := Pick(urgent, []Candidate{loaded}); got.Index != 0 {
-		t.Error("an urgent prompt was refused")
+	highPriority := input()
+	if got := Pick(highPriority, []Candidate{loaded}); got.Index != 0 {
+		t.Error("a high-priority prompt was refused")
 	}
 	long.MaxMemoryShare = RetryMemoryShare
 	if got := Pick(long, []Candidate{loaded}); got.Index != 0 {
@@ -232,8 +232,8 @@
 	}
 }
 
-// A steady stream of urgent prompts stretches the estimated wait of less urgent ones.
-func TestWaitIncludesTheLoadOfUrgentArrivals(t *testing.T) {
+// A steady stream of prompts of high priority stretches the estimated wait of others.
+func TestWaitIncludesArrivalsOfHigherPriority(t *testing.T) {
 	c := engine(1)
 	c.Work.Prefill = ledger.AtPriority(1, 200*time.Millisecond)
 	in := input()
@@ -241,10 +241,10 @@
 	quiet := Pick(in, []Candidate{c}).Wait
 	c.OfferedLoad = ledger.AtPriority(0, 400)
 	if busy := Pick(in, []Candidate{c}).Wait; busy < quiet*3/2 {
-		t.Errorf("waits %v with an urgent load of 0.4, %v without", busy, quiet)
+		t.Errorf("waits %v with a high-priority load of 0.4, %v without", busy, quiet)
 	}
 	in.Priority = 0
 	if got := Pick(in, []Candidate{c}).Wait; got > quiet {
-		t.Errorf("the wait of an urgent prompt includes arrivals of its own priority: %v", got)
+		t.Errorf("the wait of a high-priority prompt includes arrivals of its own priority: %v", got)
 	}
 }
--- a/internal/gateway/quarantine/crashdetector_test.go
+++ b/internal/gateway/quarantine/crashdetector_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// withReport adds a sidecar's report of the target, received at heardAt.
-func withReport(v *view.View, t fleet.Target, heardAt time.Time) *view.View {
-	v.Engines = map[fleet.Incarnation]view.EngineReport{t.Incarnation: {ReceivedAt: heardAt}}
+// withReport adds a sidecar's report of the target, received at receivedAt.
+func withReport(v *view.View, t fleet.Target, receivedAt time.Time) *view.View {
+	v.Engines = map[fleet.Incarnation]view.EngineReport{t.Incarnation: {ReceivedAt: receivedAt}}
 	return v
 }
 
--- a/internal/gateway/ratelimit/coordinator.go
+++ b/internal/gateway/ratelimit/coordinator.go
@@ -23,7 +23,7 @@
 	maxQueueTime = 5 * time.Second
 	// defaultIdleTimeout is how long a bucket or a holder is kept without a request.
 	defaultIdleTimeout = time.Minute
-	// responseCacheSize is how many responses per entry are kept to answer duplicate
+	// responseCacheSize is how many responses per entry are kept to respond to duplicate
 	// requests.
 	responseCacheSize = 8
 )
--- a/internal/gateway/ratelimit/fleet_test.go
+++ b/internal/gateway/ratelimit/fleet_test.go
@@ -60,15 +60,15 @@
 }
 
 type simEntry struct {
-	index       int
-	address     netip.AddrPort
-	limiter     *Limiter
-	alive       bool
-	suspended   bool
-	incarnation uint64
-	lastHeard   map[int]time.Time
-	startedAt   time.Time
-	inbox       [][2]any
+	index          int
+	address        netip.AddrPort
+	limiter        *Limiter
+	alive          bool
+	suspended      bool
+	incarnation    uint64
+	lastHeartbeats map[int]time.Time
+	startedAt      time.Time
+	inbox          [][2]any
 	// limit is the limit that the entry knows.
 	limit Limit
 }
@@ -96,7 +96,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e.incarnation++
-	e.alive, e.suspended, e.lastHeard, e.startedAt, e.limit = true, false, map[int]time.Time{}, time.Now(), f.limit
+	e.alive, e.suspended, e.lastHeartbeats, e.startedAt, e.limit = true, false, map[int]time.Time{}, time.Now(), f.limit
 	e.limiter = newLimiter(Options{Listen: e.address, Incarnation: uint64(e.index)<<16 | e.incarnation, LimitOf: func(string) Limit {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -178,14 +178,14 @@
 	}
 }
 
-// exchangeHeartbeats lets all running entries hear each other.
+// exchangeHeartbeats makes all running entries receive each other's heartbeats.
 func (f *fleetSim) exchangeHeartbeats() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, a := range f.entries {
 		for _, b := range f.entries {
 			if a != b && a.alive && b.alive && !a.suspended && !b.suspended && !f.cut(a.index, b.index) {
-				a.lastHeard[b.index] = time.Now()
+				a.lastHeartbeats[b.index] = time.Now()
 			}
 		}
 	}
@@ -199,8 +199,8 @@
 		if !e.alive || e.suspended {
 			continue
 		}
-		m := &Members{AsOf: time.Now(), Self: e.address, Live: []netip.AddrPort{e.address}, Known: 1, StartedAt: e.startedAt, HeardPeer: len(e.lastHeard) > 0 || e.incarnation == 1}
-		for i, at := range e.lastHeard { // in random order, as in the mesh
+		m := &Members{AsOf: time.Now(), Self: e.address, Live: []netip.AddrPort{e.address}, Known: 1, StartedAt: e.startedAt, HeardPeer: len(e.lastHeartbeats) > 0 || e.incarnation == 1}
+		for i, at := range e.lastHeartbeats { // in random order, as in the mesh
 			age := time.Since(at)
 			if age > forgetAfter {
 				continue
--- a/internal/gateway/ratelimit/limiter.go
+++ b/internal/gateway/ratelimit/limiter.go
@@ -162,13 +162,13 @@
 type Decision struct {
 	Admitted bool
 	Source   Source
-	// Level is the bucket's level, if the bucket was asked.
+	// Level is the bucket's level, if the decision used the bucket.
 	Level float64
 	// RetryAfter is the time after which a refused request would be admitted.
 	RetryAfter time.Duration
 	// Took is the duration of the decision.
 	Took time.Duration
-	// expiresAt is when tokens given back to the leases expire.
+	// expiresAt is when tokens refunded to the leases expire.
 	expiresAt time.Time
 }
 
--- a/internal/gateway/ratelimit/members.go
+++ b/internal/gateway/ratelimit/members.go
@@ -18,14 +18,14 @@
 	// stopping.
 	Self netip.AddrPort
 	Live []netip.AddrPort
-	// Known is the number of entries heard recently, including Self. Unreachable is how many
+	// Known is the number of entries heard from recently, including Self. Unreachable is how many
 	// of them missed heartbeats without announcing that they leave: they may be partitioned
 	// and use their share. An entry may count as both unreachable and live.
 	Known, Unreachable int
 	// ReportedKnown is the largest Known that other entries reported recently. A process that
-	// started during a partition has not heard the entries beyond it.
+	// started during a partition has not heard from the entries beyond it.
 	ReportedKnown int
-	// HeardPeer is set once another entry was heard, or if none is expected.
+	// HeardPeer is set once another entry was heard from, or if none is expected.
 	HeardPeer bool
 	// StartedAt is when this process began to listen to other entries.
 	StartedAt time.Time
@@ -33,12 +33,12 @@
 
 const (
 	// startupDelay is how long after its start an entry does not coordinate for its own
-	// callers, because it may not have heard the current coordinator.
+	// callers, because it may not have heard from the current coordinator.
 	startupDelay = 200 * time.Millisecond
 	// maxMembersAge is the age from which Members is outdated because the process was
 	// suspended.
 	maxMembersAge = time.Second
-	// isolationTime is how long an entry that has not heard any other since its start uses
+	// isolationTime is how long an entry that has not heard from any other since its start uses
 	// only isolatedShare: it may have started in a small partition.
 	isolationTime = 10 * time.Second
 	isolatedShare = 1.0 / 8
@@ -110,7 +110,7 @@
 }
 
 // shareWindow is how long a low share limits later ones: the time for which others may count
-// entries as live that they no longer hear.
+// entries as live that they no longer hear from.
 const shareWindow = 3 * time.Second
 
 // reportedKnownTTL is how long another process's report of its Known counts.
--- a/internal/gateway/ratelimit/records_test.go
+++ b/internal/gateway/ratelimit/records_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// Guards against a suspended coordinator that, when it resumes and hears the others again,
+// Guards against a suspended coordinator that, when it resumes and hears from the others again,
 // grants the rate of the time in which another entry coordinated.
 func TestResumedCoordinatorStartsEmpty(t *testing.T) {
 	now := testStart
--- a/internal/gateway/tracker/tracker_test.go
+++ b/internal/gateway/tracker/tracker_test.go
@@ -223,7 +223,7 @@
 
 // Responses contain the pace and the health of the engine. Entries that send to it rarely can't
 // measure these themselves.
-func TestAnswerContainsPaceAndHealth(t *testing.T) {
+func TestResponseContainsPaceAndHealth(t *testing.T) {
 	tr := newTestTracker()
 	for range 20 {
 		id := tr.send(probe.Send{PrefillTime: 50 * time.Millisecond})
--- a/internal/gateway/weights/remote_test.go
+++ b/internal/gateway/weights/remote_test.go
@@ -71,7 +71,7 @@
 
 // Guards against the first two engines in the rollout order blocking all slots because they
 // leave load requests unanswered.
-func TestEnginesThatDoNotAnswerLoadRequestsComeLast(t *testing.T) {
+func TestEnginesThatDoNotRespondToLoadRequestsComeLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := startRemoteHarness(10)
 		views := make([]EngineView, len(h.list))
