--- a/cmd/toucanwell/demo.go
+++ b/cmd/toucanwell/demo.go
@@ -111,8 +111,8 @@
 	whole, prompt, cached := 0, 0, 0
 	problems := map[string]int{}
 	for _, o := range outcomes {
-		if o.Problem != "" {
-			problems[o.Problem]++
+		if o.Failure != "" {
+			problems[o.Failure]++
 			continue
 		}
 		whole++
--- a/cmd/toucanwell/losses.go
+++ b/cmd/toucanwell/losses.go
@@ -51,7 +51,7 @@
 const defaultAim = 500 * time.Millisecond
 
 func lossesOptions(window time.Duration, aims []string) (losses.Options, error) {
-	o := losses.Options{Window: window, DefaultAim: defaultAim, Aim: map[string]time.Duration{}}
+	o := losses.Options{Window: window, DefaultObjective: defaultAim, Objectives: map[string]time.Duration{}}
 	if window <= 0 {
 		return o, errors.Newf("window is %s; allowed is a time above 0", window)
 	}
@@ -65,9 +65,9 @@
 			return o, errors.Newf("aim is %q; allowed is ROUTE=DURATION or DURATION", text)
 		}
 		if named {
-			o.Aim[route] = aim
+			o.Objectives[route] = aim
 		} else {
-			o.DefaultAim = aim
+			o.DefaultObjective = aim
 		}
 	}
 	return o, nil
@@ -89,8 +89,8 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "route\tfrom s\trequests\tin time\tlate\tgone\theld\tfetched\treasons")
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%.0f\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", r.Route, r.From, r.Requests, r.InTime, r.Late, r.Gone,
-			shareOf(r.Held, r.Shared), shareOf(r.Fetched, r.Shared), mainReasons(r.Reasons))
+		fmt.Fprintf(t, "%s\t%.0f\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", r.Route, r.Start, r.Requests, r.InTime, r.Late, r.Cancelled,
+			shareOf(r.CachedTokens, r.SharedTokens), shareOf(r.FetchedTokens, r.SharedTokens), mainReasons(r.Reasons))
 	}
 	return t.Flush()
 }
--- a/cmd/toucanwell/losses_test.go
+++ b/cmd/toucanwell/losses_test.go
@@ -10,7 +10,7 @@
 
 func TestAimsAreRead(t *testing.T) {
 	o, err := lossesOptions(time.Second, []string{"review=600ms", "1s"})
-	if err != nil || o.Aim["review"] != 600*time.Millisecond || o.DefaultAim != time.Second {
+	if err != nil || o.Objectives["review"] != 600*time.Millisecond || o.DefaultObjective != time.Second {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, bad := range []string{"review=", "soon", "review=-1s", "=x"} {
@@ -25,7 +25,7 @@
 
 func TestRowsNameTheirMainReasons(t *testing.T) {
 	var out strings.Builder
-	rows := []losses.Row{{Route: "review", From: 4, Requests: 9, InTime: 2, Late: 6, Gone: 1, Shared: 200, Held: 50, Reasons: map[string]int{"a": 1, "b": 3, "c": 2, "d": 2}}}
+	rows := []losses.Row{{Route: "review", Start: 4, Requests: 9, InTime: 2, Late: 6, Cancelled: 1, SharedTokens: 200, CachedTokens: 50, Reasons: map[string]int{"a": 1, "b": 3, "c": 2, "d": 2}}}
 	if err := printLosses(&out, rows); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/toucanwell/replay.go
+++ b/cmd/toucanwell/replay.go
@@ -168,10 +168,10 @@
 }
 
 // parseFactors reads one factor for each class.
-func parseFactors(text string) (factors [config.Classes]float64, err error) {
+func parseFactors(text string) (factors [config.NumClasses]float64, err error) {
 	words := strings.Split(text, "/")
-	if len(words) != config.Classes {
-		return factors, errors.Newf("%d factors found; allowed are %d, divided by /", len(words), config.Classes)
+	if len(words) != config.NumClasses {
+		return factors, errors.Newf("%d factors found; allowed are %d, divided by /", len(words), config.NumClasses)
 	}
 	for i, word := range words {
 		if factors[i], err = strconv.ParseFloat(word, 64); err != nil {
--- a/cmd/toucanwelld/gateway.go
+++ b/cmd/toucanwelld/gateway.go
@@ -71,7 +71,7 @@
 				changed = now
 				reload(p, path)
 			}
-		case err := <-p.Failed():
+		case err := <-p.ServeErrors():
 			p.Close()
 			return cli.Exit(err.Error(), exitFailed)
 		}
@@ -91,8 +91,8 @@
 func reload(p *gateway.Process, path string) {
 	next, err := gateway.LoadSettings(path)
 	if err != nil {
-		p.Refused(err)
+		p.ReloadFailed(err)
 		return
 	}
-	p.Adopt(next)
+	p.Reload(next)
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -171,7 +171,7 @@
 	if errors.As(err, &sec) {
 		e = errkind.New(errkind.Unauthenticated, "send Authorization: Bearer TOKEN of the administration")
 	}
-	row := e.Kind.Row()
+	row := e.Kind.Spec()
 	p := oas.Problem{Type: "urn:toucanwell:error:" + row.Name, Title: row.Title, Status: row.Status}
 	if e.Detail != "" {
 		p.Detail = oas.NewOptString(e.Detail)
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -90,10 +90,10 @@
 // Queue is the admission queue of one target. It is not safe for concurrent use.
 type Queue struct {
 	limits       Limits
-	queued       [config.Classes][]queuedRequest
-	credit       [config.Classes]float64
-	virtualTime  [config.Classes]float64
-	finishTags   [config.Classes]map[uint32]float64
+	queued       [config.NumClasses][]queuedRequest
+	credit       [config.NumClasses]float64
+	virtualTime  [config.NumClasses]float64
+	finishTags   [config.NumClasses]map[uint32]float64
 	running      map[uint64]*runningRequest
 	prefillCount int
 	arrivals     uint64
@@ -114,7 +114,7 @@
 func (q *Queue) Offer(now time.Duration, r Request) []Outcome {
 	req := q.tag(r)
 	if r.Deadline <= now {
-		refusal := errkind.After(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, r.ID), "the deadline has passed")
+		refusal := errkind.NewRetryAfter(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, r.ID), "the deadline has passed")
 		return []Outcome{{ID: r.ID, Verdict: Refuse, Refusal: refusal}}
 	}
 	// A target with free capacity gets the request whatever the estimate: a wrong one is corrected
@@ -183,7 +183,7 @@
 			if now+req.Prefill <= req.Deadline {
 				return false
 			}
-			refusal := errkind.After(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, req.ID), "the deadline can no longer be met")
+			refusal := errkind.NewRetryAfter(errkind.DeadlineUnmeetable, q.withJitter(minRetryAfter, req.ID), "the deadline can no longer be met")
 			outcomes = append(outcomes, Outcome{ID: req.ID, Verdict: Refuse, Refusal: refusal})
 			return true
 		})
@@ -313,7 +313,7 @@
 // updateCredit deducts the cost from the served class and credits the waiting classes below it.
 func (q *Queue) updateCredit(served config.Class, cost float64) {
 	q.credit[served] = max(q.credit[served]-cost, 0)
-	for c := int(served) + 1; c < config.Classes; c++ {
+	for c := int(served) + 1; c < config.NumClasses; c++ {
 		if len(q.queued[c]) == 0 {
 			q.credit[c] = 0
 			continue
@@ -381,7 +381,7 @@
 		return nil
 	}
 	late := max(expected-req.Deadline, minRetryAfter)
-	return errkind.After(errkind.DeadlineUnmeetable, q.withJitter(late, req.ID),
+	return errkind.NewRetryAfter(errkind.DeadlineUnmeetable, q.withJitter(late, req.ID),
 		"the first token would come %v after the deadline", late.Round(time.Millisecond))
 }
 
@@ -406,7 +406,7 @@
 		q.Cancel(victim.ID)
 	}
 	retryAfter := q.withJitter(max(q.expectedWait(now, victim)/2, minRetryAfter), victim.ID)
-	refusal := errkind.After(errkind.Overloaded, retryAfter, "%d requests are queued", q.limits.MaxQueued)
+	refusal := errkind.NewRetryAfter(errkind.Overloaded, retryAfter, "%d requests are queued", q.limits.MaxQueued)
 	return []Outcome{{ID: victim.ID, Verdict: Refuse, Refusal: refusal}}
 }
 
--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -16,7 +16,7 @@
 	// Revision counts the posts to this fact.
 	Revision uint64
 	// At is when it was posted.
-	At time.Time
+	PostedAt time.Time
 }
 
 // Fact is one typed place on the blackboard. The zero Fact is empty.
@@ -27,7 +27,7 @@
 // Post replaces the value. Only the owning controller calls it, on the control
 // thread; the value must not change afterwards.
 func (f *Fact[T]) Post(value T, now time.Time) {
-	next := &Entry[T]{Value: value, Revision: 1, At: now}
+	next := &Entry[T]{Value: value, Revision: 1, PostedAt: now}
 	if old := f.entry.Load(); old != nil {
 		next.Revision = old.Revision + 1
 	}
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -14,7 +14,7 @@
 	// maxKeys bounds a counter's rows; further workspaces count as Other.
 	maxKeys = 2000
 	// Other stands for workspaces beyond the bound.
-	Other = "other"
+	OtherWorkspaces = "other"
 )
 
 // Key names what is counted.
@@ -60,7 +60,7 @@
 	defer c.mu.Unlock()
 	row, ok := c.rows[key]
 	if !ok && len(c.rows) >= maxKeys {
-		key.Workspace = Other
+		key.Workspace = OtherWorkspaces
 		row, ok = c.rows[key]
 	}
 	if !ok {
--- a/internal/capacity/bench_test.go
+++ b/internal/capacity/bench_test.go
@@ -149,7 +149,7 @@
 	start := time.Now()
 	g := sidecar.NewGate(admission.Limits{MaxRunning: 4, MaxPrefilling: 1, MaxQueued: 1000}, 57_000, 10_000, func() time.Duration { return time.Since(start) })
 	for i := range queued + 1 {
-		_, _ = g.Enter(sidecar.Work{Workspace: fmt.Sprint(i % 20), Weight: 1, Class: config.ClassInteractive, PromptTokens: 1, BlockTokens: 64, Budget: time.Hour})
+		_, _ = g.Enter(sidecar.GateRequest{Workspace: fmt.Sprint(i % 20), Weight: 1, Class: config.ClassInteractive, PromptTokens: 1, BlockTokens: 64, Budget: time.Hour})
 	}
 	return g
 }
@@ -159,7 +159,7 @@
 	for _, n := range []int{0, 8, 64, 256} {
 		b.Run(fmt.Sprintf("queued=%d", n), func(b *testing.B) {
 			g := filledGate(n)
-			q := sidecar.Question{Workspace: 3, Class: config.ClassInteractive, PromptTokens: 11_000, Points: []prefix.Point{{Block: 1, Tokens: 6144}, {Block: 2, Tokens: 9216}, {Block: 3, Tokens: 10_240}}}
+			q := sidecar.QuoteInput{Workspace: 3, Class: config.ClassInteractive, PromptTokens: 11_000, Points: []prefix.Point{{Block: 1, Tokens: 6144}, {Block: 2, Tokens: 9216}, {Block: 3, Tokens: 10_240}}}
 			for b.Loop() {
 				if _, refusal := g.Quote(q); refusal != nil {
 					b.Fatal(refusal)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	c.Log.AppendNow(configlog.Stream, data)
+	c.Log.AppendRecord(configlog.Stream, data)
 	logURL, err := c.Serve(c.Log.Handler())
 	if err != nil {
 		return err
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -52,7 +52,7 @@
 	t.Cleanup(c.Close)
 	republished := uint64(0)
 	eventually(t, "the configuration is republished", func() bool {
-		for _, r := range c.Log.ReadNow(configlog.Stream, 2).Records {
+		for _, r := range c.Log.ReadPage(configlog.Stream, 2).Records {
 			if strings.Contains(string(r.Data), `"type":"carry"`) {
 				republished = r.Offset
 			}
--- a/internal/cluster/failure_test.go
+++ b/internal/cluster/failure_test.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c.Log.AppendNow(configlog.Stream, data)
+	return c.Log.AppendRecord(configlog.Stream, data)
 }
 
 // Cached prompts must not be shared between workspaces or weight versions, and at most two engines
@@ -148,7 +148,7 @@
 	}
 	publish(t, c, 1, `weights = "2026-11"`, `weights = "2026-12"`)
 	waitForWeights(t, c, "2026-12")
-	if peak, total := c.WeightStore.Peak(); peak > 2 || total != len(c.Engines) {
+	if peak, total := c.WeightStore.FetchCounts(); peak > 2 || total != len(c.Engines) {
 		t.Errorf("%d of %d loads were concurrent", peak, total)
 	}
 	if after := cachedTokens(t, c, "muenchen-token", b); after != 0 {
--- a/internal/cluster/restart_bench_test.go
+++ b/internal/cluster/restart_bench_test.go
@@ -53,8 +53,8 @@
 		outcomes := load.Run(ctx, load.Options{Entries: entries, Model: "oleaje-lm", MaxOpen: 200, Token: func(w string) string { return w + "-token" }}, shifted)
 		prompt, cached := 0, 0
 		for _, o := range outcomes {
-			if !o.Whole {
-				b.Fatal(o.Problem)
+			if !o.Correct {
+				b.Fatal(o.Failure)
 			}
 			prompt += o.Prompt
 			cached += o.Cached
--- a/internal/cluster/spread_bench_test.go
+++ b/internal/cluster/spread_bench_test.go
@@ -46,7 +46,7 @@
 				c.ConfigText += "# changed\n"
 				data, _ := configlog.Encode(configlog.Record{Type: configlog.TypePublish, Nonce: fmt.Sprint(version), Base: version, Text: c.ConfigText})
 				start := time.Now()
-				version = c.Log.AppendNow(configlog.Stream, data)
+				version = c.Log.AppendRecord(configlog.Stream, data)
 				for _, s := range c.SidecarSettings {
 					for activeVersion(s.AdminListen) < version {
 						<-time.After(2 * time.Millisecond)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,14 +30,14 @@
 	ClassInteractive
 	ClassBatch
 	// Classes is how many there are.
-	Classes = 3
+	NumClasses = 3
 )
 
-var classNames = [Classes]string{"alert", "interactive", "batch"}
+var classNames = [NumClasses]string{"alert", "interactive", "batch"}
 
 // String returns the name of the class in texts and headers.
 func (c Class) String() string {
-	if int(c) >= Classes {
+	if int(c) >= NumClasses {
 		return "unknown"
 	}
 	return classNames[c]
@@ -197,7 +197,7 @@
 }
 
 // TargetNamed returns a target and its service, or nils.
-func (c *Config) TargetNamed(name string) (*Service, *Target) {
+func (c *Config) FindTarget(name string) (*Service, *Target) {
 	for i := range c.Services {
 		s := &c.Services[i]
 		for j := range s.Targets {
--- a/internal/configlog/fold.go
+++ b/internal/configlog/fold.go
@@ -39,8 +39,8 @@
 
 // The types of record.
 const (
-	TypePublish RecordType = "publish"
-	TypeCarry   RecordType = "carry"
+	TypePublish   RecordType = "publish"
+	TypeRepublish RecordType = "carry"
 )
 
 // Record is one record of the stream.
@@ -78,11 +78,11 @@
 	// InForce is the version in force after it.
 	InForce uint64
 	// Problem of a refused text.
-	Problem error
+	Err error
 }
 
 // Folder folds the stream. It is used by one goroutine.
-type Folder struct {
+type StateMachine struct {
 	state Snapshot
 	next  uint64
 	gap   bool
@@ -100,26 +100,26 @@
 }
 
 // NewFolder returns a folder that has read nothing.
-func NewFolder() *Folder { return &Folder{next: 1} }
+func NewStateMachine() *StateMachine { return &StateMachine{next: 1} }
 
 // Next is the first offset not read yet.
-func (f *Folder) Next() uint64 { return f.next }
+func (f *StateMachine) NextOffset() uint64 { return f.next }
 
 // Snapshot returns what is in force. AsOf speaks of decided records only.
-func (f *Folder) Snapshot() Snapshot { return f.state }
+func (f *StateMachine) Snapshot() Snapshot { return f.state }
 
 // Undecided reports whether a gap keeps the folder from deciding.
-func (f *Folder) Undecided() bool { return f.gap }
+func (f *StateMachine) Undecided() bool { return f.gap }
 
 // TakeVerdicts returns the verdicts since the last call.
-func (f *Folder) TakeVerdicts() []Verdict {
+func (f *StateMachine) TakeVerdicts() []Verdict {
 	v := f.verdicts
 	f.verdicts = nil
 	return v
 }
 
 // Read folds a page. Records that were read before are passed over.
-func (f *Folder) Read(page *external.Page) {
+func (f *StateMachine) Apply(page *external.Page) {
 	if page.First > f.next {
 		f.gap = true
 		f.gapFrom = page.First
@@ -142,9 +142,9 @@
 	}
 }
 
-func (f *Folder) fold(r offsetRecord) {
+func (f *StateMachine) fold(r offsetRecord) {
 	switch r.record.Type {
-	case TypeCarry:
+	case TypeRepublish:
 		f.foldCarry(r)
 	case TypePublish:
 		if f.gap {
@@ -155,7 +155,7 @@
 	}
 }
 
-func (f *Folder) foldCarry(r offsetRecord) {
+func (f *StateMachine) foldCarry(r offsetRecord) {
 	c, err := config.Parse("carried configuration", r.record.Text)
 	if err != nil {
 		return
@@ -165,7 +165,7 @@
 
 // Adopt takes what another process or a carry says was in force. An older
 // version changes nothing. A statement from past a gap closes the gap.
-func (f *Folder) Adopt(s Snapshot) {
+func (f *StateMachine) Adopt(s Snapshot) {
 	newer := s.Version > f.state.Version
 	closesGap := f.gap && s.AsOf+1 >= f.gapFrom
 	if newer {
@@ -188,14 +188,14 @@
 
 // skipTo takes a statement about offsets not read yet: everything up to asOf
 // is decided by it.
-func (f *Folder) skipTo(asOf uint64) {
+func (f *StateMachine) skipTo(asOf uint64) {
 	f.next = asOf + 1
 	f.gap = false
 	f.pending = nil
 	f.state.AsOf = asOf
 }
 
-func (f *Folder) closeGap(asOf uint64) {
+func (f *StateMachine) closeGap(asOf uint64) {
 	pending := f.pending
 	f.gap = false
 	f.pending = nil
@@ -207,7 +207,7 @@
 	f.state.AsOf = f.next - 1
 }
 
-func (f *Folder) foldPublish(r offsetRecord) {
+func (f *StateMachine) foldPublish(r offsetRecord) {
 	if r.offset <= f.state.Version {
 		return
 	}
@@ -216,7 +216,7 @@
 	v := Verdict{Offset: r.offset, Nonce: r.record.Nonce, InForce: f.state.Version}
 	if r.record.Base == f.state.Version {
 		c, err := config.Parse("published configuration", r.record.Text)
-		v.Problem = err
+		v.Err = err
 		v.Accepted = err == nil
 		if v.Accepted {
 			f.state = Snapshot{Version: r.offset, AsOf: r.offset, Text: r.record.Text, Config: c, NewestCopyMs: r.unixMs}
--- a/internal/configlog/fold_test.go
+++ b/internal/configlog/fold_test.go
@@ -31,12 +31,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return log.AppendNow(Stream, data)
+	return log.AppendRecord(Stream, data)
 }
 
 // reader is a process that reads the stream now and then.
 type reader struct {
-	folder  *Folder
+	folder  *StateMachine
 	highest uint64
 }
 
@@ -55,8 +55,8 @@
 func TestReadersAgreeAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := standin.NewLog()
-		reference := &reader{folder: NewFolder()}
-		readers := []*reader{{folder: NewFolder()}, {folder: NewFolder()}, {folder: NewFolder()}}
+		reference := &reader{folder: NewStateMachine()}
+		readers := []*reader{{folder: NewStateMachine()}, {folder: NewStateMachine()}, {folder: NewStateMachine()}}
 		accepted := map[uint64]string{}
 		steps := rapid.IntRange(5, 60).Draw(rt, "steps")
 		for n := range steps {
@@ -67,21 +67,21 @@
 					base = rapid.Uint64Range(0, base).Draw(rt, "base")
 				}
 				appendRecord(rt, log, Record{Type: TypePublish, Nonce: fmt.Sprint(n), Base: base, Text: textNumber(n)})
-				reference.folder.Read(log.ReadNow(Stream, reference.folder.Next()))
+				reference.folder.Apply(log.ReadPage(Stream, reference.folder.NextOffset()))
 				s := reference.folder.Snapshot()
 				accepted[s.Version] = s.Text
 			case "carry":
 				// Any reader carries what it has, however old.
 				s := rapid.SampledFrom(readers).Draw(rt, "carrier").folder
 				if snapshot := s.Snapshot(); snapshot.Version > 0 && !s.Undecided() {
-					appendRecord(rt, log, Record{Type: TypeCarry, Version: snapshot.Version, AsOf: snapshot.AsOf, Text: snapshot.Text})
+					appendRecord(rt, log, Record{Type: TypeRepublish, Version: snapshot.Version, AsOf: snapshot.AsOf, Text: snapshot.Text})
 				}
-				reference.folder.Read(log.ReadNow(Stream, reference.folder.Next()))
+				reference.folder.Apply(log.ReadPage(Stream, reference.folder.NextOffset()))
 			case "trim":
 				trim(rt, log, reference.folder.Snapshot())
 			case "read":
 				r := rapid.SampledFrom(readers).Draw(rt, "reader")
-				r.folder.Read(log.ReadNow(Stream, r.folder.Next()))
+				r.folder.Apply(log.ReadPage(Stream, r.folder.NextOffset()))
 				r.see(rt)
 			case "ask":
 				r := rapid.SampledFrom(readers).Draw(rt, "asker")
@@ -91,15 +91,15 @@
 				}
 				r.see(rt)
 			case "replace":
-				readers[rapid.IntRange(0, 2).Draw(rt, "replaced")] = &reader{folder: NewFolder()}
+				readers[rapid.IntRange(0, 2).Draw(rt, "replaced")] = &reader{folder: NewStateMachine()}
 			}
 		}
 		want := reference.folder.Snapshot()
 		if want.Version > 0 {
-			appendRecord(rt, log, Record{Type: TypeCarry, Version: want.Version, AsOf: want.AsOf, Text: want.Text})
+			appendRecord(rt, log, Record{Type: TypeRepublish, Version: want.Version, AsOf: want.AsOf, Text: want.Text})
 		}
 		for i, r := range readers {
-			r.folder.Read(log.ReadNow(Stream, r.folder.Next()))
+			r.folder.Apply(log.ReadPage(Stream, r.folder.NextOffset()))
 			r.see(rt)
 			s := r.folder.Snapshot()
 			if s.Version > 0 && accepted[s.Version] != s.Text {
@@ -118,7 +118,7 @@
 // trim drops old records, but never the newest copy of what is in force: a
 // process carries it before its time is over.
 func trim(rt *rapid.T, log *standin.Log, inForce Snapshot) {
-	page := log.ReadNow(Stream, 1)
+	page := log.ReadPage(Stream, 1)
 	keepFrom := page.Next
 	for _, r := range page.Records {
 		if strings.Contains(string(r.Data), fmt.Sprintf(`"version":%d,`, inForce.Version)) || r.Offset == inForce.Version {
@@ -140,7 +140,7 @@
 }
 
 func (l *lossyLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
-	offset := l.AppendNow(stream, data)
+	offset := l.AppendRecord(stream, data)
 	if l.lose > 0 {
 		l.lose--
 		l.loseRead = true
@@ -154,7 +154,7 @@
 		l.loseRead = false
 		return nil, errors.New("answer lost")
 	}
-	return l.ReadNow(stream, from), nil
+	return l.ReadPage(stream, from), nil
 }
 
 // The log takes an operator's publish and loses its answer. The operator must
@@ -166,7 +166,7 @@
 		if err != nil || !verdict.Accepted {
 			t.Fatalf("%+v %v", verdict, err)
 		}
-		if n := len(log.ReadNow(Stream, 1).Records); n != 1 {
+		if n := len(log.ReadPage(Stream, 1).Records); n != 1 {
 			t.Fatalf("%d records", n)
 		}
 	})
@@ -201,7 +201,7 @@
 	if _, err := Publish(context.Background(), log, "n", 0, textNumber(9)); err == nil {
 		t.Fatal("a publish was accepted although nobody knows what is in force")
 	}
-	log.TrimTo(Stream, log.ReadNow(Stream, 1).Next)
+	log.TrimTo(Stream, log.ReadPage(Stream, 1).Next)
 	version, err := Recover(context.Background(), log, "r", textNumber(7))
 	if err != nil {
 		t.Fatal(err)
@@ -216,10 +216,10 @@
 	log := standin.NewLog()
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "a", Text: textNumber(1)})
 	appendRecord(t, log, Record{Type: TypePublish, Nonce: "b", Base: 1, Text: "schema = 2"})
-	f := NewFolder()
-	f.Read(log.ReadNow(Stream, 1))
+	f := NewStateMachine()
+	f.Apply(log.ReadPage(Stream, 1))
 	verdicts := f.TakeVerdicts()
-	if f.Snapshot().Version != 1 || verdicts[1].Accepted || verdicts[1].Problem == nil {
+	if f.Snapshot().Version != 1 || verdicts[1].Accepted || verdicts[1].Err == nil {
 		t.Fatalf("%+v %+v", f.Snapshot(), verdicts)
 	}
 }
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -46,7 +46,7 @@
 	loop    *control.Loop
 	log     external.Log
 	options FollowerOptions
-	folder  *Folder
+	folder  *StateMachine
 	fact    *blackboard.Fact[Snapshot]
 	reading bool
 	// mayRead is set when a peer has answered, or none has in time.
@@ -77,14 +77,14 @@
 	// LogError is told of failed calls of the log.
 	LogError func(call string)
 	// InForce is told on the control thread of each new version.
-	InForce func(Snapshot)
+	OnChange func(Snapshot)
 }
 
 // NewFollower returns a follower that posts to fact.
 func NewFollower(loop *control.Loop, log external.Log, fact *blackboard.Fact[Snapshot], options FollowerOptions) *Follower {
 	const spreadSteps = 1000
 	return &Follower{
-		loop: loop, log: log, fact: fact, options: options, folder: NewFolder(),
+		loop: loop, log: log, fact: fact, options: options, folder: NewStateMachine(),
 		carrySeed: float64(loop.Intn(spreadSteps)) / spreadSteps,
 	}
 }
@@ -136,7 +136,7 @@
 		return
 	}
 	f.reading = true
-	from := f.folder.Next()
+	from := f.folder.NextOffset()
 	control.Do(f.loop, readTimeout, func(ctx context.Context) (*external.Page, error) {
 		return f.log.Read(ctx, Stream, from)
 	}, f.pageRead)
@@ -149,13 +149,13 @@
 		f.options.Logger.Info("config_read_failed", "error", err.Error())
 		return
 	}
-	f.folder.Read(page)
+	f.folder.Apply(page)
 	for _, v := range f.folder.TakeVerdicts() {
 		f.options.Logger.Info("config_publish_seen", "version", v.Offset, "accepted", v.Accepted, "in_force", v.InForce)
 	}
 	f.post()
 	f.carryIfOld()
-	if f.folder.Next() < page.Next {
+	if f.folder.NextOffset() < page.Next {
 		f.poll()
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	f.fact.Post(s, time.Now())
 	f.options.Logger.Info("config_in_force", "version", s.Version, "as_of", s.AsOf)
-	f.options.InForce(s)
+	f.options.OnChange(s)
 	for range hintPeers {
 		f.sync()
 	}
@@ -181,12 +181,12 @@
 	if !ok {
 		return
 	}
-	f.Ask(peer)
+	f.SyncWith(peer)
 }
 
 // Ask fetches the configuration of a peer if it is newer. It runs on the
 // control thread.
-func (f *Follower) Ask(peer string) {
+func (f *Follower) SyncWith(peer string) {
 	current, _ := f.fact.Get()
 	request := &peerv1.SyncRequest{ConfigVersion: current.Version, Address: f.options.Address}
 	client := peerv1.NewPeerClient(f.options.Client, "http://"+peer)
@@ -237,7 +237,7 @@
 		return
 	}
 	f.pulling = true
-	f.Ask(peer)
+	f.SyncWith(peer)
 	f.loop.Go(func(ctx context.Context) {
 		sleep.For(ctx, hintSpacing)
 		f.loop.Post(func() { f.pulling = false })
@@ -282,7 +282,7 @@
 	if f.carrying {
 		return
 	}
-	data, err := Encode(Record{Type: TypeCarry, Nonce: uuid.NewString(), Version: s.Version, AsOf: s.AsOf, Text: s.Text})
+	data, err := Encode(Record{Type: TypeRepublish, Nonce: uuid.NewString(), Version: s.Version, AsOf: s.AsOf, Text: s.Text})
 	if err != nil {
 		return
 	}
@@ -328,7 +328,7 @@
 
 // Nudge makes the follower read the log and ask a peer soon. Any thread may
 // call it.
-func (f *Follower) Nudge() {
+func (f *Follower) Trigger() {
 	if !f.nudged.CompareAndSwap(false, true) {
 		return
 	}
--- a/internal/configlog/follower_test.go
+++ b/internal/configlog/follower_test.go
@@ -20,11 +20,11 @@
 
 func (l *slowLog) Append(_ context.Context, stream string, data []byte) (uint64, error) {
 	time.Sleep(4 * time.Second)
-	return l.AppendNow(stream, data), nil
+	return l.AppendRecord(stream, data), nil
 }
 
 func (l *slowLog) Read(_ context.Context, stream string, from uint64) (*external.Page, error) {
-	return l.ReadNow(stream, from), nil
+	return l.ReadPage(stream, from), nil
 }
 
 // The only copy of the configuration grows old while the log is slow. The
@@ -36,7 +36,7 @@
 		loop := control.NewLoop(1, func(time.Duration) {})
 		f := NewFollower(loop, log, &blackboard.Fact[Snapshot]{}, FollowerOptions{
 			LogPolls: 20, SyncPeriod: time.Second, Retention: time.Minute, Client: &http.Client{}, Logger: logr.Discard(),
-			LogError: func(string) {}, InForce: func(Snapshot) {},
+			LogError: func(string) {}, OnChange: func(Snapshot) {},
 		})
 		done := make(chan struct{})
 		go func() {
@@ -47,7 +47,7 @@
 		time.Sleep(58 * time.Second)
 		loop.Stop()
 		<-done
-		if n := len(log.ReadNow(Stream, 1).Records) - 1; n != 1 {
+		if n := len(log.ReadPage(Stream, 1).Records) - 1; n != 1 {
 			t.Errorf("carried %d times", n)
 		}
 	})
--- a/internal/configlog/publish.go
+++ b/internal/configlog/publish.go
@@ -24,20 +24,20 @@
 )
 
 // ReadAll folds the stream from its start to its end.
-func ReadAll(ctx context.Context, log external.Log) (*Folder, error) {
-	f := NewFolder()
-	return f, ReadOn(ctx, log, f)
+func ReadAll(ctx context.Context, log external.Log) (*StateMachine, error) {
+	f := NewStateMachine()
+	return f, CatchUp(ctx, log, f)
 }
 
 // ReadOn folds what has come since, to the stream's end.
-func ReadOn(ctx context.Context, log external.Log, f *Folder) error {
+func CatchUp(ctx context.Context, log external.Log, f *StateMachine) error {
 	for {
-		page, err := log.Read(ctx, Stream, f.Next())
+		page, err := log.Read(ctx, Stream, f.NextOffset())
 		if err != nil {
 			return errors.Wrap(err, "read configuration stream")
 		}
-		f.Read(page)
-		if f.Next() >= page.Next {
+		f.Apply(page)
+		if f.NextOffset() >= page.Next {
 			return nil
 		}
 	}
@@ -85,7 +85,7 @@
 		return v, true, nil
 	}
 	_, appendErr := log.Append(ctx, Stream, data)
-	if err := ReadOn(ctx, log, f); err != nil {
+	if err := CatchUp(ctx, log, f); err != nil {
 		return Verdict{}, false, errors.CombineErrors(err, appendErr)
 	}
 	v, found := findNonce(f.TakeVerdicts(), nonce)
@@ -99,8 +99,8 @@
 	if v.Accepted {
 		return nil
 	}
-	if v.Problem != nil {
-		return v.Problem
+	if v.Err != nil {
+		return v.Err
 	}
 	return errors.Wrapf(ErrConflict, "edited from version %d, but version %d is in force; fetch it with 'toucanwell show configuration', apply your change to it, publish with --base %d",
 		base, v.InForce, v.InForce)
@@ -116,7 +116,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "read configuration stream")
 	}
-	data, err := Encode(Record{Type: TypeCarry, Nonce: nonce, Version: page.Next, AsOf: page.Next - 1, Text: text})
+	data, err := Encode(Record{Type: TypeRepublish, Nonce: nonce, Version: page.Next, AsOf: page.Next - 1, Text: text})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -92,7 +92,7 @@
 func (l *Loop) Every(period func() time.Duration, event func()) {
 	l.Go(func(ctx context.Context) {
 		for n := 0; ; n++ {
-			wait := l.Spread(period())
+			wait := l.Jitter(period())
 			if n < spreadStarts {
 				wait = time.Duration(l.float() * float64(period()))
 			}
@@ -129,7 +129,7 @@
 }
 
 // Spread returns d changed by up to a quarter to either side.
-func (l *Loop) Spread(d time.Duration) time.Duration {
+func (l *Loop) Jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + l.float()/2))
 }
 
@@ -148,7 +148,7 @@
 
 // Ask runs a question on the control thread and returns its answer; false when the
 // context ends before.
-func Ask[T any](ctx context.Context, loop *Loop, question func() T) (T, bool) {
+func Call[T any](ctx context.Context, loop *Loop, question func() T) (T, bool) {
 	answer := make(chan T, 1)
 	loop.Post(func() { answer <- question() })
 	select {
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -37,7 +37,7 @@
 func (e *Entry) authenticate(token string) (*config.Workspace, *errkind.Error) {
 	c, _, ok := e.current()
 	if !ok {
-		return nil, errkind.After(errkind.ConfigurationMissing, suspectDuration, "")
+		return nil, errkind.NewRetryAfter(errkind.ConfigurationMissing, suspectDuration, "")
 	}
 	sum := sha256.Sum256([]byte(token))
 	digest := hex.EncodeToString(sum[:])
--- a/internal/entry/completion.go
+++ b/internal/entry/completion.go
@@ -90,7 +90,7 @@
 		if last == nil {
 			return p, nil
 		}
-		if p.callerGone || !last.Kind.Row().Elsewhere {
+		if p.callerGone || !last.Kind.Spec().Failover {
 			break
 		}
 		if last.Kind == errkind.WrongWeights && p.nextSeq == 1 {
@@ -156,7 +156,7 @@
 		return onceRefusal(last)
 	}
 	if last.Kind == errkind.UnknownRun {
-		return errkind.After(errkind.TargetFailed, suspectDuration, "the target lost the run")
+		return errkind.NewRetryAfter(errkind.TargetFailed, suspectDuration, "the target lost the run")
 	}
 	return last
 }
@@ -168,7 +168,7 @@
 	case errkind.NotRun, errkind.OutcomeUnknown, errkind.InProgress, errkind.KeyConflict, errkind.KeyExpired, errkind.KeyInvalid:
 		return e
 	}
-	return errkind.After(errkind.OutcomeUnknown, max(e.RetryAfter, time.Second), "the last attempt was not started or its result was lost: %v", e)
+	return errkind.NewRetryAfter(errkind.OutcomeUnknown, max(e.RetryAfter, time.Second), "the last attempt was not started or its result was lost: %v", e)
 }
 
 // waitForTarget chooses a target. While targets refuse the request for lack of the current
@@ -177,7 +177,7 @@
 	for {
 		_, view, ok := e.current()
 		if !ok {
-			return choice{}, errkind.After(errkind.ConfigurationMissing, time.Second, "")
+			return choice{}, errkind.NewRetryAfter(errkind.ConfigurationMissing, time.Second, "")
 		}
 		chosen, refusal := e.chooseFor(ctx, &view, r, excluded)
 		if refusal == nil || refusal.Kind != errkind.WrongWeights {
@@ -197,7 +197,7 @@
 	}
 	target, ok := pickByKey(view.Services[r.service.Name], r.workspace.Name, r.service.Name, r.once.Key, excluded)
 	if !ok {
-		return choice{}, errkind.After(errkind.NoTarget, suspectDuration, "")
+		return choice{}, errkind.NewRetryAfter(errkind.NoTarget, suspectDuration, "")
 	}
 	return choice{target: target}, nil
 }
@@ -282,7 +282,7 @@
 	}
 	refusal, cut = e.copyStream(&watchedStream{frameStream: stream, watchdog: watchdog}, r, p, out)
 	if refusal != nil && refusal.Kind == errkind.UnknownRun && r.once != nil {
-		refusal = errkind.After(errkind.OutcomeUnknown, time.Second, "the target lost the run")
+		refusal = errkind.NewRetryAfter(errkind.OutcomeUnknown, time.Second, "the target lost the run")
 	}
 	return refusal, cut
 }
@@ -359,7 +359,7 @@
 }
 
 func refusalOf(m *peerv1.Refusal) *errkind.Error {
-	return errkind.After(errkind.Kind(m.Kind), time.Duration(m.RetryAfterMs)*time.Millisecond, "%s", m.Detail)
+	return errkind.NewRetryAfter(errkind.Kind(m.Kind), time.Duration(m.RetryAfterMs)*time.Millisecond, "%s", m.Detail)
 }
 
 // budgetMs returns the time left until the deadline. The deadline applies to the first token
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -86,14 +86,14 @@
 func New(s *settings.Settings, d Deps) (*Entry, error) {
 	e := &Entry{
 		settings: s, logger: d.Logger, metrics: d.Metrics, hosts: d.Hosts,
-		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.Control), health: newTargetHealth(time.Now),
+		board: &Board{}, loop: control.NewLoop(s.Seed, d.Metrics.ControlTime), health: newTargetHealth(time.Now),
 		budget: retry.NewBudget(), burn: burn.NewCounter(time.Now), peers: d.Peers, prober: d.Prober,
 		location: routing.Location{Zone: s.AvailabilityZone, Region: s.Region},
 	}
 	e.follower = configlog.NewFollower(e.loop, d.Log, &e.board.Config, configlog.FollowerOptions{
 		Address: s.AdminListen, Peers: s.Peers, LogPolls: s.Timing.LogPolls, SyncPeriod: s.Timing.SyncPeriod.Duration,
 		Retention: s.Platform.LogRetention.Duration, Client: d.Peers, Logger: d.Logger, LogError: d.Metrics.LogError,
-		InForce: e.configChanged,
+		OnChange: e.configChanged,
 	})
 	handler, err := e.newHandler()
 	if err != nil {
@@ -176,7 +176,7 @@
 	if !ok {
 		return true
 	}
-	service, _ := s.Config.TargetNamed(name)
+	service, _ := s.Config.FindTarget(name)
 	return service != nil
 }
 
--- a/internal/entry/handler.go
+++ b/internal/entry/handler.go
@@ -119,7 +119,7 @@
 
 // problem builds the response to a refused request.
 func problem(id string, e *errkind.Error) *oas.ProblemStatusCodeWithHeaders {
-	row := e.Kind.Row()
+	row := e.Kind.Spec()
 	p := &oas.ProblemStatusCodeWithHeaders{
 		StatusCode: row.Status,
 		Response:   oas.Problem{Type: problemType + row.Name, Title: row.Title, Status: row.Status, RequestID: oas.NewOptString(id)},
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -108,7 +108,7 @@
 func (e *Entry) newCompletion(id string, arrived time.Time, h *callHeader, req *oas.CompletionRequest) (*completion, *errkind.Error) {
 	c, _, ok := e.current()
 	if !ok {
-		return nil, errkind.After(errkind.ConfigurationMissing, suspectDuration, "")
+		return nil, errkind.NewRetryAfter(errkind.ConfigurationMissing, suspectDuration, "")
 	}
 	model := c.Model(req.Model)
 	if model == nil || !model.HasAdapter(req.Adapter.Or("")) {
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -39,7 +39,7 @@
 	targets := view.Services[r.service.Name]
 	ranking := routing.Rank(targets, e.location, r.prompt.Levels)
 	if ranking.Len() == 0 {
-		return choice{}, errkind.After(errkind.NoTarget, suspectDuration, "")
+		return choice{}, errkind.NewRetryAfter(errkind.NoTarget, suspectDuration, "")
 	}
 	policy := &routing.DefaultPolicy
 	var results []probeResult
@@ -94,7 +94,7 @@
 			return choice{target: t}, nil
 		}
 	}
-	return choice{}, errkind.After(errkind.NoTarget, suspectDuration, "all targets have been tried")
+	return choice{}, errkind.NewRetryAfter(errkind.NoTarget, suspectDuration, "all targets have been tried")
 }
 
 // probeResult is the result of one probe.
@@ -151,7 +151,7 @@
 func noResponse(target *routing.Target, index int) probeResult {
 	return probeResult{
 		estimate: routing.Estimate{Index: index, Refused: true},
-		refusal:  errkind.After(errkind.NoTarget, suspectDuration, "%s did not respond to a probe", target.Name),
+		refusal:  errkind.NewRetryAfter(errkind.NoTarget, suspectDuration, "%s did not respond to a probe", target.Name),
 	}
 }
 
@@ -181,7 +181,7 @@
 	if kind := errkind.Kind(m.RefusalKind); kind != errkind.None {
 		e.recordLeaving(target.Name, kind)
 		result.estimate.Refused = true
-		result.refusal = errkind.After(kind, time.Duration(m.RetryAfterMs)*time.Millisecond, "")
+		result.refusal = errkind.NewRetryAfter(kind, time.Duration(m.RetryAfterMs)*time.Millisecond, "")
 		return result
 	}
 	result.estimate.Wait = time.Duration(m.WaitMs) * time.Millisecond
@@ -212,7 +212,7 @@
 // combineRefusals returns the refusal with the shortest delay to retry after. Refusals by
 // targets take precedence over probes without a response.
 func combineRefusals(results []probeResult) *errkind.Error {
-	refusal := errkind.After(errkind.NoTarget, suspectDuration, "no target accepted the request")
+	refusal := errkind.NewRetryAfter(errkind.NoTarget, suspectDuration, "no target accepted the request")
 	for _, result := range results {
 		if result.refusal == nil || result.refusal.RetryAfter == 0 {
 			continue
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -251,7 +251,7 @@
 func (e *Entry) newCall(id string, arrived time.Time, h *callHeader, name, path string, body []byte) (*plainCall, *errkind.Error) {
 	c, view, ok := e.current()
 	if !ok {
-		return nil, errkind.After(errkind.ConfigurationMissing, suspectDuration, "")
+		return nil, errkind.NewRetryAfter(errkind.ConfigurationMissing, suspectDuration, "")
 	}
 	service := c.Service(name)
 	if service == nil || service.Kind != config.KindPlain {
@@ -286,7 +286,7 @@
 	_, view, _ := e.current()
 	e.budget.Earn(view.Config.Limits.RetryShare)
 	excluded := map[string]bool{}
-	last := errkind.After(errkind.NoTarget, suspectDuration, "")
+	last := errkind.NewRetryAfter(errkind.NoTarget, suspectDuration, "")
 	for attempt := 0; attempt < maxAttempts; attempt++ {
 		if attempt > 0 && !e.mayRetry(ctx, false, last) {
 			break
@@ -300,7 +300,7 @@
 			return resp, nil
 		}
 		last = refusal
-		if !refusal.Kind.Row().Elsewhere {
+		if !refusal.Kind.Spec().Failover {
 			break
 		}
 		excluded[target.Name] = true
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -58,7 +58,7 @@
 )
 
 // Row is the answer to one kind.
-type Row struct {
+type Spec struct {
 	// Name is the last part of the problem type.
 	Name string
 	// Title is the sentence that the caller reads.
@@ -67,12 +67,12 @@
 	Status int
 	// Elsewhere is true when the entry may try another target: this try has
 	// not started at the target that refused.
-	Elsewhere bool
+	Failover bool
 }
 
 // table has a row for each kind. For a call that runs at most once the entry
 // passes on NotRun only from the record of claims; see package once.
-var table = map[Kind]Row{
+var table = map[Kind]Spec{
 	BadRequest:           {"bad_request", "The request is malformed.", http.StatusBadRequest, false},
 	BodyTooLarge:         {"body_too_large", "The request body is too large.", http.StatusRequestEntityTooLarge, false},
 	Unauthenticated:      {"unauthenticated", "The request carries no workspace token.", http.StatusUnauthorized, false},
@@ -110,7 +110,7 @@
 }
 
 // Row returns the answer to k; an unknown number reads as Internal.
-func (k Kind) Row() Row {
+func (k Kind) Spec() Spec {
 	row, ok := table[k]
 	if !ok {
 		return table[Internal]
@@ -123,7 +123,7 @@
 	if k == None {
 		return "none"
 	}
-	return k.Row().Name
+	return k.Spec().Name
 }
 
 // All returns every kind but None, in the order of their numbers.
@@ -159,7 +159,7 @@
 }
 
 // After returns an Error with a time to come back.
-func After(kind Kind, retryAfter time.Duration, format string, args ...any) *Error {
+func NewRetryAfter(kind Kind, retryAfter time.Duration, format string, args ...any) *Error {
 	e := New(kind, format, args...)
 	e.RetryAfter = retryAfter
 	return e
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -55,8 +55,8 @@
 	if len(s.Lines) != 2 || s.Lines[1].Event != "request_done" {
 		t.Errorf("lines %+v", s.Lines)
 	}
-	if len(s.Beliefs) != 3 || s.Beliefs[0].Get("target") != "i-1" || s.Beliefs[1].Get("outcome") != "in_doubt" || s.Beliefs[2].Event != "store_lost" {
-		t.Errorf("beliefs %+v", s.Beliefs)
+	if len(s.StateChanges) != 3 || s.StateChanges[0].Get("target") != "i-1" || s.StateChanges[1].Get("outcome") != "in_doubt" || s.StateChanges[2].Event != "store_lost" {
+		t.Errorf("beliefs %+v", s.StateChanges)
 	}
 	var told strings.Builder
 	if err := s.Print(&told); err != nil || !strings.Contains(told.String(), "outcome=target_failed") {
@@ -99,10 +99,10 @@
 		}
 		return s
 	}
-	if s := read("r2"); len(s.Lines) != 1 || len(s.Beliefs) != 2 || s.Beliefs[0].Process != "entry-2" || s.Beliefs[1].Event != "request_quarantined" {
+	if s := read("r2"); len(s.Lines) != 1 || len(s.StateChanges) != 2 || s.StateChanges[0].Process != "entry-2" || s.StateChanges[1].Event != "request_quarantined" {
 		t.Errorf("%+v", s)
 	}
-	if s := read("p"); len(s.Lines) != 2 || len(s.Beliefs) != 2 {
+	if s := read("p"); len(s.Lines) != 2 || len(s.StateChanges) != 2 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -18,7 +18,7 @@
 	// maxLine is the longest line that is read; longer ones are no lines of ours.
 	maxLine = 1 << 20
 	// Before is how long before a request's first line beliefs are told.
-	Before = 5 * time.Second
+	Lookback = 5 * time.Second
 )
 
 // beliefEvents are the lines that tell of a changed belief or dependency.
@@ -43,7 +43,7 @@
 	// Beliefs are what the processes that had the request learned in the time
 	// before it and while it lasted, of the targets it met and of what they
 	// depend on.
-	Beliefs []Line `json:"beliefs"`
+	StateChanges []Line `json:"beliefs"`
 	// Dropped is set when one of the processes dropped log lines meanwhile: the
 	// story may have gaps.
 	Dropped bool `json:"dropped"`
@@ -51,7 +51,7 @@
 
 // Read gathers a request's story from logs.
 func Read(id string, logs ...io.Reader) (*Story, error) {
-	s := &Story{ID: id, Lines: []Line{}, Beliefs: []Line{}}
+	s := &Story{ID: id, Lines: []Line{}, StateChanges: []Line{}}
 	var beliefs, held []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
@@ -76,16 +76,16 @@
 	byTime(beliefs)
 	for _, l := range held {
 		if s.has(func(own *Line) bool { return own.Get(printField) == l.Get(printField) }) {
-			s.Beliefs = append(s.Beliefs, l)
+			s.StateChanges = append(s.StateChanges, l)
 		}
 	}
 	for _, l := range beliefs {
 		if s.concerns(&l) {
-			s.Beliefs = append(s.Beliefs, l)
+			s.StateChanges = append(s.StateChanges, l)
 			s.Dropped = s.Dropped || l.Event == "log_lines_dropped"
 		}
 	}
-	byTime(s.Beliefs)
+	byTime(s.StateChanges)
 	return s, nil
 }
 
@@ -98,7 +98,7 @@
 	if len(s.Lines) == 0 {
 		return false
 	}
-	from, to := s.Lines[0].Time.Add(-Before), s.Lines[len(s.Lines)-1].Time
+	from, to := s.Lines[0].Time.Add(-Lookback), s.Lines[len(s.Lines)-1].Time
 	if l.Time.Before(from) || l.Time.After(to) {
 		return false
 	}
@@ -136,7 +136,7 @@
 	for _, part := range []struct {
 		title string
 		lines []Line
-	}{{"what was learned before and meanwhile", s.Beliefs}, {"what became of it", s.Lines}} {
+	}{{"what was learned before and meanwhile", s.StateChanges}, {"what became of it", s.Lines}} {
 		if len(part.lines) == 0 {
 			continue
 		}
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -117,7 +117,7 @@
 }
 
 // Load is an engine's lagging report.
-type Load struct {
+type EngineStatus struct {
 	Incarnation string `json:"incarnation"`
 	// Weights loaded now; empty while loading.
 	Weights string `json:"weights"`
@@ -127,7 +127,7 @@
 }
 
 // Order tells an engine to load weights. Fence is the fencing number.
-type Order struct {
+type LoadOrder struct {
 	Model   string `json:"model"`
 	Weights string `json:"weights"`
 	Fence   uint64 `json:"fence"`
@@ -157,8 +157,8 @@
 	Resume(ctx context.Context, requestID string, from uint64) (TokenStream, error)
 	Cancel(ctx context.Context, requestID string) error
 	Events(ctx context.Context, from uint64) (*EventPage, error)
-	Load(ctx context.Context) (*Load, error)
-	Order(ctx context.Context, order Order) error
+	Status(ctx context.Context) (*EngineStatus, error)
+	LoadWeights(ctx context.Context, order LoadOrder) error
 }
 
 // PlainRequest is one call of a plain service.
--- a/internal/external/http.go
+++ b/internal/external/http.go
@@ -197,14 +197,14 @@
 }
 
 // Load implements Engine.
-func (e *HTTPEngine) Load(ctx context.Context) (*Load, error) {
-	load := &Load{}
+func (e *HTTPEngine) Status(ctx context.Context) (*EngineStatus, error) {
+	load := &EngineStatus{}
 	err := e.c.call(ctx, http.MethodGet, "/v1/load", nil, load)
 	return load, err
 }
 
 // Order implements Engine.
-func (e *HTTPEngine) Order(ctx context.Context, order Order) error {
+func (e *HTTPEngine) LoadWeights(ctx context.Context, order LoadOrder) error {
 	err := e.c.post(ctx, "/v1/orders", order, nil)
 	if statusOf(err) == http.StatusPreconditionFailed {
 		return errors.Mark(err, ErrStaleFence)
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -97,7 +97,7 @@
 		directory: fleet.NewDirectory(), wanted: map[string]weights.History{}, words: map[fleet.Incarnation]view.EngineReport{}, unlisted: map[fleet.Incarnation]fleet.UnlistedState{}, silent: map[netip.AddrPort]time.Time{},
 		welcomed: map[netip.AddrPort]uint64{}, pulling: map[string]bool{}, pulledAt: map[string]time.Time{}, digests: map[string]uint64{}, refused: map[string]string{}, changed: func() {}, inForce: func(int64) {}, entryRefused: func() {},
 	}
-	b.operators = feed.NewFollower(loop, p.Operators(), feed.NewReplica(outageGap), feed.Options{
+	b.operators = feed.NewFollower(loop, p.Declarations(), feed.NewReplica(outageGap), feed.Options{
 		Name: topicOperators, Wait: operatorsWait, ShouldRead: b.readsOperators, OnChange: b.operatorsChanged,
 		OnCall: called, OnRecovered: func() {}, Logger: logger, Now: clock.Now,
 	})
@@ -131,7 +131,7 @@
 		if !ok {
 			continue
 		}
-		d, err := b.platform.ReadDeclaration(r)
+		d, err := b.platform.DecodeDeclaration(r)
 		if err != nil {
 			// The last good one stays in force: half of a bad one must not.
 			b.logger.Error(err, "declaration_refused", "key", key, "offset", r.Offset)
@@ -169,7 +169,7 @@
 			}
 			continue
 		}
-		listing, err := b.platform.ReadTarget(r)
+		listing, err := b.platform.DecodeTarget(r)
 		if err != nil {
 			b.refuse(key, r.Offset, err)
 			b.digestOf(key, 0)
--- a/internal/gateway/deputy.go
+++ b/internal/gateway/deputy.go
@@ -50,7 +50,7 @@
 	holder := p.settings.Name + "/" + strconv.FormatUint(p.incarnation, 16)
 	return &deputy{
 		process: p, lease: lease.New(holder), engines: map[netip.AddrPort]weights.Engine{},
-		orders: weights.NewRemoteController(p.loop, p.settings.Name, p.logger, p.clock.Now, func(o weights.Outcome) { p.metrics.Order(o.String()) }),
+		orders: weights.NewRemoteController(p.loop, p.settings.Name, p.logger, p.clock.Now, func(o weights.Outcome) { p.metrics.WeightsOrder(o.String()) }),
 	}
 }
 
@@ -135,7 +135,7 @@
 		added  bool
 	}
 	control.Do(d.process.loop, leaseTimeout, func(ctx context.Context) (result, error) {
-		offset, added, err := d.process.platform.TakeLease(ctx, holder, end)
+		offset, added, err := d.process.platform.AcquireLease(ctx, holder, end)
 		return result{offset, added}, err
 	}, func(r result, err error) {
 		now := d.process.clock.Now()
@@ -154,7 +154,7 @@
 	}
 	d.fetching = true
 	control.Do(d.process.loop, tokenTimeout, func(ctx context.Context) (uint64, error) {
-		return d.process.platform.Token(ctx, d.process.settings.Name)
+		return d.process.platform.NextToken(ctx, d.process.settings.Name)
 	}, func(token uint64, err error) {
 		d.fetching = false
 		if err != nil {
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -61,7 +61,7 @@
 		Protocol: p.platform.Protocol(), View: e.currentView, Pool: e.pool, Ledger: e.ledger, Parts: e.parts, Health: e.health, Reach: e.reach,
 		Quarantine: e.suspects.book, CrashDetector: quarantine.NewCrashDetector(func(ctx context.Context, t *fleet.Target) bool { return e.pool.RefusesConnections(ctx, t.Address) }),
 		Bounds: forward.Bounds{
-			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.Weights.Duration,
+			RetryRatio: p.settings.Bounds.RetryRatio, RetrySlack: p.settings.Bounds.RetrySlack, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration,
 		},
 		Zone: p.settings.AvailabilityZone, Logger: p.logger, RoutineLogger: p.ordinary, Metrics: requestMetrics{p.metrics, p.burn}, AnnounceWork: e.tellWork, Now: p.clock.Now, Seed: p.settings.seed(),
 	})
--- a/internal/gateway/feed/follower.go
+++ b/internal/gateway/feed/follower.go
@@ -94,7 +94,7 @@
 func (f *Follower) run(ctx context.Context) {
 	backoff := firstRetry
 	for ctx.Err() == nil {
-		next, ok := control.Ask(ctx, f.loop, f.nextRequest)
+		next, ok := control.Call(ctx, f.loop, f.nextRequest)
 		if !ok {
 			return
 		}
@@ -108,7 +108,7 @@
 			sleep.For(ctx, f.options.Pause)
 			continue
 		}
-		sleep.For(ctx, f.loop.Spread(backoff))
+		sleep.For(ctx, f.loop.Jitter(backoff))
 		backoff = min(2*backoff, maxRetry)
 	}
 }
--- a/internal/gateway/forward/explain.go
+++ b/internal/gateway/forward/explain.go
@@ -45,7 +45,7 @@
 	fl := &flow{Forwarder: f, arrived: time.Now(), request: request, excluded: map[fleet.Incarnation]bool{}}
 	var ok bool
 	if fl.view, ok = f.View(); !ok || fl.view.Estate == nil {
-		return nil, errkind.After(errkind.ConfigurationMissing, noEstateRetryAfter, "")
+		return nil, errkind.NewRetryAfter(errkind.ConfigurationMissing, noEstateRetryAfter, "")
 	}
 	if refusal := fl.resolveRoute(host, path); refusal != nil {
 		return nil, refusal
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -105,7 +105,7 @@
 	Refusal(service, class, kind string)
 	FirstToken(service, class string, d time.Duration)
 	// Waited records the time between a request's arrival and its first send.
-	Waited(service, class string, d time.Duration)
+	PlacementWait(service, class string, d time.Duration)
 	// Burn records whether a request met its objective.
 	Burn(service, class, workspace string, good bool)
 	// Tokens records the token counts of a prompt at its first send: its length, the tokens
@@ -115,7 +115,7 @@
 	Retry(cause string)
 	Resume()
 	// RateLimit records whether a request was admitted, and the source of the decision.
-	RateLimit(source string, admitted bool)
+	RateLimitDecision(source string, admitted bool)
 }
 
 // Forwarder is the HTTP handler that serves callers. Create it with New.
@@ -264,7 +264,7 @@
 	var ok bool
 	fl.view, ok = fl.View()
 	if !ok || fl.view.Estate == nil {
-		return errkind.After(errkind.ConfigurationMissing, noEstateRetryAfter, "")
+		return errkind.NewRetryAfter(errkind.ConfigurationMissing, noEstateRetryAfter, "")
 	}
 	var err error
 	if fl.request, err = fl.Protocol.ReadRequest(fl.r.Header); err != nil {
@@ -325,7 +325,7 @@
 	if !v.Stopping || fl.arrived.Before(v.SelectiveFrom) || time.Now().Add(longest).Before(v.ShutdownAt) {
 		return nil
 	}
-	return errkind.After(errkind.Stopping, fl.jitter(otherEntryRetryAfter), "the entry exits in %s", time.Until(v.ShutdownAt).Round(time.Millisecond))
+	return errkind.NewRetryAfter(errkind.Stopping, fl.jitter(otherEntryRetryAfter), "the entry exits in %s", time.Until(v.ShutdownAt).Round(time.Millisecond))
 }
 
 const (
@@ -391,7 +391,7 @@
 		}
 		if fl.delivered > 0 && !fl.retries.Spend() {
 			fl.endProbation(dst)
-			return fl.finalRefusal(lastRefusal, errkind.After(errkind.Overloaded, fl.jitter(busyRetryAfter), "the retry budget is exhausted"))
+			return fl.finalRefusal(lastRefusal, errkind.NewRetryAfter(errkind.Overloaded, fl.jitter(busyRetryAfter), "the retry budget is exhausted"))
 		}
 		fl.chargeRerun()
 		result := fl.send(ctx, dst)
@@ -441,7 +441,7 @@
 		return errkind.New(errkind.Cancelled, "the caller closed the connection")
 	}
 	if fl.runs == 0 {
-		return errkind.After(errkind.DeadlineUnmeetable, busyRetryAfter, "%v", context.Cause(ctx))
+		return errkind.NewRetryAfter(errkind.DeadlineUnmeetable, busyRetryAfter, "%v", context.Cause(ctx))
 	}
 	return errkind.New(errkind.TimedOut, "%v", context.Cause(ctx))
 }
--- a/internal/gateway/forward/helpers_test.go
+++ b/internal/gateway/forward/helpers_test.go
@@ -37,15 +37,15 @@
 
 type noMetrics struct{}
 
-func (noMetrics) Request(string, string)                   {}
-func (noMetrics) Refusal(string, string, string)           {}
-func (noMetrics) FirstToken(string, string, time.Duration) {}
-func (noMetrics) Burn(string, string, string, bool)        {}
-func (noMetrics) Waited(string, string, time.Duration)     {}
-func (noMetrics) Tokens(string, string, int, int, int)     {}
-func (noMetrics) Retry(string)                             {}
-func (noMetrics) Resume()                                  {}
-func (noMetrics) RateLimit(string, bool)                   {}
+func (noMetrics) Request(string, string)                      {}
+func (noMetrics) Refusal(string, string, string)              {}
+func (noMetrics) FirstToken(string, string, time.Duration)    {}
+func (noMetrics) Burn(string, string, string, bool)           {}
+func (noMetrics) PlacementWait(string, string, time.Duration) {}
+func (noMetrics) Tokens(string, string, int, int, int)        {}
+func (noMetrics) Retry(string)                                {}
+func (noMetrics) Resume()                                     {}
+func (noMetrics) RateLimitDecision(string, bool)              {}
 
 type noObserver struct{}
 
--- a/internal/gateway/forward/limited.go
+++ b/internal/gateway/forward/limited.go
@@ -24,12 +24,12 @@
 		IsRetry: fl.isRetry, MaxWait: time.Duration(maxWaitShare * float64(fl.timeLeft())),
 	}
 	d := fl.Limits.Admit(fl.r.Context(), fl.limitRequest)
-	fl.Metrics.RateLimit(string(d.Source), d.Admitted)
+	fl.Metrics.RateLimitDecision(string(d.Source), d.Admitted)
 	if d.Admitted {
 		fl.admission = d
 		return nil
 	}
-	return errkind.After(errkind.RateLimited, fl.jitter(d.RetryAfter), "the request costs %.0f %s; the limit is %.0f per second with bursts of %.0f; the workspace has %.0f left (decided by %s in %s)",
+	return errkind.NewRetryAfter(errkind.RateLimited, fl.jitter(d.RetryAfter), "the request costs %.0f %s; the limit is %.0f per second with bursts of %.0f; the workspace has %.0f left (decided by %s in %s)",
 		fl.limitRequest.Cost, terms.Unit, terms.PerSecond, terms.Burst, d.Level, d.Source, roundForLog(d.Took))
 }
 
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -110,7 +110,7 @@
 // choose chooses a target from the current view, without waiting.
 func (fl *flow) choose(ctx context.Context) (*destination, *errkind.Error) {
 	if fl.service.Engine != nil && fl.Reach.Partitioned(fl.Now()) {
-		return nil, errkind.After(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine or sidecar has responded recently")
+		return nil, errkind.NewRetryAfter(errkind.CutOff, fl.jitter(otherEntryRetryAfter), "no engine or sidecar has responded recently")
 	}
 	if fl.service.Engine != nil && fl.route.HasPrompts {
 		return fl.chooseEngine(ctx)
@@ -138,7 +138,7 @@
 		}
 	}
 	if best < 0 {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "no target of %s", fl.service.Name)
+		return nil, errkind.NewRetryAfter(errkind.NoTarget, fl.jitter(busyRetryAfter), "no target of %s", fl.service.Name)
 	}
 	dst := &destination{target: targets[best], work: ledger.Work{Running: 1}}
 	if fl.route.Retryable() && fl.runs+1 < fl.route.MaxAttempts {
@@ -205,10 +205,10 @@
 // resolveChoice turns a placement choice into a destination or a refusal.
 func (fl *flow) resolveChoice(in *placement.Input, candidates []placement.Candidate, targets []fleet.Target, choice placement.Choice) (*destination, *errkind.Error) {
 	if choice.Index < 0 {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(fl.noEngineRetryAfter(in)), "no engine of %s can accept the request now", fl.service.Name)
+		return nil, errkind.NewRetryAfter(errkind.NoTarget, fl.jitter(fl.noEngineRetryAfter(in)), "no engine of %s can accept the request now", fl.service.Name)
 	}
 	if remaining := fl.firstEventTimeout(); choice.Estimate > remaining {
-		return nil, errkind.After(errkind.DeadlineUnmeetable, fl.jitter(choice.Estimate-remaining), "the first event is expected in %s", choice.Estimate)
+		return nil, errkind.NewRetryAfter(errkind.DeadlineUnmeetable, fl.jitter(choice.Estimate-remaining), "the first event is expected in %s", choice.Estimate)
 	}
 	c := &candidates[choice.Index]
 	dst := fl.engineDestination(targets[choice.Index], c, choice, in)
--- a/internal/gateway/forward/quarantined.go
+++ b/internal/gateway/forward/quarantined.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	hold := min(fl.quarantineStatus.Until.Sub(fl.Now()), maxHoldRetryAfter)
-	return errkind.After(errkind.Quarantined, fl.jitter(hold), "%d targets crashed while they ran request %s; it is quarantined for %s", fl.quarantineStatus.Crashes, fl.fingerprint, hold.Round(time.Second))
+	return errkind.NewRetryAfter(errkind.Quarantined, fl.jitter(hold), "%d targets crashed while they ran request %s; it is quarantined for %s", fl.quarantineStatus.Crashes, fl.fingerprint, hold.Round(time.Second))
 }
 
 // suspectKey returns the key that ranks the targets for a suspect, so that all its runs go
@@ -63,14 +63,14 @@
 		return nil, refusal
 	}
 	if fl.quarantineStatus.Verdict == quarantine.Held {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request; it is on hold until the crashes are attributed", fl.quarantineStatus.Crashes)
+		return nil, errkind.NewRetryAfter(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request; it is on hold until the crashes are attributed", fl.quarantineStatus.Crashes)
 	}
 	dst, refusal := fl.choose(ctx)
 	if refusal != nil || fl.quarantineStatus.Verdict != quarantine.Alone {
 		return dst, refusal
 	}
 	if !fl.Quarantine.StartProbationRun(fl.fingerprint, dst.target.ID, fl.Now()) {
-		return nil, errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request, and another run of it is in progress", fl.quarantineStatus.Crashes)
+		return nil, errkind.NewRetryAfter(errkind.NoTarget, fl.jitter(busyRetryAfter), "%d targets crashed while they ran the request, and another run of it is in progress", fl.quarantineStatus.Crashes)
 	}
 	dst.probation = true
 	return dst, nil
--- a/internal/gateway/forward/record.go
+++ b/internal/gateway/forward/record.go
@@ -82,7 +82,7 @@
 	if fl.sends > 1 {
 		return
 	}
-	fl.Metrics.Waited(fl.serviceName(), fl.class(), fl.sentAt.Sub(fl.arrived))
+	fl.Metrics.PlacementWait(fl.serviceName(), fl.class(), fl.sentAt.Sub(fl.arrived))
 	if len(dst.partKeys) == 0 {
 		return
 	}
@@ -165,7 +165,7 @@
 	if e.Kind == errkind.Quarantined {
 		return false // the request crashes its targets
 	}
-	return e.Kind.Row().Status >= http.StatusInternalServerError || e.Kind == errkind.Overloaded
+	return e.Kind.Spec().Status >= http.StatusInternalServerError || e.Kind == errkind.Overloaded
 }
 
 // logDone logs the outcome of the request.
--- a/internal/gateway/forward/refusal.go
+++ b/internal/gateway/forward/refusal.go
@@ -19,7 +19,7 @@
 
 // refuse responds to the request with an error. No byte of a response may have been written.
 func (fl *flow) refuse(e *errkind.Error) {
-	row := e.Kind.Row()
+	row := e.Kind.Spec()
 	fl.recordFailure(e)
 	if e.Kind == errkind.Cancelled {
 		panic(http.ErrAbortHandler)
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -232,7 +232,7 @@
 			fl.Reach.ConnectFailed(fl.Now())
 		}
 		fl.recordOutcome(dst, health.Unreachable)
-		return sendResult{notRun: true, refusal: errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "%v", err)}
+		return sendResult{notRun: true, refusal: errkind.NewRetryAfter(errkind.NoTarget, fl.jitter(busyRetryAfter), "%v", err)}
 	}
 	fl.recordBroken(ctx, dst, err)
 	return sendResult{refusal: errkind.New(errkind.TargetFailed, "%v", err)}
@@ -254,9 +254,9 @@
 	fl.runs--
 	fl.excluded[dst.target.Incarnation] = true
 	drain(resp)
-	refusal := errkind.After(errkind.Overloaded, fl.jitter(busyRetryAfter), "the target refused with status %d", resp.Status)
+	refusal := errkind.NewRetryAfter(errkind.Overloaded, fl.jitter(busyRetryAfter), "the target refused with status %d", resp.Status)
 	if resp.Status == http.StatusMisdirectedRequest {
-		refusal = errkind.After(errkind.NoTarget, fl.jitter(busyRetryAfter), "the target at this address is now %q or has other weights", reply.Instance)
+		refusal = errkind.NewRetryAfter(errkind.NoTarget, fl.jitter(busyRetryAfter), "the target at this address is now %q or has other weights", reply.Instance)
 	}
 	if resp.Status == http.StatusBadRequest {
 		return sendResult{final: true, refusal: errkind.New(errkind.BadRequest, "the target refused the request as malformed")}
--- a/internal/gateway/platform.go
+++ b/internal/gateway/platform.go
@@ -34,25 +34,25 @@
 type Platform interface {
 	// Operators is the topic of what operators declare, Targets that of the
 	// platform's list of targets.
-	Operators() feed.Source
+	Declarations() feed.Source
 	Targets() feed.Source
 	// ReadDeclaration decodes a record of Operators. A record that is none of the
 	// product's business gives a zero Declaration.
-	ReadDeclaration(r feed.Record) (Declaration, error)
+	DecodeDeclaration(r feed.Record) (Declaration, error)
 	// ReadTarget decodes a record of Targets.
-	ReadTarget(r feed.Record) (fleet.Listing, error)
+	DecodeTarget(r feed.Record) (fleet.Listing, error)
 	// Token returns a new fencing token for a holder's orders: a number higher
 	// than all before it.
-	Token(ctx context.Context, holder string) (uint64, error)
+	NextToken(ctx context.Context, holder string) (uint64, error)
 	// Lease returns the newest record of the lease for orders to engines without a
 	// sidecar; TakeLease adds one where its topic still ends at an offset, and reports
 	// whether it was added. An error leaves that open.
 	Lease(ctx context.Context) (lease.Record, error)
-	TakeLease(ctx context.Context, holder string, end uint64) (offset uint64, added bool, err error)
+	AcquireLease(ctx context.Context, holder string, end uint64) (offset uint64, added bool, err error)
 	// Quarantined returns the stored records of requests that are refused, or were let go;
 	// KeepQuarantined stores one in place of an earlier one of the same key.
-	Quarantined(ctx context.Context) ([][]byte, error)
-	KeepQuarantined(ctx context.Context, key string, record []byte) error
+	QuarantineRecords(ctx context.Context) ([][]byte, error)
+	StoreQuarantineRecord(ctx context.Context, key string, record []byte) error
 	// Engine returns the control side of an engine.
 	Engine(address netip.AddrPort) weights.Engine
 	// Cache tells what an engine, or a store of cached parts, holds.
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -69,10 +69,10 @@
 func Start(s *Settings, platform Platform, out io.Writer) (*Process, error) {
 	log := logging.NewBounded(out, s.Name, s.LogLinesPerSecond)
 	p := &process{
-		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), ordinary: logging.New(log.Ordinary(), s.Name), metrics: metrics.New(),
+		settings: s, platform: platform, log: log, logger: logging.New(log, s.Name), ordinary: logging.New(log.Routine(), s.Name), metrics: metrics.New(),
 		clock: hostclock.New(), burn: burn.NewCounter(time.Now), incarnation: rand.Uint64(), failed: make(chan error, 4),
 	}
-	p.loop = control.NewLoop(s.seed(), p.metrics.Control)
+	p.loop = control.NewLoop(s.seed(), p.metrics.ControlTime)
 	peers := &http.Client{Transport: &http.Transport{DialContext: upstream.NewDialer().DialContext, IdleConnTimeout: peerIdle, DisableCompression: true}}
 	p.beliefs = newBeliefs(s, platform, p.loop, p.clock, p.logger, peers, p.metrics.StoreCall)
 	if s.Role == settings.RoleEntry {
@@ -117,13 +117,13 @@
 			return p.clock.Now().Sub(at(v)).Seconds()
 		}
 	}
-	p.metrics.Gauge("targets_age_seconds", "Age of the copy of the platform's list of targets.", age(func(v *view.View) time.Time { return v.TargetsCurrentAt }))
-	p.metrics.Gauge("declarations_age_seconds", "Age of the copy of what operators declare.", age(func(v *view.View) time.Time { return v.EstateCurrentAt }))
-	p.metrics.Gauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(p.log.Dropped()) })
-	p.beliefs.entryRefused = p.metrics.TargetRefused
+	p.metrics.RegisterGauge("targets_age_seconds", "Age of the copy of the platform's list of targets.", age(func(v *view.View) time.Time { return v.TargetsCurrentAt }))
+	p.metrics.RegisterGauge("declarations_age_seconds", "Age of the copy of what operators declare.", age(func(v *view.View) time.Time { return v.EstateCurrentAt }))
+	p.metrics.RegisterGauge("log_lines_dropped", "Log lines dropped since the start.", func() float64 { return float64(p.log.Dropped()) })
+	p.beliefs.entryRefused = p.metrics.TargetEntryRefused
 	p.beliefs.inForce = func(version int64) { p.metrics.ConfigVersion(uint64(version)) }
 	if p.entry != nil {
-		p.metrics.Gauge("requests_in_flight", "Requests being served.", func() float64 { return float64(p.entry.forwarder.InFlight()) })
+		p.metrics.RegisterGauge("requests_in_flight", "Requests being served.", func() float64 { return float64(p.entry.forwarder.InFlight()) })
 	}
 }
 
@@ -237,7 +237,7 @@
 
 // Adopt takes over what may change in the settings of a running process: the
 // seeds. Everything else keeps the value that it started with, which is said.
-func (p *process) Adopt(next *Settings) {
+func (p *process) Reload(next *Settings) {
 	fixed := *next
 	fixed.Seeds = p.settings.Seeds
 	same := reflect.DeepEqual(&fixed, p.settings)
@@ -246,10 +246,10 @@
 }
 
 // Refused tells that changed settings were not taken over.
-func (p *process) Refused(err error) { p.logger.Error(err, "settings_refused") }
+func (p *process) ReloadFailed(err error) { p.logger.Error(err, "settings_refused") }
 
 // Failed yields the error of a listener that ended by itself.
-func (p *process) Failed() <-chan error { return p.failed }
+func (p *process) ServeErrors() <-chan error { return p.failed }
 
 // Close ends the process at once.
 func (p *process) Close() {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -79,15 +79,15 @@
 	// Ends is how many targets may end under a request before it is refused. Default 3:
 	// two ends may have a cause of their own, and each further one costs all that the
 	// target works on.
-	Ends int `toml:"ends"`
+	MaxCrashes int `toml:"ends"`
 	// SuspectFor is how long after its last end a request is a suspect. Default 1h.
 	SuspectFor settings.Duration `toml:"suspect_for"`
 	// HoldFor is how long a request is refused after its last end. Default 24h: long enough
 	// for the targets' owners to mend them.
-	HoldFor settings.Duration `toml:"hold_for"`
+	RefuseFor settings.Duration `toml:"hold_for"`
 	// Records is how many requests an entry keeps a record of, of some 300 bytes each. The
 	// least suspected are dropped first. Default 2000.
-	Records int `toml:"records"`
+	MaxRecords int `toml:"records"`
 }
 
 // StoreSettings say where the platform's store is.
@@ -102,7 +102,7 @@
 	GracePeriod settings.Duration `toml:"grace_period"`
 	// Weights is the time within which engines have newly named weights.
 	// Required.
-	Weights settings.Duration `toml:"weights"`
+	MaxStaleness settings.Duration `toml:"weights"`
 	// RetryRatio is how many sends beyond the first all processes together may
 	// make for each request; RetrySlack how many beyond that in a window of some
 	// seconds. Default 0.1 and 10.
@@ -144,7 +144,7 @@
 		LargeEntries: defaultLargeEntries, LargeEngines: defaultLargeEngines,
 		Bounds: BoundsSettings{RetryRatio: defaultRetryRatio, RetrySlack: defaultRetrySlack},
 		Quarantine: QuarantineSettings{
-			Ends: defaultEnds, SuspectFor: settings.Duration{Duration: defaultSuspectFor}, HoldFor: settings.Duration{Duration: defaultHoldFor}, Records: defaultRecords,
+			MaxCrashes: defaultEnds, SuspectFor: settings.Duration{Duration: defaultSuspectFor}, RefuseFor: settings.Duration{Duration: defaultHoldFor}, MaxRecords: defaultRecords,
 		},
 	}
 	if err := tomltext.Decode(name, text, s); err != nil {
@@ -198,11 +198,11 @@
 	report(s.LargeEngines > 0, "large_engines: must be above 0")
 	report(s.LogLinesPerSecond > 0, "log_lines_per_second: must be above 0")
 	report(s.Bounds.GracePeriod.Duration > 0, "bounds.grace_period: missing")
-	report(s.Bounds.Weights.Duration > 0, "bounds.weights: missing")
-	report(s.Quarantine.Ends > 0, "quarantine.ends: must be above 0")
+	report(s.Bounds.MaxStaleness.Duration > 0, "bounds.weights: missing")
+	report(s.Quarantine.MaxCrashes > 0, "quarantine.ends: must be above 0")
 	report(s.Quarantine.SuspectFor.Duration > 0, "quarantine.suspect_for: must be above 0")
-	report(s.Quarantine.HoldFor.Duration >= s.Quarantine.SuspectFor.Duration, "quarantine.hold_for: must not be below quarantine.suspect_for")
-	report(s.Quarantine.Records > 0, "quarantine.records: must be above 0")
+	report(s.Quarantine.RefuseFor.Duration >= s.Quarantine.SuspectFor.Duration, "quarantine.hold_for: must not be below quarantine.suspect_for")
+	report(s.Quarantine.MaxRecords > 0, "quarantine.records: must be above 0")
 	report(s.Bounds.RetryRatio >= 0 && s.Bounds.RetryRatio <= 1, "bounds.retry_ratio: allowed is 0 to 1")
 	report(s.Bounds.RetrySlack >= 0, "bounds.retry_slack: must not be below 0")
 	return problems
--- a/internal/gateway/sidecar.go
+++ b/internal/gateway/sidecar.go
@@ -51,8 +51,8 @@
 		Token:    func() (uint64, bool) { return s.token, s.token > 0 },
 		UpToDate: func() bool { p.clock.Check(); return p.clock.SinceResume() > freshAfter },
 	}, weights.Options{
-		Holder: p.settings.Name, MaxStaleness: p.settings.Bounds.Weights.Duration, Logger: p.logger, Now: p.clock.Now,
-		OnOutcome: func(o weights.Outcome) { p.metrics.Order(o.String()) },
+		Holder: p.settings.Name, MaxStaleness: p.settings.Bounds.MaxStaleness.Duration, Logger: p.logger, Now: p.clock.Now,
+		OnOutcome: func(o weights.Outcome) { p.metrics.WeightsOrder(o.String()) },
 	})
 	p.beliefs.changed = s.orders.Trigger
 	s.caches = newCaches(p)
@@ -96,7 +96,7 @@
 // fetchToken gets this life's fencing token, once the store gives one.
 func (s *sidecar) fetchToken() {
 	control.Do(s.process.loop, tokenTimeout, func(ctx context.Context) (uint64, error) {
-		return s.process.platform.Token(ctx, s.process.settings.Name)
+		return s.process.platform.NextToken(ctx, s.process.settings.Name)
 	}, func(token uint64, err error) {
 		if err == nil {
 			s.token = token
@@ -106,7 +106,7 @@
 		s.process.logger.Info("token_failed", "error", err.Error())
 		s.process.loop.Go(func(ctx context.Context) {
 			select {
-			case <-time.After(s.process.loop.Spread(tokenRetry)):
+			case <-time.After(s.process.loop.Jitter(tokenRetry)):
 				s.process.loop.Post(s.fetchToken)
 			case <-ctx.Done():
 			}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -98,7 +98,7 @@
 
 // hasSuccessor reports whether another entry takes callers.
 func (p *process) hasSuccessor(ctx context.Context) bool {
-	found, ok := control.Ask(ctx, p.loop, func() bool {
+	found, ok := control.Call(ctx, p.loop, func() bool {
 		return slices.ContainsFunc(p.beliefs.mesh.Live(true), func(m *mesh.Member) bool {
 			return takesCallers(m, p.beliefs.stoppingSince, p.clock.Now())
 		})
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -62,13 +62,13 @@
 	limits := p.settings.Quarantine
 	watch := &suspectWatch{logger: p.logger, ordinary: p.ordinary, metrics: p.metrics}
 	s := &suspects{process: p, watch: watch, book: quarantine.NewRegistry(quarantine.Limits{
-		MaxCrashes: limits.Ends, SuspectFor: limits.SuspectFor.Duration, RefuseFor: limits.HoldFor.Duration, MaxRecords: limits.Records, ProbationDelay: p.beliefs.probationTurn,
+		MaxCrashes: limits.MaxCrashes, SuspectFor: limits.SuspectFor.Duration, RefuseFor: limits.RefuseFor.Duration, MaxRecords: limits.MaxRecords, ProbationDelay: p.beliefs.probationTurn,
 	}, watch)}
-	p.metrics.Gauge("quarantined_requests", "Requests that are refused because targets ended under them.", func() float64 {
+	p.metrics.RegisterGauge("quarantined_requests", "Requests that are refused because targets ended under them.", func() float64 {
 		refused, _ := s.book.Count()
 		return float64(refused)
 	})
-	p.metrics.Gauge("suspect_requests", "Requests under which targets ended and that may still run.", func() float64 {
+	p.metrics.RegisterGauge("suspect_requests", "Requests under which targets ended and that may still run.", func() float64 {
 		_, suspects := s.book.Count()
 		return float64(suspects)
 	})
@@ -180,7 +180,7 @@
 	p := s.process
 	s.loading = true
 	began := time.Now()
-	control.Do(p.loop, suspectsTimeout, p.platform.Quarantined, func(records [][]byte, err error) {
+	control.Do(p.loop, suspectsTimeout, p.platform.QuarantineRecords, func(records [][]byte, err error) {
 		p.metrics.StoreCall(topicQuarantine, time.Since(began), err)
 		if err == nil {
 			s.loading = false
@@ -189,7 +189,7 @@
 		}
 		p.logger.Info("quarantine_not_read", "error", err.Error())
 		p.loop.Go(func(ctx context.Context) {
-			if sleep.For(ctx, p.loop.Spread(suspectsAgain)) {
+			if sleep.For(ctx, p.loop.Jitter(suspectsAgain)) {
 				p.loop.Post(s.load)
 			}
 		})
@@ -211,7 +211,7 @@
 			continue
 		}
 		age := time.Since(time.UnixMilli(m.WrittenUnixMs))
-		if dropped < mostDropped && age > s.process.settings.Quarantine.HoldFor.Duration && s.process.beliefs.entriesBefore() == 0 {
+		if dropped < mostDropped && age > s.process.settings.Quarantine.RefuseFor.Duration && s.process.beliefs.entriesBefore() == 0 {
 			dropped++
 			s.keep(quarantine.Fingerprint(m.Print), true)
 		}
@@ -266,7 +266,7 @@
 	}
 	began := time.Now()
 	control.Do(p.loop, suspectsTimeout, func(ctx context.Context) (struct{}, error) {
-		return struct{}{}, p.platform.KeepQuarantined(ctx, print.String(), text)
+		return struct{}{}, p.platform.StoreQuarantineRecord(ctx, print.String(), text)
 	}, func(_ struct{}, err error) {
 		p.metrics.StoreCall(topicQuarantine, time.Since(began), err)
 		if err == nil {
@@ -275,7 +275,7 @@
 		}
 		p.logger.Info("quarantine_not_kept", "print", print, "error", err.Error())
 		p.loop.Go(func(ctx context.Context) {
-			if sleep.For(ctx, p.loop.Spread(suspectsAgain)) {
+			if sleep.For(ctx, p.loop.Jitter(suspectsAgain)) {
 				p.loop.Post(func() { s.keepNow(print) })
 			}
 		})
@@ -322,7 +322,7 @@
 	if told {
 		log, event = w.ordinary, "request_blame_told"
 	}
-	w.metrics.Blamed(told)
+	w.metrics.CrashAttributed(told)
 	if !told && len(r.Crashes) == 2 {
 		w.mu.Lock()
 		w.secondEnd = true
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -39,10 +39,10 @@
 	// TTFT is the time to the first piece of text.
 	TTFT time.Duration
 	// Whole is set when the answer equals the transcript.
-	Whole          bool
+	Correct        bool
 	Prompt, Cached int
 	// Problem says what went wrong, like "429 overloaded".
-	Problem string
+	Failure string
 }
 
 // Run sends the requests at their times and returns when all have ended.
@@ -113,12 +113,12 @@
 	messages := Messages(r)
 	body, err := json.Marshal(map[string]any{"model": o.Model, "messages": messages, "max_tokens": r.OutputLength, "stream": true})
 	if err != nil {
-		out.Problem = err.Error()
+		out.Failure = err.Error()
 		return out
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		out.Problem = err.Error()
+		out.Failure = err.Error()
 		return out
 	}
 	req.Header.Set("Content-Type", "application/json")
@@ -128,13 +128,13 @@
 	start := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		out.Problem = err.Error()
+		out.Failure = err.Error()
 		return out
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(resp.Body)
-		out.Problem = fmt.Sprintf("%d %s", resp.StatusCode, text)
+		out.Failure = fmt.Sprintf("%d %s", resp.StatusCode, text)
 		return out
 	}
 	out.readStream(resp.Body, start, standin.Transcript(promptOf(messages), r.OutputLength))
@@ -158,7 +158,7 @@
 	for {
 		data, err := dec.next()
 		if err != nil {
-			out.Problem = errNoEnd.Error()
+			out.Failure = errNoEnd.Error()
 			return
 		}
 		if out.TTFT == 0 {
@@ -169,7 +169,7 @@
 		}
 		var c chunk
 		if err := json.Unmarshal([]byte(data), &c); err != nil || len(c.Choices) == 0 {
-			out.Problem = data
+			out.Failure = data
 			return
 		}
 		text.WriteString(c.Choices[0].Delta.Content)
@@ -177,8 +177,8 @@
 			out.Prompt, out.Cached = c.Usage.PromptTokens, c.Usage.CachedTokens
 		}
 	}
-	out.Whole = text.String() == want
-	if !out.Whole {
-		out.Problem = "the answer differs from the transcript"
+	out.Correct = text.String() == want
+	if !out.Correct {
+		out.Failure = "the answer differs from the transcript"
 	}
 }
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -51,7 +51,7 @@
 func (b *Bounded) Write(line []byte) (int, error) { return b.write(line, false), nil }
 
 // Ordinary returns the writer of ordinary lines.
-func (b *Bounded) Ordinary() io.Writer { return ordinary{b} }
+func (b *Bounded) Routine() io.Writer { return ordinary{b} }
 
 type ordinary struct{ *Bounded }
 
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -75,7 +75,7 @@
 		var out bytes.Buffer
 		b := NewBounded(&out, "p", 10)
 		for range 100 {
-			_, _ = b.Ordinary().Write([]byte("ordinary\n"))
+			_, _ = b.Routine().Write([]byte("ordinary\n"))
 		}
 		_, _ = b.Write([]byte("failed\n"))
 		b.Close()
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -22,30 +22,30 @@
 
 // Reasons for an answer that was late, by what took the most time of it.
 const (
-	ReasonKept   = "kept before the send"
-	ReasonWait   = "expected wait at the engine"
-	ReasonRead   = "expected reading"
-	ReasonFetch  = "expected fetch of parts"
-	ReasonBeyond = "beyond what was expected"
-	ReasonAgain  = "another send"
+	ReasonEntryWait  = "kept before the send"
+	ReasonEngineWait = "expected wait at the engine"
+	ReasonPrefill    = "expected reading"
+	ReasonFetch      = "expected fetch of parts"
+	ReasonUnexpected = "beyond what was expected"
+	ReasonResend     = "another send"
 )
 
 // Row counts the requests of one route in one window of time.
 type Row struct {
 	Route string `json:"route"`
 	// From is when the window begins, in seconds from the first line.
-	From float64 `json:"from_s"`
+	Start float64 `json:"from_s"`
 	// Requests are all that ended in the window; InTime those whose first event came
 	// within the route's aim, Late those after it, Gone those whose callers left.
-	Requests int `json:"requests"`
-	InTime   int `json:"in_time"`
-	Late     int `json:"late"`
-	Gone     int `json:"gone"`
+	Requests  int `json:"requests"`
+	InTime    int `json:"in_time"`
+	Late      int `json:"late"`
+	Cancelled int `json:"gone"`
 	// Shared, Held and Fetched are tokens of the shared parts of prompts: in all, those
 	// that the engine was expected to hold, and to fetch.
-	Shared  int `json:"shared_tokens"`
-	Held    int `json:"held_tokens"`
-	Fetched int `json:"fetched_tokens"`
+	SharedTokens  int `json:"shared_tokens"`
+	CachedTokens  int `json:"held_tokens"`
+	FetchedTokens int `json:"fetched_tokens"`
 	// Reasons are why requests were late, refused or failed, with how many.
 	Reasons map[string]int `json:"reasons"`
 }
@@ -56,8 +56,8 @@
 	Window time.Duration
 	// Aim is the time within which the first event of a route is of full use, by the
 	// route's name. Routes that are not named have DefaultAim.
-	Aim        map[string]time.Duration
-	DefaultAim time.Duration
+	Objectives       map[string]time.Duration
+	DefaultObjective time.Duration
 }
 
 // sent is what a request's sends were expected to take.
@@ -130,13 +130,13 @@
 	row := t.row(l)
 	row.Requests++
 	if s != nil {
-		row.Shared += s.shared
-		row.Held += s.held
-		row.Fetched += s.fetched
+		row.SharedTokens += s.shared
+		row.CachedTokens += s.held
+		row.FetchedTokens += s.fetched
 	}
 	switch outcome := l.Get("outcome"); {
 	case outcome == "cancelled":
-		row.Gone++
+		row.Cancelled++
 	case outcome != "answered":
 		row.Reasons[outcome]++
 	case duration(l, "first") <= t.aim(row.Route):
@@ -150,14 +150,14 @@
 // reason names what took the most of the time until the first event.
 func reason(first time.Duration, s *sent) string {
 	if s == nil {
-		return ReasonBeyond
+		return ReasonUnexpected
 	}
 	if s.sends > 1 {
-		return ReasonAgain
+		return ReasonResend
 	}
 	parts := map[string]time.Duration{
-		ReasonKept: s.kept, ReasonWait: s.wait, ReasonRead: s.read, ReasonFetch: s.fetch,
-		ReasonBeyond: first - s.kept - s.wait - s.read - s.fetch,
+		ReasonEntryWait: s.kept, ReasonEngineWait: s.wait, ReasonPrefill: s.read, ReasonFetch: s.fetch,
+		ReasonUnexpected: first - s.kept - s.wait - s.read - s.fetch,
 	}
 	names := slices.Sorted(maps.Keys(parts))
 	return slices.MaxFunc(names, func(a, b string) int { return cmp.Compare(parts[a], parts[b]) })
@@ -167,17 +167,17 @@
 	k := key{route: l.Get("route"), window: int(l.Time.Sub(t.start) / t.options.Window)}
 	row := t.rows[k]
 	if row == nil {
-		row = &Row{Route: k.route, From: (time.Duration(k.window) * t.options.Window).Seconds(), Reasons: map[string]int{}}
+		row = &Row{Route: k.route, Start: (time.Duration(k.window) * t.options.Window).Seconds(), Reasons: map[string]int{}}
 		t.rows[k] = row
 	}
 	return row
 }
 
 func (t *table) aim(route string) time.Duration {
-	if aim, ok := t.options.Aim[route]; ok {
+	if aim, ok := t.options.Objectives[route]; ok {
 		return aim
 	}
-	return t.options.DefaultAim
+	return t.options.DefaultObjective
 }
 
 func (t *table) sorted() []Row {
@@ -185,7 +185,7 @@
 	for _, row := range t.rows {
 		all = append(all, *row)
 	}
-	slices.SortFunc(all, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.From, b.From)) })
+	slices.SortFunc(all, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Start, b.Start)) })
 	return all
 }
 
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -31,15 +31,15 @@
 	done("gone", "cancelled", "0s")
 	log.Info("target_listed", "target", "i-1")
 
-	rows, err := Read(Options{Window: time.Hour, DefaultAim: time.Second, Aim: map[string]time.Duration{"r": 400 * time.Millisecond}}, strings.NewReader(out.String()+"no line of ours\n"))
+	rows, err := Read(Options{Window: time.Hour, DefaultObjective: time.Second, Objectives: map[string]time.Duration{"r": 400 * time.Millisecond}}, strings.NewReader(out.String()+"no line of ours\n"))
 	if err != nil || len(rows) != 1 {
 		t.Fatalf("%+v, %v", rows, err)
 	}
 	r := rows[0]
-	if r.Requests != 5 || r.InTime != 1 || r.Late != 2 || r.Gone != 1 || r.Shared != 400 || r.Held != 240 || r.Fetched != 120 {
+	if r.Requests != 5 || r.InTime != 1 || r.Late != 2 || r.Cancelled != 1 || r.SharedTokens != 400 || r.CachedTokens != 240 || r.FetchedTokens != 120 {
 		t.Errorf("%+v", r)
 	}
-	for reason, want := range map[string]int{"late: " + ReasonWait: 1, "late: " + ReasonBeyond: 1, "deadline_unmeetable": 1} {
+	for reason, want := range map[string]int{"late: " + ReasonEngineWait: 1, "late: " + ReasonUnexpected: 1, "deadline_unmeetable": 1} {
 		if r.Reasons[reason] != want {
 			t.Errorf("%s: %d, want %d; all are %v", reason, r.Reasons[reason], want, r.Reasons)
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -102,12 +102,12 @@
 }
 
 // Waited records how long a request was kept before its first send.
-func (m *Metrics) Waited(service, class string, d time.Duration) {
+func (m *Metrics) PlacementWait(service, class string, d time.Duration) {
 	m.waits.WithLabelValues(service, class).Observe(d.Seconds())
 }
 
 // Gauge registers a gauge that is read when metrics are gathered.
-func (m *Metrics) Gauge(name, help string, read func() float64) {
+func (m *Metrics) RegisterGauge(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "toucanwell", Name: name, Help: help}, read))
 }
 
@@ -123,7 +123,7 @@
 func (m *Metrics) Retry(cause string) { m.retries.WithLabelValues(cause).Inc() }
 
 // RateLimit counts a decision on a workspace's rate limit.
-func (m *Metrics) RateLimit(source string, admitted bool) {
+func (m *Metrics) RateLimitDecision(source string, admitted bool) {
 	outcome := "refused"
 	if admitted {
 		outcome = "admitted"
@@ -156,13 +156,13 @@
 func (m *Metrics) LogError(call string) { m.logErrors.WithLabelValues(call).Inc() }
 
 // Control counts time spent on the control thread.
-func (m *Metrics) Control(d time.Duration) { m.controlSeconds.Add(d.Seconds()) }
+func (m *Metrics) ControlTime(d time.Duration) { m.controlSeconds.Add(d.Seconds()) }
 
 // Connection counts a connection opened to a target.
 func (m *Metrics) Connection() { m.connections.Inc() }
 
 // TargetRefused counts an entry of the platform's list that names no target.
-func (m *Metrics) TargetRefused() { m.refusedTargets.Inc() }
+func (m *Metrics) TargetEntryRefused() { m.refusedTargets.Inc() }
 
 // StoreCall records a call of the platform's store.
 func (m *Metrics) StoreCall(topic string, took time.Duration, err error) {
@@ -174,11 +174,11 @@
 }
 
 // Order counts an order to load weights.
-func (m *Metrics) Order(outcome string) { m.orders.WithLabelValues(outcome).Inc() }
+func (m *Metrics) WeightsOrder(outcome string) { m.orders.WithLabelValues(outcome).Inc() }
 
 // Blamed counts an end of a target that is held against a request, by this process's own
 // word or as another one told it.
-func (m *Metrics) Blamed(told bool) {
+func (m *Metrics) CrashAttributed(told bool) {
 	word := "own"
 	if told {
 		word = "told"
--- a/internal/once/ledger.go
+++ b/internal/once/ledger.go
@@ -109,7 +109,7 @@
 	state, err := s.commit(ctx, ticket.newRecord(TypeClaim))
 	if err != nil {
 		ticket.releaseUnstarted()
-		return nil, nil, errkind.After(errkind.OutcomeUnknown, unknownRetryAfter, "this attempt was not started: claim log unavailable: %v", err)
+		return nil, nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetryAfter, "this attempt was not started: claim log unavailable: %v", err)
 	}
 	if state.Phase == Claimed && state.Nonce == ticket.nonce {
 		return ticket, nil, nil
@@ -129,10 +129,10 @@
 	ticket := &Ticket{slot: s, key: key, nonce: uuid.NewString(), ended: make(chan struct{})}
 	state, err := s.commit(ctx, ticket.newRecord(TypeVoid))
 	if err != nil {
-		return nil, errkind.After(errkind.OutcomeUnknown, unknownRetryAfter, "this attempt was not started: claim log unavailable: %v", err)
+		return nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetryAfter, "this attempt was not started: claim log unavailable: %v", err)
 	}
 	if state.Phase == Void {
-		return nil, errkind.After(errkind.NotRun, retryAfter, "%s", detail)
+		return nil, errkind.NewRetryAfter(errkind.NotRun, retryAfter, "%s", detail)
 	}
 	return resolve(state, key)
 }
@@ -188,7 +188,7 @@
 		}
 		return state.Response, nil
 	default:
-		return nil, errkind.After(errkind.OutcomeUnknown, unknownRetryAfter, "an earlier attempt has claimed the key and its outcome is not recorded")
+		return nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetryAfter, "an earlier attempt has claimed the key and its outcome is not recorded")
 	}
 }
 
@@ -225,12 +225,12 @@
 	select {
 	case <-other.ended:
 	case <-ctx.Done():
-		return nil, nil, errkind.After(errkind.InProgress, unknownRetryAfter, "")
+		return nil, nil, errkind.NewRetryAfter(errkind.InProgress, unknownRetryAfter, "")
 	}
 	if other.response != nil {
 		return nil, other.response, nil
 	}
-	return nil, nil, errkind.After(errkind.OutcomeUnknown, unknownRetryAfter, "the outcome of the earlier attempt is unknown")
+	return nil, nil, errkind.NewRetryAfter(errkind.OutcomeUnknown, unknownRetryAfter, "the outcome of the earlier attempt is unknown")
 }
 
 func (t *Ticket) newRecord(kind RecordType) Record {
@@ -265,7 +265,7 @@
 func (t *Ticket) Void(ctx context.Context, retryAfter time.Duration, detail string) *errkind.Error {
 	_, _ = t.slot.commit(ctx, t.newRecord(TypeVoid))
 	t.release(nil)
-	return errkind.After(errkind.NotRun, retryAfter, "%s", detail)
+	return errkind.NewRetryAfter(errkind.NotRun, retryAfter, "%s", detail)
 }
 
 // Abandon ends a ticket whose call may have run.
--- a/internal/once/ledger_test.go
+++ b/internal/once/ledger_test.go
@@ -37,16 +37,16 @@
 	fault, delay := f.drawFault()
 	time.Sleep(delay)
 	if fault >= f.failureRate {
-		return f.log.AppendNow(stream, data), nil
+		return f.log.AppendRecord(stream, data), nil
 	}
 	if fault < f.failureRate/3 {
 		return 0, errors.New("append refused")
 	}
 	if fault < f.failureRate*2/3 {
-		f.log.AppendNow(stream, data)
+		f.log.AppendRecord(stream, data)
 		return 0, errors.New("response lost")
 	}
-	time.AfterFunc(3*time.Second, func() { f.log.AppendNow(stream, data) })
+	time.AfterFunc(3*time.Second, func() { f.log.AppendRecord(stream, data) })
 	return 0, errors.New("response lost, append delayed")
 }
 
@@ -56,7 +56,7 @@
 	if fault < f.failureRate {
 		return nil, errors.New("read failed")
 	}
-	return f.log.ReadNow(stream, from), nil
+	return f.log.ReadPage(stream, from), nil
 }
 
 const (
--- a/internal/replay/calibrate.go
+++ b/internal/replay/calibrate.go
@@ -39,7 +39,7 @@
 	if res.Refused() > 0 {
 		return 1
 	}
-	return max(res.Utilization, res.BatchUse)
+	return max(res.Utilization, res.BatchUtilization)
 }
 
 // Weights returns the weights of a shape's workspaces.
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -103,7 +103,7 @@
 
 func (e *engine) finish(j *job) {
 	delete(e.running, j)
-	j.pass.Leave(breaker.Success)
+	j.pass.Release(breaker.Success)
 	e.replay.open--
 	e.settle()
 }
@@ -143,7 +143,7 @@
 	clear(e.running)
 	e.gate.ApplyEvents(&external.EventPage{Incarnation: strconv.Itoa(e.life), First: 1})
 	for _, j := range lost {
-		j.pass.Leave(breaker.Neutral)
+		j.pass.Release(breaker.Neutral)
 		r.again(j, errkind.TargetFailed)
 	}
 	if e.dead {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -138,7 +138,7 @@
 	tries   int
 	avoid   map[int]bool
 	engine  int
-	pass    *sidecar.Pass
+	pass    *sidecar.Admission
 	// answered is set with the first token.
 	answered bool
 }
@@ -226,17 +226,17 @@
 	})
 }
 
-func (r *Replay) work(j *job) sidecar.Work {
+func (r *Replay) work(j *job) sidecar.GateRequest {
 	budget := time.Duration(j.record.DeadlineMs)*time.Millisecond - (r.now - j.arrived)
-	return sidecar.Work{
+	return sidecar.GateRequest{
 		Workspace: j.record.Workspace, Weight: r.setup.Weights[j.record.Workspace], Class: j.class,
 		Blocks: j.record.HashIDs, BlockTokens: j.record.BlockTokens, PromptTokens: j.record.InputLength,
 		MaxTokens: j.record.OutputLength, Budget: budget,
 	}
 }
 
-func (r *Replay) question(j *job) sidecar.Question {
-	return sidecar.Question{
+func (r *Replay) question(j *job) sidecar.QuoteInput {
+	return sidecar.QuoteInput{
 		Workspace: probe.WorkspaceHash(j.record.Workspace), Class: j.class, PromptTokens: j.record.InputLength,
 		Points: prefix.PointsAt(j.record.HashIDs, j.record.PrefixLevels, j.record.BlockTokens),
 	}
@@ -261,7 +261,7 @@
 // again tries elsewhere within the retry budget.
 func (r *Replay) again(j *job, kind errkind.Kind) {
 	j.avoid[j.engine] = true
-	if j.tries >= maxTries || r.budget < 1 || !kind.Row().Elsewhere {
+	if j.tries >= maxTries || r.budget < 1 || !kind.Spec().Failover {
 		r.give(j, kind)
 		return
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -85,7 +85,7 @@
 	f.Add([]byte(`{"timestamp":-1}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for r, err := range trace.Read(bytes.NewReader(data)) {
-			if err == nil && r.Check() != nil {
+			if err == nil && r.Validate() != nil {
 				t.Errorf("a bad record passed: %+v", r)
 			}
 		}
--- a/internal/replay/result.go
+++ b/internal/replay/result.go
@@ -17,7 +17,7 @@
 type Result struct {
 	Policy string
 	// TTFT in microseconds, by class.
-	TTFT [config.Classes]*hdrhistogram.Histogram
+	TTFT [config.NumClasses]*hdrhistogram.Histogram
 	// Requests counted after the warm-up, those that got a first token, and
 	// those of them in time.
 	Requests, Answered, InTime int
@@ -26,11 +26,11 @@
 	// RecomputedTokens had been computed by some engine before.
 	PromptTokens, CachedTokens, RecomputedTokens int64
 	// Served and Wanted are the tokens served to and asked by each workspace.
-	Served, Wanted map[string]float64
+	Served, Requested map[string]float64
 	// Utilization is the mean share of time that engines prefilled.
 	Utilization float64
 	// BatchUse is the mean share of batch places that were taken.
-	BatchUse float64
+	BatchUtilization float64
 	// Seconds holds the figures of each second, for recoveries.
 	Seconds []Second
 
@@ -51,7 +51,7 @@
 
 func newResult(s Setup) *Result {
 	const digits = 3
-	res := &Result{Policy: s.Policy.Name(), Refusals: map[errkind.Kind]int{}, Served: map[string]float64{}, Wanted: map[string]float64{}, warmup: s.Warmup, weights: s.Weights}
+	res := &Result{Policy: s.Policy.Name(), Refusals: map[errkind.Kind]int{}, Served: map[string]float64{}, Requested: map[string]float64{}, warmup: s.Warmup, weights: s.Weights}
 	for i := range res.TTFT {
 		res.TTFT[i] = hdrhistogram.New(1, maxMicros, digits)
 	}
@@ -64,7 +64,7 @@
 	res.lastArrival = j.arrived
 	if res.counts(j) {
 		res.Requests++
-		res.Wanted[j.record.Workspace] += float64(j.record.InputLength + j.record.OutputLength)
+		res.Requested[j.record.Workspace] += float64(j.record.InputLength + j.record.OutputLength)
 	}
 }
 
@@ -135,7 +135,7 @@
 		return
 	}
 	res.Utilization = busy.Seconds() / whole
-	res.BatchUse = held.Seconds() / whole / float64(r.setup.Costs.MaxBatch)
+	res.BatchUtilization = held.Seconds() / whole / float64(r.setup.Costs.MaxBatch)
 }
 
 // HitRate is the share of prompt tokens that were cached.
@@ -202,9 +202,9 @@
 	for _, s := range res.Served {
 		left += s
 	}
-	fair := make(map[string]float64, len(res.Wanted))
-	open := make(map[string]bool, len(res.Wanted))
-	for name := range res.Wanted {
+	fair := make(map[string]float64, len(res.Requested))
+	open := make(map[string]bool, len(res.Requested))
+	for name := range res.Requested {
 		open[name] = true
 	}
 	for len(open) > 0 {
@@ -215,8 +215,8 @@
 		unit := left / weights
 		full := false
 		for name := range open {
-			if res.Wanted[name] <= unit*res.weights[name] {
-				fair[name] = res.Wanted[name]
+			if res.Requested[name] <= unit*res.weights[name] {
+				fair[name] = res.Requested[name]
 				left -= fair[name]
 				delete(open, name)
 				full = true
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -245,7 +245,7 @@
 	Rounds []int
 	// PrefillWeight is the cost of prefill time at an idle target relative to waiting time. It
 	// is lower for classes that are sensitive to latency.
-	PrefillWeight [config.Classes]float64
+	PrefillWeight [config.NumClasses]float64
 	// BusyPenalty and BusyExponent raise the cost of prefill at a busy target by the factor 1 +
 	// BusyPenalty*busy^BusyExponent: it delays queued requests and evicts their cached
 	// prefixes.
@@ -259,7 +259,7 @@
 // DefaultPolicy is the policy that entries use.
 var DefaultPolicy = Policy{
 	Rounds:            []int{4, 10, 16},
-	PrefillWeight:     [config.Classes]float64{0.05, 1, 1},
+	PrefillWeight:     [config.NumClasses]float64{0.05, 1, 1},
 	BusyPenalty:       60,
 	BusyExponent:      2,
 	AcceptableWait:    30 * time.Millisecond,
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -45,7 +45,7 @@
 	}
 	arrived := time.Now()
 	budget := time.Duration(m.BudgetMs) * time.Millisecond
-	pass, refusal := s.enter(ctx, Work{
+	pass, refusal := s.enter(ctx, GateRequest{
 		Workspace: m.Workspace, Weight: weightOf(o, m.Workspace), Class: config.Class(m.Class),
 		BlockTokens: 1, Budget: budget,
 	})
@@ -54,13 +54,13 @@
 	}
 	ticket, answer, refusal := s.claim(ctx, o, m.Workspace, m.Once)
 	if refusal != nil || answer != nil {
-		pass.Leave(breaker.Neutral)
+		pass.Release(breaker.Neutral)
 		return replayCall(answer), refusal
 	}
 	if ticket != nil && time.Since(arrived) > budget {
 		// A process that was frozen after its claim wakes here: its caller has
 		// an answer by now, and the key can still be closed unrun.
-		pass.Leave(breaker.Neutral)
+		pass.Release(breaker.Neutral)
 		return nil, ticket.Void(context.WithoutCancel(ctx), voidRetry, "the deadline passed before the call started")
 	}
 	return s.callTarget(ctx, o, m, pass, ticket)
@@ -68,7 +68,7 @@
 
 // callTarget makes the one call. It goes on when the entry is gone, so that
 // its end is recorded.
-func (s *Sidecar) callTarget(ctx context.Context, o own, m *peerv1.CallRequest, pass *Pass, ticket *once.Ticket) (*peerv1.CallResponse, *errkind.Error) {
+func (s *Sidecar) callTarget(ctx context.Context, o own, m *peerv1.CallRequest, pass *Admission, ticket *once.Ticket) (*peerv1.CallResponse, *errkind.Error) {
 	ctx = context.WithoutCancel(ctx)
 	s.calls.Add(1)
 	defer s.calls.Done()
@@ -78,10 +78,10 @@
 	}
 	answer, err := s.plain.Call(ctx, request)
 	if err != nil {
-		pass.Leave(breaker.Failure)
+		pass.Release(breaker.Failure)
 		return nil, failedCall(ctx, ticket, err)
 	}
-	pass.Leave(healthOf(answer.Status))
+	pass.Release(healthOf(answer.Status))
 	if ticket != nil {
 		ticket.Complete(once.Response{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body})
 	}
@@ -98,7 +98,7 @@
 		return ticket.Void(ctx, voidRetry, "the target could not be reached")
 	}
 	ticket.Abandon()
-	return errkind.After(errkind.OutcomeUnknown, voidRetry, "the target's answer was lost")
+	return errkind.NewRetryAfter(errkind.OutcomeUnknown, voidRetry, "the target's answer was lost")
 }
 
 func healthOf(status int) breaker.Result {
@@ -143,7 +143,7 @@
 	ledger := s.ledgerFor(o.service.Name)
 	answer, closed := ledger.VoidKey(context.WithoutCancel(ctx), onceKey(o, workspace, m), termsOf(o.service), refusal.RetryAfter, refusal.Error())
 	if answer != nil {
-		return errkind.After(errkind.InProgress, 0, "the call has run; ask again with the same key for its answer")
+		return errkind.NewRetryAfter(errkind.InProgress, 0, "the call has run; ask again with the same key for its answer")
 	}
 	return closed
 }
--- a/internal/sidecar/gate.go
+++ b/internal/sidecar/gate.go
@@ -25,7 +25,7 @@
 )
 
 // Work describes a request to the gate.
-type Work struct {
+type GateRequest struct {
 	Workspace string
 	Weight    float64
 	Class     config.Class
@@ -60,14 +60,14 @@
 	busy     busyMeter
 	draining bool
 	lastID   uint64
-	waiters  map[uint64]*Pass
+	waiters  map[uint64]*Admission
 }
 
 // Pass is one request's way through the gate.
-type Pass struct {
+type Admission struct {
 	gate   *Gate
 	id     uint64
-	work   Work
+	work   GateRequest
 	permit breaker.Permit
 	// Decided receives nil when the request may start, or its refusal.
 	Decided chan *errkind.Error
@@ -88,7 +88,7 @@
 		breaker: breaker.New(breaker.DefaultPolicy),
 		index:   prefix.NewIndex(maxBlocks),
 		rate:    rate,
-		waiters: map[uint64]*Pass{},
+		waiters: map[uint64]*Admission{},
 	}
 }
 
@@ -105,13 +105,13 @@
 		return errkind.New(errkind.Leaving, "the target is leaving")
 	}
 	if notBefore, blocked := g.breaker.Blocked(g.now()); blocked {
-		return errkind.After(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
+		return errkind.NewRetryAfter(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
 	}
 	return nil
 }
 
 // Question is what a probe asks.
-type Question struct {
+type QuoteInput struct {
 	// Workspace is the hash of the workspace's name.
 	Workspace    uint32
 	Class        config.Class
@@ -120,7 +120,7 @@
 }
 
 // Quote answers a probe.
-func (g *Gate) Quote(q Question) (Quote, *errkind.Error) {
+func (g *Gate) Quote(q QuoteInput) (Quote, *errkind.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if refusal := g.closedTo(); refusal != nil {
@@ -135,7 +135,7 @@
 	}, nil
 }
 
-func (g *Gate) matched(w Work) int {
+func (g *Gate) matched(w GateRequest) int {
 	return min(g.index.Match(w.Blocks)*w.BlockTokens, w.PromptTokens)
 }
 
@@ -145,7 +145,7 @@
 
 // Enter asks for admission. The answer comes on the pass's channel, at once or
 // later; a refusal for leaving or an open breaker comes as the error.
-func (g *Gate) Enter(w Work) (*Pass, *errkind.Error) {
+func (g *Gate) Enter(w GateRequest) (*Admission, *errkind.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if refusal := g.closedTo(); refusal != nil {
@@ -153,12 +153,12 @@
 	}
 	permit, ok, notBefore := g.breaker.Acquire(g.now())
 	if !ok {
-		return nil, errkind.After(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
+		return nil, errkind.NewRetryAfter(errkind.BreakerOpen, notBefore-g.now(), "the target failed often")
 	}
 	matched := g.matched(w)
 	prefill := g.prefillTime(w.PromptTokens - matched)
 	g.lastID++
-	p := &Pass{gate: g, id: g.lastID, work: w, permit: permit, MatchedTokens: matched, Prefill: prefill, expecting: true, Decided: make(chan *errkind.Error, 1)}
+	p := &Admission{gate: g, id: g.lastID, work: w, permit: permit, MatchedTokens: matched, Prefill: prefill, expecting: true, Decided: make(chan *errkind.Error, 1)}
 	g.waiters[p.id] = p
 	g.index.AddInProgress(w.Blocks)
 	g.noteBusy()
@@ -217,7 +217,7 @@
 }
 
 // forget takes back that the index expects a pass's blocks.
-func (g *Gate) forget(p *Pass) {
+func (g *Gate) forget(p *Admission) {
 	if p.expecting {
 		p.expecting = false
 		g.index.RemoveInProgress(p.work.Blocks)
@@ -233,7 +233,7 @@
 
 // FirstToken tells that the first token is there, from an incarnation of the
 // engine that said how many tokens it had cached.
-func (p *Pass) FirstToken(incarnation string, cached int) {
+func (p *Admission) FirstToken(incarnation string, cached int) {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -255,7 +255,7 @@
 
 // Leave ends a pass that was started. result says what it tells of the
 // target's health.
-func (p *Pass) Leave(result breaker.Result) {
+func (p *Admission) Release(result breaker.Result) {
 	g := p.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -266,7 +266,7 @@
 }
 
 // Abandon ends a pass whose caller has gone, waiting or started.
-func (p *Pass) Abandon() {
+func (p *Admission) Abandon() {
 	g := p.gate
 	g.mu.Lock()
 	waiting := g.queue.Cancel(p.id)
@@ -280,7 +280,7 @@
 		return
 	}
 	if refusal := <-p.Decided; refusal == nil {
-		p.Leave(breaker.Neutral)
+		p.Release(breaker.Neutral)
 	}
 }
 
@@ -292,7 +292,7 @@
 }
 
 // NextEvent is the number of the first cache event not seen yet.
-func (g *Gate) NextEvent() uint64 {
+func (g *Gate) NextEventSeq() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.index.NextSeq()
--- a/internal/sidecar/loader.go
+++ b/internal/sidecar/loader.go
@@ -93,7 +93,7 @@
 
 // act takes the next step: give back a dead holder's tickets, take a ticket,
 // wait in line, load, or give the ticket back.
-func (l *loader) act(o own, stream string, engine external.Load) {
+func (l *loader) act(o own, stream string, engine external.EngineStatus) {
 	name := l.sidecar.settings.Name
 	if stale := l.line.StaleNonces(name, l.nonce); len(stale) > 0 {
 		l.append(stream, loadslot.Record{Type: loadslot.TypeRelease, Target: name, Nonce: stale[0]})
@@ -146,7 +146,7 @@
 // many run.
 func (l *loader) giveWay(stream string) {
 	entry := l.sidecar.board.Engine.Entry()
-	if !entry.At.After(l.failedAt) || entry.Value.Loading {
+	if !entry.PostedAt.After(l.failedAt) || entry.Value.Loading {
 		return
 	}
 	l.failedAt = time.Time{}
@@ -195,13 +195,13 @@
 	l.drainSince = time.Time{}
 	l.busy = true
 	s.logger.Info("load_order", "model", o.model.Name, "weights", o.model.Weights, "fence", fence)
-	order := external.Order{Model: o.model.Name, Weights: o.model.Weights, Fence: fence}
-	control.Do(s.loop, orderTimeout, func(ctx context.Context) (*external.Load, error) {
-		if err := s.engine.Order(ctx, order); err != nil {
+	order := external.LoadOrder{Model: o.model.Name, Weights: o.model.Weights, Fence: fence}
+	control.Do(s.loop, orderTimeout, func(ctx context.Context) (*external.EngineStatus, error) {
+		if err := s.engine.LoadWeights(ctx, order); err != nil {
 			return nil, err
 		}
-		return s.engine.Load(ctx)
-	}, func(load *external.Load, err error) {
+		return s.engine.Status(ctx)
+	}, func(load *external.EngineStatus, err error) {
 		l.busy = false
 		if err != nil {
 			l.failedAt = time.Now()
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -102,7 +102,7 @@
 }
 
 // startRun starts a completion whose pass was decided.
-func (s *Sidecar) startRun(one *run, pass *Pass, request *external.GenerateRequest, ticket *once.Ticket) {
+func (s *Sidecar) startRun(one *run, pass *Admission, request *external.GenerateRequest, ticket *once.Ticket) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	one.cancel = cancel
 	s.tasks.Add(1)
@@ -111,7 +111,7 @@
 		defer cancel()
 		defer close(one.finished)
 		p := &pump{sidecar: s, run: one, pass: pass, ticket: ticket, request: request}
-		pass.Leave(p.work(ctx))
+		pass.Release(p.work(ctx))
 	}()
 }
 
@@ -119,7 +119,7 @@
 type pump struct {
 	sidecar *Sidecar
 	run     *run
-	pass    *Pass
+	pass    *Admission
 	ticket  *once.Ticket
 	request *external.GenerateRequest
 	first   bool
@@ -311,7 +311,7 @@
 		defer s.tasks.Done()
 		defer cancel()
 		defer close(one.finished)
-		p := &pump{sidecar: s, run: one, pass: &Pass{}, first: true, request: &external.GenerateRequest{}}
+		p := &pump{sidecar: s, run: one, pass: &Admission{}, first: true, request: &external.GenerateRequest{}}
 		if err := p.copyAll(runCtx, tokens); err != nil {
 			one.buffer.Refuse(&peerv1.Refusal{Kind: uint32(errkind.TargetFailed), Detail: err.Error()})
 		}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -35,9 +35,9 @@
 func (s *Sidecar) own() (own, *errkind.Error) {
 	snapshot, ok := s.board.Config.Get()
 	if !ok {
-		return own{}, errkind.After(errkind.ConfigurationMissing, time.Second, "")
+		return own{}, errkind.NewRetryAfter(errkind.ConfigurationMissing, time.Second, "")
 	}
-	service, _ := snapshot.Config.TargetNamed(s.settings.Name)
+	service, _ := snapshot.Config.FindTarget(s.settings.Name)
 	if service == nil {
 		return own{}, errkind.New(errkind.Leaving, "the configuration no longer lists this target")
 	}
@@ -57,7 +57,7 @@
 	loaded, _ := s.board.Engine.Get()
 	if loaded.Weights != weights || loaded.Loading {
 		const loadRetry = 200 * time.Millisecond
-		return errkind.After(errkind.WrongWeights, loadRetry, "loaded %q, asked for %q", loaded.Weights, weights)
+		return errkind.NewRetryAfter(errkind.WrongWeights, loadRetry, "loaded %q, asked for %q", loaded.Weights, weights)
 	}
 	return nil
 }
@@ -89,12 +89,12 @@
 			return Quote{}, refusal
 		}
 	}
-	class := min(config.Class(m.Class), config.Classes-1)
+	class := min(config.Class(m.Class), config.NumClasses-1)
 	points := make([]prefix.Point, 0, len(m.Points))
 	for i := range min(len(m.Points), len(m.PointTokens)) {
 		points = append(points, prefix.Point{Block: m.Points[i], Tokens: int(m.PointTokens[i])})
 	}
-	return s.gate.Quote(Question{Workspace: m.Workspace, Class: class, Points: points, PromptTokens: int(m.PromptTokens)})
+	return s.gate.Quote(QuoteInput{Workspace: m.Workspace, Class: class, Points: points, PromptTokens: int(m.PromptTokens)})
 }
 
 // Run implements the Gate service.
@@ -135,7 +135,7 @@
 	if refusal := s.readyFor(o, m.Weights); refusal != nil {
 		return nil, refusal
 	}
-	pass, refusal := s.enter(ctx, Work{
+	pass, refusal := s.enter(ctx, GateRequest{
 		Workspace:    m.Workspace,
 		Weight:       weightOf(o, m.Workspace),
 		Class:        config.Class(m.Class),
@@ -150,7 +150,7 @@
 	}
 	ticket, answer, refusal := s.claim(ctx, o, m.Workspace, m.Once)
 	if refusal != nil || answer != nil {
-		pass.Leave(breaker.Neutral)
+		pass.Release(breaker.Neutral)
 		return replayRun(answer, key), refusal
 	}
 	request := &external.GenerateRequest{
@@ -161,7 +161,7 @@
 	one := &run{engineID: request.RequestID, buffer: stream.NewBuffer(request.From, time.Now), cancel: func() {}, finished: make(chan struct{})}
 	found, added := s.runs.add(key, one)
 	if !added {
-		pass.Leave(breaker.Neutral)
+		pass.Release(breaker.Neutral)
 		return found, nil
 	}
 	s.startRun(one, pass, request, ticket)
@@ -187,7 +187,7 @@
 }
 
 // enter waits for the gate's decision.
-func (s *Sidecar) enter(ctx context.Context, w Work) (*Pass, *errkind.Error) {
+func (s *Sidecar) enter(ctx context.Context, w GateRequest) (*Admission, *errkind.Error) {
 	pass, refusal := s.gate.Enter(w)
 	if refusal != nil {
 		return nil, refusal
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -56,7 +56,7 @@
 	// Config is owned by the configuration follower.
 	Config blackboard.Fact[configlog.Snapshot]
 	// Engine is owned by the engine watcher.
-	Engine blackboard.Fact[external.Load]
+	Engine blackboard.Fact[external.EngineStatus]
 }
 
 // Sidecar is one process of the role. Make it with New.
@@ -106,14 +106,14 @@
 		gate:    NewGate(limits, s.Cache.MaxBlocks, s.Target.PrefillTokensPerSecond, clock),
 		runs:    newRuns(),
 		board:   &Board{},
-		loop:    control.NewLoop(s.Seed, d.Metrics.Control),
+		loop:    control.NewLoop(s.Seed, d.Metrics.ControlTime),
 		ledgers: map[string]*once.Ledger{},
 		ctx:     ctx, stop: stop,
 	}
 	c.follower = configlog.NewFollower(c.loop, d.Log, &c.board.Config, configlog.FollowerOptions{
 		Address: s.Listen, Peers: s.Peers, LogPolls: s.Timing.LogPolls, SyncPeriod: s.Timing.SyncPeriod.Duration,
 		Retention: s.Platform.LogRetention.Duration, Client: d.Peers, Logger: d.Logger, LogError: d.Metrics.LogError,
-		InForce: c.inForce,
+		OnChange: c.inForce,
 	})
 	c.watcher = &engineWatcher{sidecar: c}
 	c.loader = newLoader(c)
@@ -203,7 +203,7 @@
 // noteVersion reacts to a caller with a newer configuration: the log has it.
 func (s *Sidecar) noteVersion(version uint64) {
 	if current, _ := s.board.Config.Get(); version > current.Version {
-		s.follower.Nudge()
+		s.follower.Trigger()
 	}
 }
 
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -23,7 +23,7 @@
 		return
 	}
 	w.readingEvents = true
-	from := s.gate.NextEvent()
+	from := s.gate.NextEventSeq()
 	control.Do(s.loop, ioTimeout, func(ctx context.Context) (*external.EventPage, error) {
 		return s.engine.Events(ctx, from)
 	}, func(page *external.EventPage, err error) {
@@ -41,7 +41,7 @@
 		return
 	}
 	w.readingLoad = true
-	control.Do(s.loop, ioTimeout, s.engine.Load, func(load *external.Load, err error) {
+	control.Do(s.loop, ioTimeout, s.engine.Status, func(load *external.EngineStatus, err error) {
 		w.readingLoad = false
 		if err != nil {
 			return
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -422,7 +422,7 @@
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	load := external.Load{
+	load := external.EngineStatus{
 		Incarnation: e.incarnation, Weights: e.weights, Loading: e.loading > 0,
 		Running: e.running, Waiting: e.waiting,
 	}
@@ -430,7 +430,7 @@
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
-	var order external.Order
+	var order external.LoadOrder
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -71,7 +71,7 @@
 }
 
 // AppendNow appends without the network.
-func (l *Log) AppendNow(stream string, data []byte) uint64 {
+func (l *Log) AppendRecord(stream string, data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(stream)
@@ -81,7 +81,7 @@
 }
 
 // ReadNow reads without the network.
-func (l *Log) ReadNow(stream string, from uint64) *external.Page {
+func (l *Log) ReadPage(stream string, from uint64) *external.Page {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(stream)
@@ -128,7 +128,7 @@
 	if l.refuse(w) {
 		return
 	}
-	offset := l.AppendNow(r.PathValue("stream"), data)
+	offset := l.AppendRecord(r.PathValue("stream"), data)
 	if l.currentFaults().LoseAnswers {
 		panic(http.ErrAbortHandler)
 	}
@@ -144,7 +144,7 @@
 		http.Error(w, "from: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	writeJSON(w, l.ReadNow(r.PathValue("stream"), from))
+	writeJSON(w, l.ReadPage(r.PathValue("stream"), from))
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -37,7 +37,7 @@
 }
 
 // Peak is the most fetches that ran at once, and Total how many there were.
-func (s *WeightStore) Peak() (peak, total int) {
+func (s *WeightStore) FetchCounts() (peak, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak, s.total
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -19,9 +19,9 @@
 	// LevelTokens are the lengths of the nested levels, outermost first.
 	LevelTokens [3]int
 	// QuestionTokens is the length of the caller's own part.
-	QuestionTokens int
-	OutputTokens   int
-	Deadline       time.Duration
+	SuffixTokens int
+	OutputTokens int
+	Deadline     time.Duration
 }
 
 // Shape describes a deployment's traffic.
@@ -159,7 +159,7 @@
 		id = r.appendBlocks(id, kind.LevelTokens[level])
 		r.PrefixLevels = append(r.PrefixLevels, len(r.HashIDs))
 	}
-	r.appendBlocks(chain(id, n^0xABCDEF), kind.QuestionTokens)
+	r.appendBlocks(chain(id, n^0xABCDEF), kind.SuffixTokens)
 	r.InputLength = len(r.HashIDs) * s.BlockTokens
 	return r
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -41,7 +41,7 @@
 const maxLine = 4 << 20
 
 // Check reports what is wrong with a record.
-func (r *Record) Check() error {
+func (r *Record) Validate() error {
 	switch {
 	case r.Timestamp < 0:
 		return errors.Newf("timestamp: %d found; allowed are 0 and above", r.Timestamp)
@@ -91,7 +91,7 @@
 			var r Record
 			err := json.Unmarshal(lines.Bytes(), &r)
 			if err == nil {
-				err = r.Check()
+				err = r.Validate()
 			}
 			if err != nil {
 				yield(Record{}, errors.Wrapf(err, "line %d", n))
