--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -83,19 +83,19 @@
 // Sidecars probes engines through their sidecars, and reports the prompts sent there to
 // them.
 type Sidecars interface {
-	// Ask returns the answers in the order of engines, and which of the engines answered.
-	Ask(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Response, []bool)
-	// Sent reports a send and returns the ID under which its progress is to be reported.
-	Sent(engine netip.AddrPort, s probe.Send) uint32
-	Progressed(engine netip.AddrPort, number uint32, p probe.Progress)
+	// Probe returns the responses in the order of engines, and which of the engines responded.
+	Probe(ctx context.Context, engines []netip.AddrPort, p probe.Prompt) ([]probe.Response, []bool)
+	// NotifySend reports a send and returns the ID under which its progress is to be reported.
+	NotifySend(engine netip.AddrPort, s probe.Send) uint32
+	NotifyProgress(engine netip.AddrPort, number uint32, p probe.Progress)
 }
 
 // Limits admits requests of workspaces that have a rate limit.
 type Limits interface {
 	Admit(ctx context.Context, r ratelimit.Request) ratelimit.Decision
-	// GiveBack refunds the cost of a request that did not run. Charge deducts the cost
+	// Refund returns the cost of a request that did not run. Charge deducts the cost
 	// again for a request that is sent again after it may have run.
-	GiveBack(r ratelimit.Request, d ratelimit.Decision)
+	Refund(r ratelimit.Request, d ratelimit.Decision)
 	Charge(r ratelimit.Request)
 }
 
@@ -312,7 +312,7 @@
 
 const (
 	// slowPrefillTime and slowTokenTime are the prefill time of a prompt and the time per
-	// token of an answer at an engine under load, well above the mean.
+	// output token at an engine under load, well above the mean.
 	slowPrefillTime = time.Second
 	slowTokenTime   = 25 * time.Millisecond
 )
@@ -375,7 +375,7 @@
 // timeLeft is the time until the deadline.
 func (fl *flow) timeLeft() time.Duration { return time.Until(fl.deadline) }
 
-// run sends the request until it is answered or no further send is possible. It returns nil
+// run sends the request until it is served or no further send is possible. It returns nil
 // if the caller got a response.
 func (fl *flow) run(ctx context.Context) *errkind.Error {
 	fl.excluded = map[fleet.Incarnation]bool{}
@@ -414,7 +414,7 @@
 	// accept the request soon.
 	busyRetryAfter = 300 * time.Millisecond
 	// otherEntryRetryAfter is the retry delay for callers that are refused because this
-	// entry is stopping or cut off: another entry can accept the request at once.
+	// entry is stopping or partitioned: another entry can accept the request at once.
 	otherEntryRetryAfter = 50 * time.Millisecond
 	// minTimeLeft is the least remaining time that makes a retry worthwhile.
 	minTimeLeft = 15 * time.Millisecond
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -46,9 +46,9 @@
 	// probed is set if the target was chosen by probes, inProgress if a probed engine is
 	// computing parts that the chosen one lacks.
 	probed, inProgress bool
-	// probeCount is the number of engines probed, probeAnswer the answer of the chosen one.
-	probeCount  int
-	probeAnswer probe.Response
+	// probeCount is the number of engines probed, probeResponse the response of the chosen one.
+	probeCount    int
+	probeResponse probe.Response
 	// familyFirst is the best ranked engine of the prompt's family, whose sidecar tracks
 	// where the family's parts are computed. familyFirstSendID is the ID of the send at
 	// that sidecar; zero if the send was not reported to it.
@@ -158,7 +158,7 @@
 }
 
 // recordParts records that the engine, and the store that it offloads to, has the prompt's
-// parts or is computing them. It reports whether the other entries should be told.
+// parts or is computing them. It reports whether to announce this to the other entries.
 func (fl *flow) recordParts(dst *destination, done bool) bool {
 	updated := fl.Parts.Record(dst.target.ID, dst.partKeys, done, fl.Now())
 	if dst.offloadTo != "" {
@@ -186,7 +186,7 @@
 	}
 	return &upstream.Request{
 		Method: fl.r.Method, RequestURI: fl.r.RequestURI, Host: fl.r.Host,
-		Header: fl.Protocol.WriteSend(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Retryable(),
+		Header: fl.Protocol.WriteAttempt(fl.r.Header, send), Body: fl.body, FreshConn: !fl.route.Retryable(),
 		Matches: func(status int, h http.Header) bool {
 			id := fl.Protocol.ReadReply(status, h).ID
 			return id == fl.request.ID || id == "" && status >= http.StatusMultipleChoices
@@ -195,7 +195,7 @@
 }
 
 const (
-	// onTimePriorities is the number of priorities for requests that can be answered in
+	// onTimePriorities is the number of priorities for requests that can be served in
 	// time; as many follow for late ones.
 	onTimePriorities = ledger.Priorities / 2
 	// workspaceStep is the weight of a workspace's priority relative to a route's.
@@ -205,7 +205,7 @@
 // priority returns the request's rank at an engine, 0 first. Requests that can be in time
 // precede late ones; within both, the workspace's priority decides before the route's.
 //
-// When prompts exceed the engines' prefill capacity, this keeps short prompts of an urgent
+// When prompts exceed the engines' prefill capacity, this keeps short prompts of a high-priority
 // route from queuing behind long prompts of another one.
 func (fl *flow) priority(late bool) int {
 	rank := max(fl.route.Priority, 0)
--- a/internal/gateway/ratelimit/limiter.go
+++ b/internal/gateway/ratelimit/limiter.go
@@ -162,13 +162,13 @@
 type Decision struct {
 	Admitted bool
 	Source   Source
-	// Level is the bucket's level, if the bucket was asked.
+	// Level is the bucket's level, if the decision used the bucket.
 	Level float64
 	// RetryAfter is the time after which a refused request would be admitted.
 	RetryAfter time.Duration
 	// Took is the duration of the decision.
 	Took time.Duration
-	// expiresAt is when tokens given back to the leases expire.
+	// expiresAt is when tokens refunded to the leases expire.
 	expiresAt time.Time
 }
 
@@ -267,8 +267,8 @@
 	return Decision{Admitted: resp.Admitted, Source: source, Level: resp.Level, RetryAfter: resp.RetryDelay}
 }
 
-// GiveBack refunds the cost of an admitted request that did not run.
-func (l *Limiter) GiveBack(r Request, d Decision) {
+// Refund returns the cost of an admitted request that did not run.
+func (l *Limiter) Refund(r Request, d Decision) {
 	if !d.Admitted {
 		return
 	}
