--- a/internal/gateway/quarantine/scenarios_test.go
+++ b/internal/gateway/quarantine/scenarios_test.go
@@ -25,7 +25,7 @@
 }
 
 // Simultaneous unrelated crashes of half or all of the engines must not get a request refused.
-func TestUnrelatedCrashesRefuseNoRequest(t *testing.T) {
+func TestUnrelatedCrashesQuarantineNoRequest(t *testing.T) {
 	for _, load := range []workload{
 		{entries: 4, engines: 9, crashEvery: 3 * time.Second, crashes: 9, requestsPerEngine: 8, duration: 60 * time.Second},
 		{entries: 30, engines: 60, crashEvery: 3 * time.Second, crashes: 30, requestsPerEngine: 8, duration: 30 * time.Second},
