--- a/internal/gateway/weights/controller.go
+++ b/internal/gateway/weights/controller.go
@@ -15,9 +15,9 @@
 
 // Report is the state that an engine reports of itself.
 type Report struct {
-	// StartedAt is when the engine started, in Unix milliseconds by its own clock; zero if
+	// StartedMs is when the engine started, in Unix milliseconds by its own clock; zero if
 	// the engine does not report it.
-	StartedAt int64
+	StartedMs int64
 	// Weights maps each of the engine's models to its version.
 	Weights map[string]int64
 	// Busy is set while the engine executes a load request.
@@ -227,7 +227,7 @@
 		c.options.Logger.Info("engine_heard", "weights", report.Weights, "busy", report.Busy, "orders", report.AcceptedLoads)
 	}
 	hadReport := c.report.Weights != nil
-	if hadReport && (report.StartedAt != c.report.StartedAt || report.AcceptedLoads < c.report.AcceptedLoads) {
+	if hadReport && (report.StartedMs != c.report.StartedMs || report.AcceptedLoads < c.report.AcceptedLoads) {
 		c.resetAfterRestart(report)
 	}
 	c.reachable = true
@@ -244,14 +244,14 @@
 // resetAfterRestart discards the state of the engine's previous incarnation, including its
 // load request.
 func (c *Controller) resetAfterRestart(report Report) {
-	c.options.Logger.Info("engine_started_anew", "instance", c.instance, "was_born", c.report.StartedAt, "born", report.StartedAt,
+	c.options.Logger.Info("engine_started_anew", "instance", c.instance, "was_born", c.report.StartedMs, "born", report.StartedMs,
 		"orders", report.AcceptedLoads, "phase", c.phase.String())
 	c.instance, c.phase, c.lastRequest = "", Serving, LoadRequest{}
 }
 
 // incarnation is the engine's current incarnation; its instance is empty until identified.
 func (c *Controller) incarnation() fleet.Incarnation {
-	return fleet.Incarnation{Instance: c.instance, StartedMs: c.report.StartedAt}
+	return fleet.Incarnation{Instance: c.instance, StartedMs: c.report.StartedMs}
 }
 
 // identifyInterval is the least time between two calls of the engine's health endpoint,
@@ -267,11 +267,11 @@
 		return
 	}
 	c.identifying = true
-	startedAt := c.report.StartedAt
+	startedAt := c.report.StartedMs
 	control.Do(c.loop, reportTimeout, func(ctx context.Context) (string, error) {
 		return c.engine.Identify(ctx, path)
 	}, func(instance string, err error) {
-		if err == nil && c.reachable && startedAt == c.report.StartedAt {
+		if err == nil && c.reachable && startedAt == c.report.StartedMs {
 			c.instance = instance
 			c.options.Logger.Info("engine_identified", "instance", instance, "born", startedAt)
 			c.step()
--- a/internal/gateway/weights/controller_test.go
+++ b/internal/gateway/weights/controller_test.go
@@ -41,7 +41,7 @@
 	if e.down {
 		return Report{}, errors.New("connection refused")
 	}
-	return Report{StartedAt: e.startedAt, Weights: map[string]int64{"m": e.version}, Busy: time.Now().Before(e.busyUntil), AcceptedLoads: e.acceptedLoads}, nil
+	return Report{StartedMs: e.startedAt, Weights: map[string]int64{"m": e.version}, Busy: time.Now().Before(e.busyUntil), AcceptedLoads: e.acceptedLoads}, nil
 }
 
 func (e *fakeEngine) Identify(context.Context, string) (string, error) {
